--- a/standin/src/test/java/thornferry/standin/Rig.java
+++ b/standin/src/test/java/thornferry/standin/Rig.java
@@ -4,6 +4,7 @@
 import io.netty.channel.nio.NioIoHandler;
 import java.io.IOException;
 import java.io.InputStream;
+import java.io.OutputStream;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.net.SocketAddress;
@@ -188,8 +189,9 @@
         }
 
         void send(String text) throws IOException {
-            socket.getOutputStream().write(text.replace('^', '\0').getBytes(StandardCharsets.UTF_8));
-            socket.getOutputStream().flush();
+            // asked for once: the server may have answered, and the reader closed the socket, before a second call
+            OutputStream out = socket.getOutputStream();
+            out.write(text.replace('^', '\0').getBytes(StandardCharsets.UTF_8));
         }
 
         /** The next frame that holds {@code part}; fails after ten seconds or at the connection's end. */
