--- a/app/src/test/java/thornferry/app/CommandLineTest.java
+++ b/app/src/test/java/thornferry/app/CommandLineTest.java
@@ -227,6 +227,15 @@
         }
     }
 
+    @Test
+    void stateVerifyAcceptsTheJournalsOfVersion020() {
+        Path stored = Path.of("../state/src/test/resources/journal-v1");
+        Ran verified = run("state", "verify", stored.toString());
+        assertThat(verified.code()).isZero();
+        assertThat(verified.out()).contains("journal-2.tfj: whole, 12 lines")
+            .contains("journal-1.tfj: its last line was not whole and is cut off at octet");
+    }
+
     @Test
     void theStateOfAPlacerIsShownCheckedAndCompactedWithoutIt() throws Exception {
         Path state = folder;
