--- a/agent/src/main/java/thornferry/agent/AgentPool.java
+++ b/agent/src/main/java/thornferry/agent/AgentPool.java
@@ -22,23 +22,58 @@
         this(threads, null);
     }
 
-    /** @param tls for connections to placers; null for plain text */
+    /**
+     * @param tls for connections to placers; null for plain text
+     */
     public AgentPool(int threads, SslContext tls) {
         this.tls = tls;
         loops = new MultiThreadIoEventLoopGroup(threads, NioIoHandler.newFactory());
     }
 
-    /** Starts a node that dials every one of the placers; {@code passcode} null where its certificate tells who it is. */
-    public NodeAgent add(NodeShape shape, Behaviour behaviour, List<SocketAddress> placers, String login,
-                         String passcode, Heartbeat heartbeat, long seed, NodeAgent.Watcher watcher) {
+    /**
+     * Starts a node that dials every one of the placers; {@code passcode} null where its
+     * certificate tells who it is.
+     */
+    public NodeAgent add(
+            NodeShape shape,
+            Behaviour behaviour,
+            List<SocketAddress> placers,
+            String login,
+            String passcode,
+            Heartbeat heartbeat,
+            long seed,
+            NodeAgent.Watcher watcher) {
         return add(shape, behaviour, placers, login, passcode, heartbeat, seed, watcher, true);
     }
 
-    /** @param warm the node has run for long; else it has just started and is cold */
-    public NodeAgent add(NodeShape shape, Behaviour behaviour, List<SocketAddress> placers, String login,
-                         String passcode, Heartbeat heartbeat, long seed, NodeAgent.Watcher watcher, boolean warm) {
-        NodeAgent node = new NodeAgent(shape, behaviour, keys, loops.next(), placers, login, passcode, heartbeat,
-            FrameLimits.USUAL, seed, watcher, tls, warm);
+    /**
+     * @param warm the node has run for long; else it has just started and is cold
+     */
+    public NodeAgent add(
+            NodeShape shape,
+            Behaviour behaviour,
+            List<SocketAddress> placers,
+            String login,
+            String passcode,
+            Heartbeat heartbeat,
+            long seed,
+            NodeAgent.Watcher watcher,
+            boolean warm) {
+        NodeAgent node =
+                new NodeAgent(
+                        shape,
+                        behaviour,
+                        keys,
+                        loops.next(),
+                        placers,
+                        login,
+                        passcode,
+                        heartbeat,
+                        FrameLimits.USUAL,
+                        seed,
+                        watcher,
+                        tls,
+                        warm);
         nodes.add(node);
         node.start();
         return node;
--- a/agent/src/main/java/thornferry/agent/HallKeys.java
+++ b/agent/src/main/java/thornferry/agent/HallKeys.java
@@ -4,19 +4,19 @@
 import java.util.Map;
 
 /**
- * The memory of keys that the nodes of one hall share: stands in for the shared store of real halls, so the nodes of
- * a hall must live in one process here. Safe for use by several threads.
+ * The memory of keys that the nodes of one hall share: stands in for the shared store of real
+ * halls, so the nodes of a hall must live in one process here. Safe for use by several threads.
  */
 public final class HallKeys {
-    private record Claim(String attempt, long until) { }
+    private record Claim(String attempt, long until) {}
 
     private static final int SWEEP_ABOVE = 10_000;
 
     private final Map<String, Claim> claims = new HashMap<>();
 
     /** Claims a key for an attempt; false where another attempt's claim stands. Microseconds. */
-    public synchronized boolean claim(long now, String zone, String taskClass, String key, String attempt,
-                                      long window) {
+    public synchronized boolean claim(
+            long now, String zone, String taskClass, String key, String attempt, long window) {
         if (claims.size() > SWEEP_ABOVE) {
             claims.values().removeIf(c -> c.until() <= now);
         }
--- a/agent/src/main/java/thornferry/agent/Memory.java
+++ b/agent/src/main/java/thornferry/agent/Memory.java
@@ -12,17 +12,24 @@
 import thornferry.protocol.v1.Register;
 
 /**
- * What a node remembers, for one placer, of attempts that are over there: so that a placer that was killed learns what
- * ran, and above all so that what the node does <i>not</i> name is known never to have been accepted. Where it must
- * forget, it says since when it remembers all. No I/O and no clock; times are microseconds.
+ * What a node remembers, for one placer, of attempts that are over there: so that a placer that was
+ * killed learns what ran, and above all so that what the node does <i>not</i> name is known never
+ * to have been accepted. Where it must forget, it says since when it remembers all. No I/O and no
+ * clock; times are microseconds.
  */
 final class Memory {
     /** Final answers of every kind are said again for so long, since some may not have arrived. */
     private static final long SAID_AGAIN = 30_000_000;
+
     private static final int SAID_AGAIN_MOST = 2_000;
+
     /** Attempts remembered of one effect; the oldest are forgotten first. */
     static final int MOST = 20_000;
-    /** Octets that a registration may hold of them: half of a usual frame, the rest is for the inventory. */
+
+    /**
+     * Octets that a registration may hold of them: half of a usual frame, the rest is for the
+     * inventory.
+     */
     static final int MOST_OCTETS = 512 << 10;
 
     private record Entry(long at, Answer answer) {
@@ -33,7 +40,8 @@
 
     private final ArrayDeque<Entry> passing = new ArrayDeque<>();
     private final Map<Effect, ArrayDeque<Entry>> kept = new EnumMap<>(Effect.class);
-    private final Map<Effect, Long> forgot = new EnumMap<>(Effect.class); // when the last one forgotten had ended
+    private final Map<Effect, Long> forgot =
+            new EnumMap<>(Effect.class); // when the last one forgotten had ended
     private long keepFor = SAID_AGAIN;
 
     /** The placer's wish. */
@@ -71,7 +79,7 @@
             }
             long lacks = forgot.getOrDefault(effect, 0L);
             List<Answer> fitting = new ArrayList<>();
-            for (Iterator<Entry> newest = entries.descendingIterator(); newest.hasNext();) {
+            for (Iterator<Entry> newest = entries.descendingIterator(); newest.hasNext(); ) {
                 Entry e = newest.next();
                 Answer told = e.told(now);
                 room -= told.getSerializedSize() + 4;
--- a/agent/src/main/java/thornferry/agent/NodeAgent.java
+++ b/agent/src/main/java/thornferry/agent/NodeAgent.java
@@ -26,22 +26,24 @@
 import thornferry.protocol.v1.Task;
 
 /**
- * One node: a connection to each placer of its list, kept up by dialling again, around a {@link NodeModel}. The node
- * needs no open port. All of it runs on one event loop; methods may be called from any thread.
+ * One node: a connection to each placer of its list, kept up by dialling again, around a {@link
+ * NodeModel}. The node needs no open port. All of it runs on one event loop; methods may be called
+ * from any thread.
  */
 public final class NodeAgent {
     /** Sees what passes, for measurements; called on the node's event loop. */
     public interface Watcher {
-        Watcher NONE = new Watcher() { };
+        Watcher NONE = new Watcher() {};
 
-        default void offered(String node, Order order) { }
+        default void offered(String node, Order order) {}
 
-        default void said(String node, Answer answer) { }
+        default void said(String node, Answer answer) {}
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(NodeAgent.class);
     private static final long REDIAL_LEAST_MS = 50;
     private static final long REDIAL_MOST_MS = 2_000;
+
     private final class Dial implements ClientConnection.Listener {
         final SocketAddress placer;
         final Memory memory = new Memory();
@@ -55,8 +57,13 @@
 
         void open() {
             if (!closed && !down) {
-                connection = ClientConnection.open(loop, new ClientConnection.Target(placer, login, passcode,
-                    heartbeat, tls), limits, this);
+                connection =
+                        ClientConnection.open(
+                                loop,
+                                new ClientConnection.Target(
+                                        placer, login, passcode, heartbeat, tls),
+                                limits,
+                                this);
             }
         }
 
@@ -69,14 +76,24 @@
 
         private void register(ClientConnection c) {
             long now = now();
-            Register.Builder r = Register.newBuilder().setNode(shape.node()).setIncarnation(model.incarnation())
-                .setKind(shape.kind()).setZone(shape.zone()).setCell(shape.cell()).setCores(shape.cores())
-                .setMemory(shape.memory()).setUptimeMs(model.uptime(now) / 1_000).addAllHeld(model.inventory(name))
-                .setLoad(model.load());
+            Register.Builder r =
+                    Register.newBuilder()
+                            .setNode(shape.node())
+                            .setIncarnation(model.incarnation())
+                            .setKind(shape.kind())
+                            .setZone(shape.zone())
+                            .setCell(shape.cell())
+                            .setCores(shape.cores())
+                            .setMemory(shape.memory())
+                            .setUptimeMs(model.uptime(now) / 1_000)
+                            .addAllHeld(model.inventory(name))
+                            .setLoad(model.load());
             memory.tell(now, r);
             c.sendBinary(Destinations.REGISTER, r.build());
             if (model.draining()) {
-                c.sendBinary(Destinations.DRAIN, Drain.newBuilder().setNode(shape.node()).setOn(true).build());
+                c.sendBinary(
+                        Destinations.DRAIN,
+                        Drain.newBuilder().setNode(shape.node()).setOn(true).build());
             }
         }
 
@@ -88,12 +105,15 @@
             try {
                 Order order = Bodies.read(frame, Order.newBuilder());
                 if (pausedUntil > now()) {
-                    loop.schedule(() -> message(c, frame), pausedUntil - now(), TimeUnit.MICROSECONDS);
+                    loop.schedule(
+                            () -> message(c, frame), pausedUntil - now(), TimeUnit.MICROSECONDS);
                 } else {
                     take(this, order);
                 }
             } catch (ProtocolException e) {
-                LOG.atWarn().addKeyValue("node", shape.node()).log("an order is void: {}", e.getMessage());
+                LOG.atWarn()
+                        .addKeyValue("node", shape.node())
+                        .log("an order is void: {}", e.getMessage());
             }
         }
 
@@ -102,9 +122,12 @@
             if (c != connection) {
                 return;
             }
-            LOG.atDebug().addKeyValue("node", shape.node()).log("connection to {} over: {}", placer, why);
+            LOG.atDebug()
+                    .addKeyValue("node", shape.node())
+                    .log("connection to {} over: {}", placer, why);
             connection = null;
-            // spread, so that the nodes of a placer that restarts do not all dial in the same moment
+            // spread, so that the nodes of a placer that restarts do not all dial in the same
+            // moment
             long spread = wait / 2 + random.nextLong(wait / 2 + 1);
             wait = Math.min(REDIAL_MOST_MS, wait * 2);
             loop.schedule(this::open, spread, TimeUnit.MILLISECONDS);
@@ -138,9 +161,20 @@
     private long wakeAt = Long.MAX_VALUE;
     private double answersLost;
 
-    NodeAgent(NodeShape shape, Behaviour behaviour, HallKeys keys, EventLoop loop, List<SocketAddress> placers,
-              String login, String passcode, Heartbeat heartbeat, FrameLimits limits, long seed, Watcher watcher,
-              SslContext tls, boolean warm) {
+    NodeAgent(
+            NodeShape shape,
+            Behaviour behaviour,
+            HallKeys keys,
+            EventLoop loop,
+            List<SocketAddress> placers,
+            String login,
+            String passcode,
+            Heartbeat heartbeat,
+            FrameLimits limits,
+            long seed,
+            Watcher watcher,
+            SslContext tls,
+            boolean warm) {
         this.tls = tls;
         this.shape = shape;
         this.behaviour = behaviour;
@@ -153,7 +187,9 @@
         this.seed = seed;
         this.random = new SplittableRandom(seed);
         this.watcher = watcher;
-        this.model = new NodeModel(shape, behaviour, keys, seed, now(), System.currentTimeMillis(), warm);
+        this.model =
+                new NodeModel(
+                        shape, behaviour, keys, seed, now(), System.currentTimeMillis(), warm);
         placers.forEach(p -> dials.add(new Dial(p)));
     }
 
@@ -182,22 +218,33 @@
                 byName.putIfAbsent(from.name, from);
                 model.withdraw(now, from.name, order.getWithdraw().getAttempt(), this::say);
             }
-            case PROBE -> from.connection.sendBinary(Destinations.PROBES, ProbeReply.newBuilder()
-                .setNode(shape.node()).setNumber(order.getProbe().getNumber()).setLoad(model.load()).build());
+            case PROBE ->
+                    from.connection.sendBinary(
+                            Destinations.PROBES,
+                            ProbeReply.newBuilder()
+                                    .setNode(shape.node())
+                                    .setNumber(order.getProbe().getNumber())
+                                    .setLoad(model.load())
+                                    .build());
             case DRAIN -> model.drain(now, order.getDrain().getOn(), this::say);
             case WELCOME -> {
                 from.name = order.getWelcome().getPlacer();
                 byName.put(from.name, from);
                 from.memory.keepFor(order.getWelcome().getRememberMs() * 1_000);
             }
-            default -> { } // an order of a later version: not understood, so not obeyed
+            default -> {} // an order of a later version: not understood, so not obeyed
         }
         afterwards();
     }
 
     private void say(NodeModel.Say s) {
-        Answer.Builder answer = Answer.newBuilder().setNode(shape.node()).setAttempt(s.attempt()).setKind(s.kind())
-            .setReason(s.reason()).setRan(s.ran());
+        Answer.Builder answer =
+                Answer.newBuilder()
+                        .setNode(shape.node())
+                        .setAttempt(s.attempt())
+                        .setKind(s.kind())
+                        .setReason(s.reason())
+                        .setRan(s.ran());
         if (s.kind() == Answer.Kind.USES) {
             answer.setCoresUsed(s.coresUsed()).setMemoryUsed(s.memoryUsed());
         } else {
@@ -207,15 +254,22 @@
         Dial to = byName.get(s.placer());
         if (to != null && s.offer().hasTask() && over(s.kind())) {
             Task task = s.offer().getTask();
-            to.memory.over(now(), a.toBuilder().setOwner(s.offer().getOwner()).setTask(task)
-                .setEffect(s.offer().getEffect()).build());
+            to.memory.over(
+                    now(),
+                    a.toBuilder()
+                            .setOwner(s.offer().getOwner())
+                            .setTask(task)
+                            .setEffect(s.offer().getEffect())
+                            .build());
         }
         if (s.silent()) {
             return;
         }
         watcher.said(shape.node(), a);
-        boolean lost = answersLost > 0 && random.nextDouble() < answersLost
-            && (s.kind() == Answer.Kind.ACCEPTED || s.kind() == Answer.Kind.RUNS);
+        boolean lost =
+                answersLost > 0
+                        && random.nextDouble() < answersLost
+                        && (s.kind() == Answer.Kind.ACCEPTED || s.kind() == Answer.Kind.RUNS);
         if (to != null && !lost) {
             to.say(a);
         }
@@ -253,30 +307,47 @@
     }
 
     // ---- troubles, for scripted days ----
-    /** Dies without a word and comes back cold, in a new incarnation, after so long; MAX_VALUE for never. */
+    /**
+     * Dies without a word and comes back cold, in a new incarnation, after so long; MAX_VALUE for
+     * never.
+     */
     public void crash(long downMs) {
-        loop.execute(() -> {
-            if (down) {
-                return;
-            }
-            down = true;
-            dials.forEach(d -> {
-                ClientConnection c = d.connection;
-                d.connection = null;
-                d.memory.clear();
-                if (c != null) {
-                    c.cut();
-                }
-            });
-            long incarnation = Math.max(model.incarnation() + 1, System.currentTimeMillis());
-            if (downMs < Long.MAX_VALUE) {
-                loop.schedule(() -> {
-                    down = false;
-                    model = new NodeModel(shape, behaviour, keys, seed, now(), incarnation, false);
-                    dials.forEach(Dial::open);
-                }, downMs, TimeUnit.MILLISECONDS);
-            }
-        });
+        loop.execute(
+                () -> {
+                    if (down) {
+                        return;
+                    }
+                    down = true;
+                    dials.forEach(
+                            d -> {
+                                ClientConnection c = d.connection;
+                                d.connection = null;
+                                d.memory.clear();
+                                if (c != null) {
+                                    c.cut();
+                                }
+                            });
+                    long incarnation =
+                            Math.max(model.incarnation() + 1, System.currentTimeMillis());
+                    if (downMs < Long.MAX_VALUE) {
+                        loop.schedule(
+                                () -> {
+                                    down = false;
+                                    model =
+                                            new NodeModel(
+                                                    shape,
+                                                    behaviour,
+                                                    keys,
+                                                    seed,
+                                                    now(),
+                                                    incarnation,
+                                                    false);
+                                    dials.forEach(Dial::open);
+                                },
+                                downMs,
+                                TimeUnit.MILLISECONDS);
+                    }
+                });
     }
 
     /** Stands still: takes no orders and does no work, but its connections stay. */
@@ -286,11 +357,14 @@
 
     /** Breaks all connections; the node and its work go on. */
     public void cutConnections() {
-        loop.execute(() -> dials.forEach(d -> {
-            if (d.connection != null) {
-                d.connection.cut();
-            }
-        }));
+        loop.execute(
+                () ->
+                        dials.forEach(
+                                d -> {
+                                    if (d.connection != null) {
+                                        d.connection.cut();
+                                    }
+                                }));
     }
 
     public void mute(String taskClass, long millis) {
@@ -303,27 +377,33 @@
     }
 
     public void preempt(int most) {
-        loop.execute(() -> {
-            model.preempt(now(), most, this::say);
-            afterwards();
-        });
+        loop.execute(
+                () -> {
+                    model.preempt(now(), most, this::say);
+                    afterwards();
+                });
     }
 
     /** Drains of its own accord and tells its placers. */
     public void drain(boolean on) {
-        loop.execute(() -> {
-            model.drain(now(), on, this::say);
-            Drain drain = Drain.newBuilder().setNode(shape.node()).setOn(on).build();
-            dials.stream().filter(d -> d.connection != null && d.connection.open())
-                .forEach(d -> d.connection.sendBinary(Destinations.DRAIN, drain));
-        });
+        loop.execute(
+                () -> {
+                    model.drain(now(), on, this::say);
+                    Drain drain = Drain.newBuilder().setNode(shape.node()).setOn(on).build();
+                    dials.stream()
+                            .filter(d -> d.connection != null && d.connection.open())
+                            .forEach(d -> d.connection.sendBinary(Destinations.DRAIN, drain));
+                });
     }
 
     void close() {
-        loop.execute(() -> {
-            closed = true;
-            dials.stream().filter(d -> d.connection != null).forEach(d -> d.connection.cut());
-        });
+        loop.execute(
+                () -> {
+                    closed = true;
+                    dials.stream()
+                            .filter(d -> d.connection != null)
+                            .forEach(d -> d.connection.cut());
+                });
     }
 
     /** How many tasks and offers it holds now. */
--- a/agent/src/main/java/thornferry/agent/NodeModel.java
+++ b/agent/src/main/java/thornferry/agent/NodeModel.java
@@ -14,19 +14,33 @@
 import thornferry.protocol.v1.Task;
 
 /**
- * One life of a node: takes or refuses offers, starts and ends stand-in work. No I/O and no clock; the same seed and
- * the same calls give the same answers. Times are microseconds.
+ * One life of a node: takes or refuses offers, starts and ends stand-in work. No I/O and no clock;
+ * the same seed and the same calls give the same answers. Times are microseconds.
  */
 public final class NodeModel {
     /**
-     * What to tell the placer that offered the attempt; {@code offer} is empty where the node does not hold it.
+     * What to tell the placer that offered the attempt; {@code offer} is empty where the node does
+     * not hold it.
      *
      * @param silent the node works but says nothing: remembered, and not sent
      */
-    public record Say(String placer, String attempt, Answer.Kind kind, Answer.Reason reason, boolean ran,
-                      double coresUsed, double memoryUsed, Offer offer, boolean silent) { }
-
-    private enum State { QUEUED, WAITING, STARTING, RUNNING }
+    public record Say(
+            String placer,
+            String attempt,
+            Answer.Kind kind,
+            Answer.Reason reason,
+            boolean ran,
+            double coresUsed,
+            double memoryUsed,
+            Offer offer,
+            boolean silent) {}
+
+    private enum State {
+        QUEUED,
+        WAITING,
+        STARTING,
+        RUNNING
+    }
 
     private static final class Work {
         final Offer offer;
@@ -62,9 +76,11 @@
     private final Map<String, Work> works = new LinkedHashMap<>();
     private final ArrayDeque<Work> offers = new ArrayDeque<>();
     private final ArrayDeque<Work> starts = new ArrayDeque<>();
-    private final Map<String, Integer> programs = new LinkedHashMap<>(); // service -> its tasks here, least used first
+    private final Map<String, Integer> programs =
+            new LinkedHashMap<>(); // service -> its tasks here, least used first
     private final ArrayDeque<Long> coldOffers = new ArrayDeque<>();
-    private final Map<String, Long> muted = new LinkedHashMap<>(); // class -> until when it is left unanswered
+    private final Map<String, Long> muted =
+            new LinkedHashMap<>(); // class -> until when it is left unanswered
     private double cores;
     private double memory;
     private double memoryUsed;
@@ -75,9 +91,17 @@
     private boolean fallen;
     private long started;
 
-    /** @param warm the node has run for long: no cold start */
-    public NodeModel(NodeShape shape, Behaviour behaviour, HallKeys keys, long seed, long now, long incarnation,
-                     boolean warm) {
+    /**
+     * @param warm the node has run for long: no cold start
+     */
+    public NodeModel(
+            NodeShape shape,
+            Behaviour behaviour,
+            HallKeys keys,
+            long seed,
+            long now,
+            long incarnation,
+            boolean warm) {
         this.shape = shape;
         this.behaviour = behaviour;
         this.keys = keys;
@@ -142,15 +166,21 @@
         while (coldOffers.peekFirst() <= now - behaviour.coldWindow()) {
             coldOffers.removeFirst();
         }
-        double capacity = behaviour.startsAtOnce() * (double) behaviour.coldWindow()
-            / Math.max(1, behaviour.start() * behaviour.startFactor());
-        double bears = Math.max(behaviour.coldOffers(), behaviour.coldMultiple() * pace(now) * capacity);
+        double capacity =
+                behaviour.startsAtOnce()
+                        * (double) behaviour.coldWindow()
+                        / Math.max(1, behaviour.start() * behaviour.startFactor());
+        double bears =
+                Math.max(behaviour.coldOffers(), behaviour.coldMultiple() * pace(now) * capacity);
         return coldOffers.size() > bears;
     }
 
     /** The part of its full pace that a node reaches at this moment after its start. */
     private double pace(long now) {
-        double warm = behaviour.ramp() == 0 ? 1 : Math.min(1, (now - startedAt) / (double) behaviour.ramp());
+        double warm =
+                behaviour.ramp() == 0
+                        ? 1
+                        : Math.min(1, (now - startedAt) / (double) behaviour.ramp());
         return behaviour.coldFrom() + (1 - behaviour.coldFrom()) * warm;
     }
 
@@ -166,8 +196,10 @@
             refuse(w, Answer.Reason.NO_CORES, say);
         } else if (t.getMemory() + memory > shape.memory() + 1e-9) {
             refuse(w, Answer.Reason.NO_MEMORY, say);
-        } else if (window > 0 && !t.getKey().isEmpty()
-            && !keys.claim(now, shape.zone(), t.getTaskClass(), t.getKey(), w.attempt, window)) {
+        } else if (window > 0
+                && !t.getKey().isEmpty()
+                && !keys.claim(
+                        now, shape.zone(), t.getTaskClass(), t.getKey(), w.attempt, window)) {
             refuse(w, Answer.Reason.KEY_HELD, say);
         } else {
             cores += t.getCores();
@@ -183,8 +215,19 @@
         say(w, Answer.Kind.REFUSED, reason, false, say);
     }
 
-    private static void say(Work w, Answer.Kind kind, Answer.Reason reason, boolean ran, Consumer<Say> say) {
-        say.accept(new Say(w.placer, w.attempt, kind, reason, ran, w.coresUsed, w.memoryUsed, w.offer, w.silent));
+    private static void say(
+            Work w, Answer.Kind kind, Answer.Reason reason, boolean ran, Consumer<Say> say) {
+        say.accept(
+                new Say(
+                        w.placer,
+                        w.attempt,
+                        kind,
+                        reason,
+                        ran,
+                        w.coresUsed,
+                        w.memoryUsed,
+                        w.offer,
+                        w.silent));
     }
 
     /** The placer no longer wants the attempt: it is dropped at whatever point it is. */
@@ -192,8 +235,17 @@
         Work w = works.get(attempt);
         if (w == null) {
             // never came, or is over: for the placer that asks now it will not run any more
-            say.accept(new Say(placer, attempt, Answer.Kind.WITHDRAWN, Answer.Reason.NONE, true, 0, 0,
-                Offer.getDefaultInstance(), false));
+            say.accept(
+                    new Say(
+                            placer,
+                            attempt,
+                            Answer.Kind.WITHDRAWN,
+                            Answer.Reason.NONE,
+                            true,
+                            0,
+                            0,
+                            Offer.getDefaultInstance(),
+                            false));
             return;
         }
         boolean ran = w.began();
@@ -239,8 +291,9 @@
         }
         if (behaviour.usesEvery() > 0 && now >= usesAt) {
             usesAt = now + behaviour.usesEvery();
-            works.values().stream().filter(w -> w.state == State.RUNNING).forEach(w ->
-                say(w, Answer.Kind.USES, Answer.Reason.NONE, true, say));
+            works.values().stream()
+                    .filter(w -> w.state == State.RUNNING)
+                    .forEach(w -> say(w, Answer.Kind.USES, Answer.Reason.NONE, true, say));
         }
     }
 
@@ -248,11 +301,22 @@
         starting++;
         w.state = State.STARTING;
         boolean present = programs.containsKey(w.task.getService());
-        w.due = now + (long) (behaviour.start() * (present ? 1 : behaviour.startFactor()) / pace(now));
+        w.due =
+                now
+                        + (long)
+                                (behaviour.start()
+                                        * (present ? 1 : behaviour.startFactor())
+                                        / pace(now));
         Integer tasks = programs.remove(w.task.getService());
         programs.put(w.task.getService(), tasks == null ? 1 : tasks + 1);
-        String unused = programs.size() <= behaviour.programs() ? null : programs.entrySet().stream()
-            .filter(e -> e.getValue() == 0).map(Map.Entry::getKey).findFirst().orElse(null);
+        String unused =
+                programs.size() <= behaviour.programs()
+                        ? null
+                        : programs.entrySet().stream()
+                                .filter(e -> e.getValue() == 0)
+                                .map(Map.Entry::getKey)
+                                .findFirst()
+                                .orElse(null);
         if (unused != null) {
             programs.remove(unused);
         }
@@ -262,11 +326,17 @@
         starting--;
         started++;
         w.state = State.RUNNING;
-        double part = behaviour.usesLeast() + random.nextDouble() * (behaviour.usesMost() - behaviour.usesLeast());
+        double part =
+                behaviour.usesLeast()
+                        + random.nextDouble() * (behaviour.usesMost() - behaviour.usesLeast());
         w.coresUsed = w.task.getCores() * part;
         w.memoryUsed = w.task.getMemory() * part;
         memoryUsed += w.memoryUsed;
-        w.due = now + (w.task.getRunsForMs() > 0 ? w.task.getRunsForMs() * 1_000 : behaviour.runsFor());
+        w.due =
+                now
+                        + (w.task.getRunsForMs() > 0
+                                ? w.task.getRunsForMs() * 1_000
+                                : behaviour.runsFor());
         say(w, Answer.Kind.RUNS, Answer.Reason.NONE, true, say);
     }
 
@@ -323,8 +393,12 @@
             boolean queued = w.state == State.QUEUED;
             boolean ran = w.began();
             leave(now, w, !ran);
-            say(w, queued ? Answer.Kind.REFUSED : Answer.Kind.SENT_AWAY,
-                queued ? Answer.Reason.DRAINING : Answer.Reason.NONE, ran, say);
+            say(
+                    w,
+                    queued ? Answer.Kind.REFUSED : Answer.Kind.SENT_AWAY,
+                    queued ? Answer.Reason.DRAINING : Answer.Reason.NONE,
+                    ran,
+                    say);
         }
     }
 
@@ -332,7 +406,10 @@
         return draining;
     }
 
-    /** Leaves one class unanswered for a time, while others are served: offers are taken, and nothing is said. */
+    /**
+     * Leaves one class unanswered for a time, while others are served: offers are taken, and
+     * nothing is said.
+     */
     public void mute(String taskClass, long until) {
         muted.put(taskClass, until);
     }
@@ -349,8 +426,11 @@
     }
 
     public Load load() {
-        return Load.newBuilder().setCoresFree(shape.cores() - cores).setMemoryFree(shape.memory() - memory)
-            .setWaiting(offers.size() + starts.size() + starting).build();
+        return Load.newBuilder()
+                .setCoresFree(shape.cores() - cores)
+                .setMemoryFree(shape.memory() - memory)
+                .setWaiting(offers.size() + starts.size() + starting)
+                .build();
     }
 
     /** What it holds of one placer's, for a registration. */
@@ -358,8 +438,14 @@
         List<Held> held = new ArrayList<>();
         for (Work w : works.values()) {
             if (w.placer.equals(placer)) {
-                held.add(Held.newBuilder().setAttempt(w.attempt).setTask(w.task).setOwner(w.owner)
-                    .setRuns(w.state == State.RUNNING).setPlacer(w.placer).build());
+                held.add(
+                        Held.newBuilder()
+                                .setAttempt(w.attempt)
+                                .setTask(w.task)
+                                .setOwner(w.owner)
+                                .setRuns(w.state == State.RUNNING)
+                                .setPlacer(w.placer)
+                                .build());
             }
         }
         return held;
--- a/agent/src/test/java/thornferry/agent/MemoryTest.java
+++ b/agent/src/test/java/thornferry/agent/MemoryTest.java
@@ -14,8 +14,17 @@
     private final Memory memory = new Memory();
 
     private static Answer over(String attempt, Effect effect, Answer.Kind kind) {
-        return Answer.newBuilder().setAttempt(attempt).setKind(kind).setOwner("o").setEffect(effect)
-            .setTask(Task.newBuilder().setId("t-" + attempt).setTaskClass("c").setService("s".repeat(100))).build();
+        return Answer.newBuilder()
+                .setAttempt(attempt)
+                .setKind(kind)
+                .setOwner("o")
+                .setEffect(effect)
+                .setTask(
+                        Task.newBuilder()
+                                .setId("t-" + attempt)
+                                .setTaskClass("c")
+                                .setService("s".repeat(100)))
+                .build();
     }
 
     private Register told(long now) {
@@ -31,7 +40,9 @@
         memory.over(SECOND, over("b", Effect.KEYED, Answer.Kind.WITHDRAWN));
         memory.over(SECOND, over("c", Effect.SAFE, Answer.Kind.ENDED));
         memory.over(SECOND, over("d", Effect.UNSAFE, Answer.Kind.REFUSED));
-        assertThat(told(2 * SECOND).getRecentList()).extracting(Answer::getAttempt).containsExactlyInAnyOrder("a", "b", "c", "d");
+        assertThat(told(2 * SECOND).getRecentList())
+                .extracting(Answer::getAttempt)
+                .containsExactlyInAnyOrder("a", "b", "c", "d");
         Register later = told(100 * SECOND);
         assertThat(later.getRecentList()).extracting(Answer::getAttempt).containsExactly("a", "b");
         assertThat(later.hasForgotUnsafeMs()).isTrue();
@@ -58,11 +69,18 @@
         memory.over(SECOND, over("u", Effect.UNSAFE, Answer.Kind.ENDED));
         Register r = told(400 * SECOND);
         assertThat(r.getSerializedSize()).isLessThan(Memory.MOST_OCTETS + 100);
-        assertThat(r.getRecentList()).extracting(Answer::getAttempt).contains("u", "a" + (Memory.MOST + 10))
-            .doesNotContain("a1", "a1000");
+        assertThat(r.getRecentList())
+                .extracting(Answer::getAttempt)
+                .contains("u", "a" + (Memory.MOST + 10))
+                .doesNotContain("a1", "a1000");
         long lastLeftOut = 400_000 - r.getForgotKeyedMs(); // milliseconds
-        assertThat(r.getRecentList().stream().filter(a -> a.getEffect() == Effect.KEYED)
-            .mapToLong(a -> Long.parseLong(a.getAttempt().substring(1)) * 10).min().orElseThrow()).isGreaterThan(lastLeftOut);
+        assertThat(
+                        r.getRecentList().stream()
+                                .filter(a -> a.getEffect() == Effect.KEYED)
+                                .mapToLong(a -> Long.parseLong(a.getAttempt().substring(1)) * 10)
+                                .min()
+                                .orElseThrow())
+                .isGreaterThan(lastLeftOut);
         assertThat(r.getForgotUnsafeMs()).isZero();
     }
 
--- a/agent/src/test/java/thornferry/agent/NodeModelTest.java
+++ b/agent/src/test/java/thornferry/agent/NodeModelTest.java
@@ -22,33 +22,68 @@
     private long now = 100 * SECOND;
 
     private static Behaviour behaviour(double usesMost) {
-        return new Behaviour(5 * MS, 5 * MS, 3, 2, 100 * MS, 6, 2, 10 * SECOND, 0.25, 2, 3 * SECOND, 5, usesMost,
-            usesMost, 20 * SECOND, 0, Map.of("keyed", 5 * SECOND));
+        return new Behaviour(
+                5 * MS,
+                5 * MS,
+                3,
+                2,
+                100 * MS,
+                6,
+                2,
+                10 * SECOND,
+                0.25,
+                2,
+                3 * SECOND,
+                5,
+                usesMost,
+                usesMost,
+                20 * SECOND,
+                0,
+                Map.of("keyed", 5 * SECOND));
     }
 
     private NodeModel node(boolean warm) {
-        return new NodeModel(new NodeShape("n", "std", "a", 1, 10, 20), behaviour(0.9), keys, 1, now, 5, warm);
+        return new NodeModel(
+                new NodeShape("n", "std", "a", 1, 10, 20), behaviour(0.9), keys, 1, now, 5, warm);
     }
 
     private static Offer offer(String attempt, String cls, double cores, double memory) {
-        return Offer.newBuilder().setAttempt(attempt).setPlacer("p").setOwner("o").setTask(Task.newBuilder().setId(attempt)
-            .setTaskClass(cls).setService("s").setKey("k").setCores(cores).setMemory(memory).setRunsForMs(1_000)).build();
+        return Offer.newBuilder()
+                .setAttempt(attempt)
+                .setPlacer("p")
+                .setOwner("o")
+                .setTask(
+                        Task.newBuilder()
+                                .setId(attempt)
+                                .setTaskClass(cls)
+                                .setService("s")
+                                .setKey("k")
+                                .setCores(cores)
+                                .setMemory(memory)
+                                .setRunsForMs(1_000))
+                .build();
     }
 
     private void passes(NodeModel node, long time) {
-        for (long end = now + time; now < end;) {
+        for (long end = now + time; now < end; ) {
             now = Math.min(end, Math.max(now + 1, node.next()));
             node.tick(now, said::add);
         }
     }
 
     private List<Kind> kinds(String attempt) {
-        return said.stream().filter(s -> s.attempt().equals(attempt) && !s.silent()).map(Say::kind).toList();
+        return said.stream()
+                .filter(s -> s.attempt().equals(attempt) && !s.silent())
+                .map(Say::kind)
+                .toList();
     }
 
     private Reason refused(String attempt) {
-        return said.stream().filter(s -> s.attempt().equals(attempt) && s.kind() == Kind.REFUSED).map(Say::reason)
-            .findFirst().orElse(null);
+        return said.stream()
+                .filter(s -> s.attempt().equals(attempt) && s.kind() == Kind.REFUSED)
+                .map(Say::reason)
+                .findFirst()
+                .orElse(null);
     }
 
     @Test
@@ -118,8 +153,10 @@
         node.offer(now, offer("a", "keyed", 1, 1), said::add);
         passes(node, 16 * MS); // accepted, but two starts go before it
         node.withdraw(now, "p", "a", said::add);
-        assertThat(said.get(said.size() - 1)).returns("a", Say::attempt).returns(Kind.WITHDRAWN, Say::kind)
-            .returns(false, Say::ran);
+        assertThat(said.get(said.size() - 1))
+                .returns("a", Say::attempt)
+                .returns(Kind.WITHDRAWN, Say::kind)
+                .returns(false, Say::ran);
         node.offer(now, offer("b", "keyed", 1, 1), said::add);
         passes(node, SECOND);
         assertThat(kinds("b")).contains(Kind.ACCEPTED);
@@ -154,7 +191,15 @@
 
     @Test
     void whenMemoryRunsOutTheNewestIsEvicted() {
-        NodeModel node = new NodeModel(new NodeShape("n", "std", "a", 1, 10, 20), behaviour(1.5), keys, 1, now, 5, true);
+        NodeModel node =
+                new NodeModel(
+                        new NodeShape("n", "std", "a", 1, 10, 20),
+                        behaviour(1.5),
+                        keys,
+                        1,
+                        now,
+                        5,
+                        true);
         node.offer(now, offer("a", "safe", 1, 10), said::add);
         passes(node, 700 * MS);
         node.offer(now, offer("b", "safe", 1, 9), said::add);
--- a/app/src/main/java/thornferry/app/Addresses.java
+++ b/app/src/main/java/thornferry/app/Addresses.java
@@ -8,10 +8,10 @@
 
 /** Reads addresses of placers from the command line: HOST:PORT, or HOST:PORT-PORT for a range. */
 final class Addresses {
-    private Addresses() {
-    }
+    private Addresses() {}
 
-    static List<SocketAddress> parse(CommandLine.Model.CommandSpec spec, String option, String text) {
+    static List<SocketAddress> parse(
+            CommandLine.Model.CommandSpec spec, String option, String text) {
         int colon = text.lastIndexOf(':');
         try {
             String[] ports = text.substring(colon + 1).split("-", 2);
@@ -27,7 +27,8 @@
         } catch (NumberFormatException e) {
             // falls through to the message below
         }
-        throw new CommandLine.ParameterException(spec.commandLine(), option + " " + text
-            + ": HOST:PORT or HOST:PORT-PORT is expected");
+        throw new CommandLine.ParameterException(
+                spec.commandLine(),
+                option + " " + text + ": HOST:PORT or HOST:PORT-PORT is expected");
     }
 }
--- a/app/src/main/java/thornferry/app/AuditCommand.java
+++ b/app/src/main/java/thornferry/app/AuditCommand.java
@@ -7,16 +7,27 @@
 import picocli.CommandLine.Parameters;
 import thornferry.standin.Auditor;
 
-@Command(name = "audit", description = "Judge the five rules from a capture alone.",
-    footer = {"", "Example:", "  thornferry audit day.jsonl", "", "Exit codes: 0 clean, 1 a rule is broken."})
+@Command(
+        name = "audit",
+        description = "Judge the five rules from a capture alone.",
+        footer = {
+            "",
+            "Example:",
+            "  thornferry audit day.jsonl",
+            "",
+            "Exit codes: 0 clean, 1 a rule is broken."
+        })
 final class AuditCommand implements Callable<Integer> {
     private static final int MOST_PRINTED = 50;
 
     @Parameters(paramLabel = "CAPTURE")
     Path capture;
 
-    @Option(names = "--slack-ms", defaultValue = "250",
-        description = "How much later than the rule's grace a result may be seen; ${DEFAULT-VALUE}.")
+    @Option(
+            names = "--slack-ms",
+            defaultValue = "250",
+            description =
+                    "How much later than the rule's grace a result may be seen; ${DEFAULT-VALUE}.")
     long slack;
 
     @Override
@@ -25,11 +36,26 @@
     }
 
     static int print(Path capture, Auditor.Verdict v) {
-        v.breaches().stream().limit(MOST_PRINTED).forEach(b -> System.out.printf("%s:%d: at %.3f s: %s: %s%n", capture,
-            b.line(), b.at() / 1e6, b.rule() == 0 ? "unreadable" : "rule " + b.rule(), b.what()));
-        System.out.printf("%s: %d frames and marks, %d asks, %d results, %d offers, %d starts: %s%n", capture,
-            v.lines(), v.asks(), v.results(), v.offers(), v.starts(),
-            v.clean() ? "clean" : v.breaches().size() + " breaches");
+        v.breaches().stream()
+                .limit(MOST_PRINTED)
+                .forEach(
+                        b ->
+                                System.out.printf(
+                                        "%s:%d: at %.3f s: %s: %s%n",
+                                        capture,
+                                        b.line(),
+                                        b.at() / 1e6,
+                                        b.rule() == 0 ? "unreadable" : "rule " + b.rule(),
+                                        b.what()));
+        System.out.printf(
+                "%s: %d frames and marks, %d asks, %d results, %d offers, %d starts: %s%n",
+                capture,
+                v.lines(),
+                v.asks(),
+                v.results(),
+                v.offers(),
+                v.starts(),
+                v.clean() ? "clean" : v.breaches().size() + " breaches");
         return v.clean() ? 0 : Main.FAILED;
     }
 }
--- a/app/src/main/java/thornferry/app/Charts.java
+++ b/app/src/main/java/thornferry/app/Charts.java
@@ -19,20 +19,25 @@
         System.setProperty("java.awt.headless", "true");
     }
 
-    private Charts() {
-    }
+    private Charts() {}
 
-    /** @param series by name, pairs of x and y */
-    static void write(Path file, String title, String x, String y, Map<String, double[][]> series) throws IOException {
+    /**
+     * @param series by name, pairs of x and y
+     */
+    static void write(Path file, String title, String x, String y, Map<String, double[][]> series)
+            throws IOException {
         XYSeriesCollection data = new XYSeriesCollection();
-        series.forEach((name, points) -> {
-            XYSeries one = new XYSeries(name);
-            for (double[] point : points) {
-                one.add(point[0], point[1]);
-            }
-            data.addSeries(one);
-        });
-        JFreeChart chart = ChartFactory.createXYLineChart(title, x, y, data, PlotOrientation.VERTICAL, true, false, false);
+        series.forEach(
+                (name, points) -> {
+                    XYSeries one = new XYSeries(name);
+                    for (double[] point : points) {
+                        one.add(point[0], point[1]);
+                    }
+                    data.addSeries(one);
+                });
+        JFreeChart chart =
+                ChartFactory.createXYLineChart(
+                        title, x, y, data, PlotOrientation.VERTICAL, true, false, false);
         XYPlot plot = chart.getXYPlot();
         plot.setRenderer(new XYLineAndShapeRenderer(true, true));
         plot.setBackgroundPaint(Color.WHITE);
--- a/app/src/main/java/thornferry/app/KeysCommand.java
+++ b/app/src/main/java/thornferry/app/KeysCommand.java
@@ -16,16 +16,36 @@
 import thornferry.security.Keys;
 import thornferry.security.Passcodes;
 
-@Command(name = "keys", description = "A site's certificates, and hashes of passcodes.", footer = {"", "Example:",
-    "  thornferry keys init --dir keys", "  thornferry keys server placer-0 --dir keys --host 127.0.0.1,localhost",
-    "  thornferry keys owner depot1 --dir keys", "  thornferry keys show --dir keys", "  thornferry keys renew depot1 --dir keys",
-    "  thornferry keys passcode"}, subcommands = {KeysCommand.Init.class, KeysCommand.Server.class, KeysCommand.Agent.class,
-        KeysCommand.Owner.class, KeysCommand.Operator.class, KeysCommand.Show.class, KeysCommand.Renew.class,
-        KeysCommand.Passcode.class})
+@Command(
+        name = "keys",
+        description = "A site's certificates, and hashes of passcodes.",
+        footer = {
+            "",
+            "Example:",
+            "  thornferry keys init --dir keys",
+            "  thornferry keys server placer-0 --dir keys --host 127.0.0.1,localhost",
+            "  thornferry keys owner depot1 --dir keys",
+            "  thornferry keys show --dir keys",
+            "  thornferry keys renew depot1 --dir keys",
+            "  thornferry keys passcode"
+        },
+        subcommands = {
+            KeysCommand.Init.class,
+            KeysCommand.Server.class,
+            KeysCommand.Agent.class,
+            KeysCommand.Owner.class,
+            KeysCommand.Operator.class,
+            KeysCommand.Show.class,
+            KeysCommand.Renew.class,
+            KeysCommand.Passcode.class
+        })
 final class KeysCommand extends Main.Group {
     /** What all commands on certificates share. */
     abstract static class InDirectory implements Callable<Integer> {
-        @Option(names = "--dir", defaultValue = "keys", description = "Where the files are; ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--dir",
+                defaultValue = "keys",
+                description = "Where the files are; ${DEFAULT-VALUE}.")
         Path directory;
 
         Keys keys() {
@@ -33,7 +53,9 @@
         }
     }
 
-    @Command(name = "init", description = "Make the site's authority: ca.pem and ca.key. Guard the key.")
+    @Command(
+            name = "init",
+            description = "Make the site's authority: ca.pem and ca.key. Guard the key.")
     static final class Init extends InDirectory {
         @Option(names = "--site", defaultValue = "thornferry")
         String site;
@@ -50,7 +72,9 @@
     }
 
     abstract static class Issue extends InDirectory {
-        @Parameters(paramLabel = "NAME", description = "The login it stands for; of a server any name.")
+        @Parameters(
+                paramLabel = "NAME",
+                description = "The login it stands for; of a server any name.")
         String name;
 
         @Option(names = "--days", defaultValue = "365", description = "${DEFAULT-VALUE}.")
@@ -58,15 +82,24 @@
 
         int issue(Keys.Use use, List<String> hosts) throws IOException {
             keys().issue(name, use, hosts, Duration.ofDays(days));
-            System.out.println(keys().certificate(name) + " and " + keys().key(name) + " made; good for " + days + " days");
+            System.out.println(
+                    keys().certificate(name)
+                            + " and "
+                            + keys().key(name)
+                            + " made; good for "
+                            + days
+                            + " days");
             return 0;
         }
     }
 
     @Command(name = "server", description = "A certificate for a placer.")
     static final class Server extends Issue {
-        @Option(names = "--host", split = ",", defaultValue = "localhost,127.0.0.1",
-            description = "Names and addresses that clients dial; ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--host",
+                split = ",",
+                defaultValue = "localhost,127.0.0.1",
+                description = "Names and addresses that clients dial; ${DEFAULT-VALUE}.")
         List<String> hosts;
 
         @Override
@@ -99,7 +132,10 @@
         }
     }
 
-    @Command(name = "renew", description = "The same certificate anew, for as long as before; its key stays. Then reload.")
+    @Command(
+            name = "renew",
+            description =
+                    "The same certificate anew, for as long as before; its key stays. Then reload.")
     static final class Renew extends InDirectory {
         @Parameters(paramLabel = "NAME")
         String name;
@@ -112,7 +148,11 @@
         }
     }
 
-    @Command(name = "show", description = "All certificates and when they expire. Exit code 1 where one has, or soon will.")
+    @Command(
+            name = "show",
+            description =
+                    "All certificates and when they expire. Exit code 1 where one has, or soon"
+                            + " will.")
     static final class Show extends InDirectory {
         @Option(names = "--soon-days", defaultValue = "30", description = "${DEFAULT-VALUE}.")
         int soon;
@@ -120,34 +160,48 @@
         @Override
         public Integer call() throws IOException {
             boolean good = true;
-            System.out.printf("%-20s %-10s %-17s %-17s %s%n", "NAME", "FOR", "FROM", "UNTIL", "STATE");
-            DateTimeFormatter time = DateTimeFormatter.ofPattern("yyyy-MM-dd HH:mm").withZone(ZoneOffset.UTC);
+            System.out.printf(
+                    "%-20s %-10s %-17s %-17s %s%n", "NAME", "FOR", "FROM", "UNTIL", "STATE");
+            DateTimeFormatter time =
+                    DateTimeFormatter.ofPattern("yyyy-MM-dd HH:mm").withZone(ZoneOffset.UTC);
             for (Keys.Entry e : keys().list()) {
                 boolean expired = e.left().isNegative();
                 boolean late = e.left().compareTo(Duration.ofDays(soon)) < 0;
-                String state = !e.oursStill() ? "not signed by this authority" : expired ? "EXPIRED"
-                    : e.left().toDays() + " days left" + (late ? ", renew it" : "");
+                String state =
+                        !e.oursStill()
+                                ? "not signed by this authority"
+                                : expired
+                                        ? "EXPIRED"
+                                        : e.left().toDays()
+                                                + " days left"
+                                                + (late ? ", renew it" : "");
                 good &= e.oursStill() && !late;
-                System.out.printf("%-20s %-10s %-17s %-17s %s%n", e.name(), e.use(), time.format(e.from()),
-                    time.format(e.until()), state);
+                System.out.printf(
+                        "%-20s %-10s %-17s %-17s %s%n",
+                        e.name(), e.use(), time.format(e.from()), time.format(e.until()), state);
             }
             return good ? 0 : Main.FAILED;
         }
     }
 
-    @Command(name = "passcode", description = "Hash a passcode for passcode-hash; read from the terminal or standard input.")
+    @Command(
+            name = "passcode",
+            description =
+                    "Hash a passcode for passcode-hash; read from the terminal or standard input.")
     static final class Passcode implements Callable<Integer> {
-        @CommandLine.Spec
-        private CommandLine.Model.CommandSpec spec;
+        @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
         @Override
         public Integer call() throws IOException {
             Console console = System.console();
-            String passcode = console != null ? new String(console.readPassword("passcode: "))
-                : new String(System.in.readAllBytes(), StandardCharsets.UTF_8).strip();
+            String passcode =
+                    console != null
+                            ? new String(console.readPassword("passcode: "))
+                            : new String(System.in.readAllBytes(), StandardCharsets.UTF_8).strip();
             if (passcode.isEmpty() || passcode.length() > Passcodes.MOST_LENGTH) {
-                throw new CommandLine.ParameterException(spec.commandLine(), "a passcode has 1 to " + Passcodes.MOST_LENGTH
-                    + " characters");
+                throw new CommandLine.ParameterException(
+                        spec.commandLine(),
+                        "a passcode has 1 to " + Passcodes.MOST_LENGTH + " characters");
             }
             System.out.println(Passcodes.hash(passcode));
             return 0;
--- a/app/src/main/java/thornferry/app/LoadCommand.java
+++ b/app/src/main/java/thornferry/app/LoadCommand.java
@@ -30,63 +30,108 @@
 import thornferry.standin.Relay;
 import thornferry.state.Durability;
 
-@Command(name = "load", description = "Measure a placer, in a process of its own, under open-loop load.",
-    footer = {"", "Examples:", "  thornferry load --rate 130 --seconds 60 --clients 20 --vanish-every 0.5 --audit",
-        "  thornferry load --rate 500,1000,2000,5000 --seconds 10 --nodes 1000 --json"})
+@Command(
+        name = "load",
+        description = "Measure a placer, in a process of its own, under open-loop load.",
+        footer = {
+            "",
+            "Examples:",
+            "  thornferry load --rate 130 --seconds 60 --clients 20 --vanish-every 0.5 --audit",
+            "  thornferry load --rate 500,1000,2000,5000 --seconds 10 --nodes 1000 --json"
+        })
 final class LoadCommand implements Callable<Integer> {
-    @Option(names = "--rate", split = ",", defaultValue = "130",
-        description = "Tasks a second; several are steps, one after the other.")
+    @Option(
+            names = "--rate",
+            split = ",",
+            defaultValue = "130",
+            description = "Tasks a second; several are steps, one after the other.")
     List<Double> rates;
 
-    @Option(names = "--seconds", defaultValue = "60", description = "Of each step; ${DEFAULT-VALUE}.")
+    @Option(
+            names = "--seconds",
+            defaultValue = "60",
+            description = "Of each step; ${DEFAULT-VALUE}.")
     int seconds;
 
-    @Option(names = "--nodes", defaultValue = "100", description = "Stand-in nodes; ${DEFAULT-VALUE}.")
+    @Option(
+            names = "--nodes",
+            defaultValue = "100",
+            description = "Stand-in nodes; ${DEFAULT-VALUE}.")
     int nodes;
 
-    @Option(names = "--clients", defaultValue = "20", description = "Each an owner of its own; ${DEFAULT-VALUE}.")
+    @Option(
+            names = "--clients",
+            defaultValue = "20",
+            description = "Each an owner of its own; ${DEFAULT-VALUE}.")
     int clients;
 
-    @Option(names = "--vanish-every", defaultValue = "0", description = "Seconds between clients that break off.")
+    @Option(
+            names = "--vanish-every",
+            defaultValue = "0",
+            description = "Seconds between clients that break off.")
     double vanishEvery;
 
-    @Option(names = "--instances", defaultValue = "1", description = "Of the placer, one client in turn for each.")
+    @Option(
+            names = "--instances",
+            defaultValue = "1",
+            description = "Of the placer, one client in turn for each.")
     int instances;
 
     @Option(names = "--heart-beat-ms", defaultValue = "2000")
     int beat;
 
-    @Option(names = "--audit", description = "Pass everything through a recording relay and audit the capture.")
+    @Option(
+            names = "--audit",
+            description = "Pass everything through a recording relay and audit the capture.")
     boolean audit;
 
-    @Option(names = "--heap", defaultValue = "512m", description = "Of the placer's process; ${DEFAULT-VALUE}.")
+    @Option(
+            names = "--heap",
+            defaultValue = "512m",
+            description = "Of the placer's process; ${DEFAULT-VALUE}.")
     String heap;
 
-    @Option(names = "--attach", split = ",", paramLabel = "HOST:PORT-PORT",
-        description = "Load these running placers, with the configuration that --print-site prints, and start none.")
+    @Option(
+            names = "--attach",
+            split = ",",
+            paramLabel = "HOST:PORT-PORT",
+            description =
+                    "Load these running placers, with the configuration that --print-site prints,"
+                            + " and start none.")
     List<String> attach = new ArrayList<>();
 
-    @Option(names = "--print-site", description = "Print the site's configuration for so many clients and end.")
+    @Option(
+            names = "--print-site",
+            description = "Print the site's configuration for so many clients and end.")
     boolean printSite;
 
-    @Option(names = "--jvm", paramLabel = "OPTION", description = "A further option for the placer's JVM; repeatable.")
+    @Option(
+            names = "--jvm",
+            paramLabel = "OPTION",
+            description = "A further option for the placer's JVM; repeatable.")
     List<String> jvm = new ArrayList<>();
 
-    @Option(names = "--waiting", defaultValue = "0", description = "Tasks that wait in vain meanwhile, larger than any node.")
+    @Option(
+            names = "--waiting",
+            defaultValue = "0",
+            description = "Tasks that wait in vain meanwhile, larger than any node.")
     int waiting;
 
-    @Option(names = "--no-line", description = "Without waiting line and reasons, to see what they cost.")
+    @Option(
+            names = "--no-line",
+            description = "Without waiting line and reasons, to see what they cost.")
     boolean noLine;
 
-    @Option(names = "--durability", defaultValue = "none",
-        description = "Of the placer's promises: ${COMPLETION-CANDIDATES}; ${DEFAULT-VALUE}.")
+    @Option(
+            names = "--durability",
+            defaultValue = "none",
+            description = "Of the placer's promises: ${COMPLETION-CANDIDATES}; ${DEFAULT-VALUE}.")
     Durability durability;
 
     @Option(names = "--json", description = "A line of JSON for each step.")
     boolean json;
 
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Override
     public Integer call() throws Exception {
@@ -102,8 +147,13 @@
         List<SocketAddress> targets = new ArrayList<>();
         attach.forEach(a -> targets.addAll(Addresses.parse(spec, "--attach", a)));
         int code = 0;
-        try (Load load = new Load(targets, owners(), "load", "load-node", new Load.Fleet(nodes, "std-node", 24, 60,
-            beat))) {
+        try (Load load =
+                new Load(
+                        targets,
+                        owners(),
+                        "load",
+                        "load-node",
+                        new Load.Fleet(nodes, "std-node", 24, 60, beat))) {
             Thread.sleep(5_000);
             for (double rate : rates) {
                 Load.Report report = load.run(rate, seconds, vanishEvery);
@@ -125,8 +175,14 @@
     private int startAndLoad() throws Exception {
         Path config = Files.createTempFile("thornferry-load", ".toml");
         Path state = Files.createTempDirectory("thornferry-load-state");
-        Files.writeString(config, site() + "[state]\ndurability = \"" + durability.name().toLowerCase(Locale.ROOT)
-            + "\"\nfolder = \"" + state + "\"\n");
+        Files.writeString(
+                config,
+                site()
+                        + "[state]\ndurability = \""
+                        + durability.name().toLowerCase(Locale.ROOT)
+                        + "\"\nfolder = \""
+                        + state
+                        + "\"\n");
         SiteFile site = SiteFile.of(TomlFile.read(config));
         Process placer = start(config);
         Path captureFile = Files.createTempFile("thornferry-load", ".jsonl");
@@ -145,8 +201,13 @@
                     targets.set(i, relays.get(i).address());
                 }
             }
-            try (Load load = new Load(targets, owners(), "load", "load-node", new Load.Fleet(nodes, "std-node", 24, 60,
-                beat))) {
+            try (Load load =
+                    new Load(
+                            targets,
+                            owners(),
+                            "load",
+                            "load-node",
+                            new Load.Fleet(nodes, "std-node", 24, 60, beat))) {
                 Thread.sleep(1_000 + nodes * (long) instances / 5); // all connect
                 load.run(Math.min(500, rates.get(0)), 5, 0); // the machines that run this warm up
                 load.fill(waiting);
@@ -169,7 +230,10 @@
             }
         }
         if (audit) {
-            code = Math.max(code, AuditCommand.print(captureFile, Auditor.audit(captureFile, 250_000)));
+            code =
+                    Math.max(
+                            code,
+                            AuditCommand.print(captureFile, Auditor.audit(captureFile, 250_000)));
         }
         if (code == 0) {
             Files.deleteIfExists(captureFile);
@@ -183,27 +247,47 @@
             text.append(new String(in.readAllBytes(), StandardCharsets.UTF_8));
         }
         for (int i = 0; i < clients; i++) {
-            text.append("[[account]]\nlogin = \"owner-").append(i).append("\"\npasscode = \"load\"\nrole = \"owner\"\n");
+            text.append("[[account]]\nlogin = \"owner-")
+                    .append(i)
+                    .append("\"\npasscode = \"load\"\nrole = \"owner\"\n");
         }
         text.append("[[account]]\nlogin = \"load-node\"\npasscode = \"load\"\nrole = \"agent\"\n");
         if (noLine) {
             text.append("[line]\non = false\n");
         }
-        return text.toString().replace("zone = \"hall-a\"\n", "zone = \"hall-a\"\ninstances = " + instances
-            + "\nport = " + (instances > 1 ? 20_000 : 0) + "\n");
+        return text.toString()
+                .replace(
+                        "zone = \"hall-a\"\n",
+                        "zone = \"hall-a\"\ninstances = "
+                                + instances
+                                + "\nport = "
+                                + (instances > 1 ? 20_000 : 0)
+                                + "\n");
     }
 
     private Process start(Path config) throws IOException, URISyntaxException {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        String jar = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI()).toString();
+        String jar =
+                Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI())
+                        .toString();
         List<String> command = new ArrayList<>(List.of(java, "-Xmx" + heap));
         command.addAll(jvm);
-        command.addAll(List.of("-cp", jar, "thornferry.app.Main", "placer", config.toString(), "--log-level", "error"));
+        command.addAll(
+                List.of(
+                        "-cp",
+                        jar,
+                        "thornferry.app.Main",
+                        "placer",
+                        config.toString(),
+                        "--log-level",
+                        "error"));
         return new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.INHERIT).start();
     }
 
     private static int port(Process placer) throws IOException {
-        BufferedReader out = new BufferedReader(new InputStreamReader(placer.getInputStream(), StandardCharsets.UTF_8));
+        BufferedReader out =
+                new BufferedReader(
+                        new InputStreamReader(placer.getInputStream(), StandardCharsets.UTF_8));
         String line = out.readLine();
         while (line != null && !line.startsWith("listens on ")) {
             line = out.readLine(); // the JVM's own words
@@ -232,25 +316,44 @@
     private void print(Load.Report r, Duration cpu, long megabytes) {
         double perTask = cpu.toNanos() / 1e3 / Math.max(1, r.asked());
         if (json) {
-            ObjectNode o = new ObjectMapper().createObjectNode().put("rate", r.rate()).put("nodes", nodes)
-                .put("asked", r.asked()).put("placed", r.placed()).put("refused", r.refused())
-                .put("failed", r.failed()).put("unanswered", r.unanswered()).put("excluded", r.excluded())
-                .put("levyTwice", r.levyTwice()).put("cpuMicrosPerTask", Math.round(perTask))
-                .put("residentMb", megabytes);
+            ObjectNode o =
+                    new ObjectMapper()
+                            .createObjectNode()
+                            .put("rate", r.rate())
+                            .put("nodes", nodes)
+                            .put("asked", r.asked())
+                            .put("placed", r.placed())
+                            .put("refused", r.refused())
+                            .put("failed", r.failed())
+                            .put("unanswered", r.unanswered())
+                            .put("excluded", r.excluded())
+                            .put("levyTwice", r.levyTwice())
+                            .put("cpuMicrosPerTask", Math.round(perTask))
+                            .put("residentMb", megabytes);
             o.set("toOfferMicros", percentiles(r.toOffer()));
             o.set("toPromisedOfferMicros", percentiles(r.toPromisedOffer()));
             o.set("toResultMicros", percentiles(r.toResult()));
             System.out.println(o);
             return;
         }
-        System.out.printf("rate %.0f/s, %d nodes: %d asked, %d placed, %d refused, %d failed, %d unanswered, %d excluded "
-            + "from latencies, %d levy-run started twice%n", r.rate(), nodes, r.asked(), r.placed(), r.refused(),
-            r.failed(), r.unanswered(), r.excluded(), r.levyTwice());
+        System.out.printf(
+                "rate %.0f/s, %d nodes: %d asked, %d placed, %d refused, %d failed, %d unanswered,"
+                        + " %d excluded from latencies, %d levy-run started twice%n",
+                r.rate(),
+                nodes,
+                r.asked(),
+                r.placed(),
+                r.refused(),
+                r.failed(),
+                r.unanswered(),
+                r.excluded(),
+                r.levyTwice());
         System.out.printf("  SEND to result %s%n", line(r.toResult()));
         if (r.toOffer().getTotalCount() > 0) {
             System.out.printf("  SEND to offer  %s%n", line(r.toOffer()));
-            System.out.printf("    keyed and unsafe, promised first (durability %s): %s%n", durability.name()
-                .toLowerCase(Locale.ROOT), line(r.toPromisedOffer()));
+            System.out.printf(
+                    "    keyed and unsafe, promised first (durability %s): %s%n",
+                    durability.name().toLowerCase(Locale.ROOT), line(r.toPromisedOffer()));
         }
         if (megabytes >= 0) {
             System.out.printf("  placer: %.0f us CPU a task, %d MB resident%n", perTask, megabytes);
@@ -258,13 +361,20 @@
     }
 
     private static String line(Histogram h) {
-        return String.format("p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms, most %.2f ms", h.getValueAtPercentile(50) / 1e3,
-            h.getValueAtPercentile(99) / 1e3, h.getValueAtPercentile(99.9) / 1e3, h.getMaxValue() / 1e3);
+        return String.format(
+                "p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms, most %.2f ms",
+                h.getValueAtPercentile(50) / 1e3,
+                h.getValueAtPercentile(99) / 1e3,
+                h.getValueAtPercentile(99.9) / 1e3,
+                h.getMaxValue() / 1e3);
     }
 
     private static ObjectNode percentiles(Histogram h) {
-        return new ObjectMapper().createObjectNode().put("p50", h.getValueAtPercentile(50))
-            .put("p99", h.getValueAtPercentile(99)).put("p999", h.getValueAtPercentile(99.9))
-            .put("most", h.getMaxValue());
+        return new ObjectMapper()
+                .createObjectNode()
+                .put("p50", h.getValueAtPercentile(50))
+                .put("p99", h.getValueAtPercentile(99))
+                .put("p999", h.getValueAtPercentile(99.9))
+                .put("most", h.getMaxValue());
     }
 }
--- a/app/src/main/java/thornferry/app/Logging.java
+++ b/app/src/main/java/thornferry/app/Logging.java
@@ -12,8 +12,7 @@
 
 /** Logs go to standard error, as lines of text or of JSON; standard output is the commands'. */
 final class Logging {
-    private Logging() {
-    }
+    private Logging() {}
 
     static void form(boolean json) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
--- a/app/src/main/java/thornferry/app/ServeCommand.java
+++ b/app/src/main/java/thornferry/app/ServeCommand.java
@@ -4,8 +4,12 @@
 import picocli.CommandLine.Command;
 import thornferry.platform.Serve;
 
-@Command(name = "serve", description = {"Serve as a real placer on the platform, in the foreground, until SIGTERM.",
-    "ROUTER_CONFIG names the configuration (JSON); SIGHUP reads it again."})
+@Command(
+        name = "serve",
+        description = {
+            "Serve as a real placer on the platform, in the foreground, until SIGTERM.",
+            "ROUTER_CONFIG names the configuration (JSON); SIGHUP reads it again."
+        })
 final class ServeCommand implements Callable<Integer> {
     @Override
     public Integer call() {
--- a/app/src/main/java/thornferry/app/SimHostCommand.java
+++ b/app/src/main/java/thornferry/app/SimHostCommand.java
@@ -4,7 +4,9 @@
 import picocli.CommandLine.Command;
 import thornferry.bench.SimHost;
 
-@Command(name = "simhost", description = "Host the module for the simulator on standard input and output.")
+@Command(
+        name = "simhost",
+        description = "Host the module for the simulator on standard input and output.")
 final class SimHostCommand implements Callable<Integer> {
     @Override
     public Integer call() {
--- a/app/src/main/java/thornferry/app/StateCommand.java
+++ b/app/src/main/java/thornferry/app/StateCommand.java
@@ -20,10 +20,22 @@
 import thornferry.state.JournalFile;
 import thornferry.state.Reading;
 
-@Command(name = "state", description = "Look at, check or compact what a placer keeps over restarts.",
-    subcommands = {StateCommand.Show.class, StateCommand.Verify.class, StateCommand.Compact.class},
-    footer = {"", "FOLDER is that of the configuration's [state] table, or of one instance below it.", "", "Examples:",
-        "  thornferry state show state --tasks", "  thornferry state verify state && thornferry state compact state/placer-0"})
+@Command(
+        name = "state",
+        description = "Look at, check or compact what a placer keeps over restarts.",
+        subcommands = {
+            StateCommand.Show.class,
+            StateCommand.Verify.class,
+            StateCommand.Compact.class
+        },
+        footer = {
+            "",
+            "FOLDER is that of the configuration's [state] table, or of one instance below it.",
+            "",
+            "Examples:",
+            "  thornferry state show state --tasks",
+            "  thornferry state verify state && thornferry state compact state/placer-0"
+        })
 final class StateCommand extends Main.Group {
     /** Far beyond any real setting: here nothing is to be forgotten by its age. */
     private static final long EVER = Long.MAX_VALUE / 8;
@@ -51,25 +63,45 @@
     }
 
     private static Recovery recovery(List<Promise> promises) {
-        Recovery recovery = new Recovery(new Recovery.Limits(EVER, EVER, EVER, Integer.MAX_VALUE, true));
+        Recovery recovery =
+                new Recovery(new Recovery.Limits(EVER, EVER, EVER, Integer.MAX_VALUE, true));
         promises.forEach(recovery::note);
         return recovery;
     }
 
-    private record Row(String owner, String task, String taskClass, String state, String node) { }
+    private record Row(String owner, String task, String taskClass, String state, String node) {}
 
     private static List<Row> rows(List<Promise> snapshot) {
         Map<String, Row> rows = new LinkedHashMap<>();
         for (Promise p : snapshot) {
             if (p instanceof Promise.Offered o) {
-                put(rows, new Row(o.owner(), o.wish().id(), o.wish().taskClass(), "offered", o.machine()));
+                put(
+                        rows,
+                        new Row(
+                                o.owner(),
+                                o.wish().id(),
+                                o.wish().taskClass(),
+                                "offered",
+                                o.machine()));
             } else if (p instanceof Promise.Answered a) {
-                put(rows, new Row(a.owner(), a.wish().id(), a.wish().taskClass(), a.result().name().toLowerCase(Locale.ROOT),
-                    a.machine()));
+                put(
+                        rows,
+                        new Row(
+                                a.owner(),
+                                a.wish().id(),
+                                a.wish().taskClass(),
+                                a.result().name().toLowerCase(Locale.ROOT),
+                                a.machine()));
             } else if (p instanceof Promise.Finished f) {
                 Row before = rows.get(f.owner() + "\n" + f.task());
-                put(rows, new Row(f.owner(), f.task(), before == null ? "" : before.taskClass(),
-                    f.fate().name().toLowerCase(Locale.ROOT), before == null ? "" : before.node()));
+                put(
+                        rows,
+                        new Row(
+                                f.owner(),
+                                f.task(),
+                                before == null ? "" : before.taskClass(),
+                                f.fate().name().toLowerCase(Locale.ROOT),
+                                before == null ? "" : before.node()));
             }
         }
         return List.copyOf(rows.values());
@@ -79,7 +111,9 @@
         rows.put(row.owner() + "\n" + row.task(), row);
     }
 
-    @Command(name = "show", description = "Tell what each journal holds: tasks offered, placed, failed or over.")
+    @Command(
+            name = "show",
+            description = "Tell what each journal holds: tasks offered, placed, failed or over.")
     static final class Show implements Callable<Integer> {
         @Parameters(paramLabel = "FOLDER")
         Path folder;
@@ -87,7 +121,9 @@
         @Option(names = "--tasks", description = "Name each task.")
         boolean tasks;
 
-        @Option(names = "--json", description = "One JSON object a journal, and with --tasks one a task.")
+        @Option(
+                names = "--json",
+                description = "One JSON object a journal, and with --tasks one a task.")
         boolean json;
 
         @Override
@@ -99,21 +135,35 @@
                 Map<String, Long> counts = new LinkedHashMap<>();
                 rows.forEach(r -> counts.merge(r.state(), 1L, Long::sum));
                 if (json) {
-                    ObjectNode line = mapper.createObjectNode().put("file", file.toString()).put("placer", reading.placer())
-                        .put("lines", reading.promises().size()).put("whole", reading.whole())
-                        .put("trouble", reading.trouble());
+                    ObjectNode line =
+                            mapper.createObjectNode()
+                                    .put("file", file.toString())
+                                    .put("placer", reading.placer())
+                                    .put("lines", reading.promises().size())
+                                    .put("whole", reading.whole())
+                                    .put("trouble", reading.trouble());
                     counts.forEach(line::put);
                     System.out.println(line);
                 } else {
-                    System.out.println(file + ": placer " + reading.placer() + ", " + reading.promises().size() + " lines, "
-                        + counts + (reading.trouble().isEmpty() ? "" : "; " + reading.trouble()));
+                    System.out.println(
+                            file
+                                    + ": placer "
+                                    + reading.placer()
+                                    + ", "
+                                    + reading.promises().size()
+                                    + " lines, "
+                                    + counts
+                                    + (reading.trouble().isEmpty()
+                                            ? ""
+                                            : "; " + reading.trouble()));
                 }
                 for (Row r : tasks ? rows : List.<Row>of()) {
                     if (json) {
                         System.out.println(mapper.valueToTree(r).toString());
                     } else {
-                        System.out.printf("  %-12s %-24s %-16s %-10s %s%n", r.owner(), r.task(), r.taskClass(), r.state(),
-                            r.node());
+                        System.out.printf(
+                                "  %-12s %-24s %-16s %-10s %s%n",
+                                r.owner(), r.task(), r.taskClass(), r.state(), r.node());
                     }
                 }
             }
@@ -121,7 +171,11 @@
         }
     }
 
-    @Command(name = "verify", description = "Check each journal's every line; exit 1 where one is damaged or cannot be read.")
+    @Command(
+            name = "verify",
+            description =
+                    "Check each journal's every line; exit 1 where one is damaged or cannot be"
+                            + " read.")
     static final class Verify implements Callable<Integer> {
         @Parameters(paramLabel = "FOLDER")
         Path folder;
@@ -132,14 +186,22 @@
             for (Path file : newest(folder)) {
                 Reading reading = Reading.of(file, null);
                 good &= reading.whole() && !reading.foreign();
-                System.out.println(file + ": " + (reading.trouble().isEmpty() ? "whole, " + reading.promises().size()
-                    + " lines" : reading.trouble()));
+                System.out.println(
+                        file
+                                + ": "
+                                + (reading.trouble().isEmpty()
+                                        ? "whole, " + reading.promises().size() + " lines"
+                                        : reading.trouble()));
             }
             return good ? 0 : Main.FAILED;
         }
     }
 
-    @Command(name = "compact", description = "Write one instance's journal anew with only what still counts; not while it runs.")
+    @Command(
+            name = "compact",
+            description =
+                    "Write one instance's journal anew with only what still counts; not while it"
+                            + " runs.")
     static final class Compact implements Callable<Integer> {
         @Parameters(paramLabel = "FOLDER", description = "Of one instance.")
         Path folder;
@@ -148,17 +210,29 @@
         public Integer call() throws IOException {
             Path file = newest(folder).get(0);
             if (!file.getParent().equals(folder)) {
-                throw new IOException(folder + " holds folders of instances; name one of them, such as " + file.getParent());
+                throw new IOException(
+                        folder
+                                + " holds folders of instances; name one of them, such as "
+                                + file.getParent());
             }
             Reading reading = Reading.of(file, null);
             if (reading.foreign() || !reading.whole()) {
                 throw new IOException(file + " " + reading.trouble() + "; it is left as it is");
             }
-            Durability durability = reading.last() == null ? Durability.OS : Durability.valueOf(reading.last().getDurability());
+            Durability durability =
+                    reading.last() == null
+                            ? Durability.OS
+                            : Durability.valueOf(reading.last().getDurability());
             try (JournalFile journal = JournalFile.open(folder, reading.placer(), durability)) {
                 List<Promise> left = recovery(journal.promises()).snapshot();
                 journal.begin(left);
-                System.out.println(folder + ": " + journal.promises().size() + " lines before, " + left.size() + " now");
+                System.out.println(
+                        folder
+                                + ": "
+                                + journal.promises().size()
+                                + " lines before, "
+                                + left.size()
+                                + " now");
             }
             return 0;
         }
--- a/app/src/main/java/thornferry/app/StopCommand.java
+++ b/app/src/main/java/thornferry/app/StopCommand.java
@@ -7,18 +7,23 @@
 import thornferry.protocol.Destinations;
 import thornferry.protocol.v1.StopTask;
 
-@Command(name = "stop", description = "Stop a task of one's own.",
-    footer = {"", "Example:", "  thornferry stop my-task"})
+@Command(
+        name = "stop",
+        description = "Stop a task of one's own.",
+        footer = {"", "Example:", "  thornferry stop my-task"})
 final class StopCommand implements Callable<Integer> {
-    @Mixin
-    PlacerOptions placer;
+    @Mixin PlacerOptions placer;
 
-    @Parameters(paramLabel = "TASK", description = "Its name, as given to submit --id or drawn by it.")
+    @Parameters(
+            paramLabel = "TASK",
+            description = "Its name, as given to submit --id or drawn by it.")
     String task;
 
     @Override
     public Integer call() throws Exception {
-        return placer.send(Destinations.STOP, StopTask.newBuilder().setId(task).build(),
-            "task " + task + " is being stopped");
+        return placer.send(
+                Destinations.STOP,
+                StopTask.newBuilder().setId(task).build(),
+                "task " + task + " is being stopped");
     }
 }
--- a/app/src/main/java/thornferry/app/SubmitCommand.java
+++ b/app/src/main/java/thornferry/app/SubmitCommand.java
@@ -12,23 +12,36 @@
 import thornferry.protocol.v1.Task;
 import thornferry.protocol.v1.TaskNews;
 
-@Command(name = "submit", description = "Place a task and wait for its result.",
-    footer = {"", "Example:", "  thornferry submit --class depot-sync --key depot-7 --service sync",
-        "", "Exit codes: 0 placed, 3 refused, 4 failed, 1 not taken or no answer, 2 bad use."})
+@Command(
+        name = "submit",
+        description = "Place a task and wait for its result.",
+        footer = {
+            "",
+            "Example:",
+            "  thornferry submit --class depot-sync --key depot-7 --service sync",
+            "",
+            "Exit codes: 0 placed, 3 refused, 4 failed, 1 not taken or no answer, 2 bad use."
+        })
 final class SubmitCommand implements Callable<Integer> {
     private static final int REFUSED = 3;
     private static final int FAILED = 4;
 
-    @Mixin
-    PlacerOptions placer;
+    @Mixin PlacerOptions placer;
 
-    @Option(names = "--class", required = true, description = "A class of the site's configuration.")
+    @Option(
+            names = "--class",
+            required = true,
+            description = "A class of the site's configuration.")
     String taskClass;
 
-    @Option(names = "--id", description = "The task's name; drawn where absent. The same one is the same task.")
+    @Option(
+            names = "--id",
+            description = "The task's name; drawn where absent. The same one is the same task.")
     String id;
 
-    @Option(names = "--service", description = "Tasks of one service share a program; the class where absent.")
+    @Option(
+            names = "--service",
+            description = "Tasks of one service share a program; the class where absent.")
     String service;
 
     @Option(names = "--key", defaultValue = "", description = "For keyed classes.")
@@ -40,13 +53,20 @@
     @Option(names = "--memory", defaultValue = "1")
     double memory;
 
-    @Option(names = "--patience-ms", description = "How long to wait for a place; the class's where absent.")
+    @Option(
+            names = "--patience-ms",
+            description = "How long to wait for a place; the class's where absent.")
     Long patience;
 
-    @Option(names = "--runs-for-ms", defaultValue = "0", description = "How long it will run, where known.")
+    @Option(
+            names = "--runs-for-ms",
+            defaultValue = "0",
+            description = "How long it will run, where known.")
     long runsFor;
 
-    @Option(names = "--follow", description = "Stay until the placed task is over and print that too.")
+    @Option(
+            names = "--follow",
+            description = "Stay until the placed task is over and print that too.")
     boolean follow;
 
     @Option(names = "--json", description = "Print what is told as lines of JSON.")
@@ -55,17 +75,27 @@
     @Override
     public Integer call() throws Exception {
         String name = id == null ? UUID.randomUUID().toString() : id;
-        Task.Builder task = Task.newBuilder().setId(name).setTaskClass(taskClass).setKey(key).setCores(cores)
-            .setService(service == null ? taskClass : service).setMemory(memory).setRunsForMs(runsFor);
+        Task.Builder task =
+                Task.newBuilder()
+                        .setId(name)
+                        .setTaskClass(taskClass)
+                        .setKey(key)
+                        .setCores(cores)
+                        .setService(service == null ? taskClass : service)
+                        .setMemory(memory)
+                        .setRunsForMs(runsFor);
         if (patience != null) {
             task.setPatienceMs(patience);
         }
         CompletableFuture<TaskNews> over = new CompletableFuture<>();
-        try (TaskClient client = TaskClient.connect(placer.target(), news -> {
-            if (news.getTask().equals(name)) {
-                over.complete(news);
-            }
-        })) {
+        try (TaskClient client =
+                TaskClient.connect(
+                        placer.target(),
+                        news -> {
+                            if (news.getTask().equals(name)) {
+                                over.complete(news);
+                            }
+                        })) {
             TaskNews result = client.submit(task.build()).get();
             print(result);
             if (follow && result.getResult().equals("placed")) {
@@ -88,9 +118,15 @@
             return;
         }
         String what = news.getResult().isEmpty() ? news.getEvent() : news.getResult();
-        System.out.println("task " + news.getTask() + " " + what
-            + (news.getNode().isEmpty() ? "" : " on " + news.getNode())
-            + (news.getReason().isEmpty() ? "" : ": " + news.getReason())
-            + (news.getRetryAfterMs() > 0 ? "; try again in " + news.getRetryAfterMs() + " ms" : ""));
+        System.out.println(
+                "task "
+                        + news.getTask()
+                        + " "
+                        + what
+                        + (news.getNode().isEmpty() ? "" : " on " + news.getNode())
+                        + (news.getReason().isEmpty() ? "" : ": " + news.getReason())
+                        + (news.getRetryAfterMs() > 0
+                                ? "; try again in " + news.getRetryAfterMs() + " ms"
+                                : ""));
     }
 }
--- a/app/src/main/java/thornferry/app/WhyCommand.java
+++ b/app/src/main/java/thornferry/app/WhyCommand.java
@@ -16,16 +16,23 @@
 import thornferry.protocol.v1.Why;
 import thornferry.protocol.v1.WhyQuery;
 
-@Command(name = "why", description = "Why a task of one's own waits, or what became of it.",
-    footer = {"", "Examples:", "  thornferry why my-task", "  thornferry why --watch my-task",
-        "", "Exit codes: 0 it is known, 3 it is not, 1 no answer, 2 bad use."})
+@Command(
+        name = "why",
+        description = "Why a task of one's own waits, or what became of it.",
+        footer = {
+            "",
+            "Examples:",
+            "  thornferry why my-task",
+            "  thornferry why --watch my-task",
+            "",
+            "Exit codes: 0 it is known, 3 it is not, 1 no answer, 2 bad use."
+        })
 final class WhyCommand implements Callable<Integer> {
     private static final int UNKNOWN = 3;
-    private static final DateTimeFormatter TIME = DateTimeFormatter.ofPattern("HH:mm:ss.SSS").withZone(
-        ZoneId.systemDefault());
+    private static final DateTimeFormatter TIME =
+            DateTimeFormatter.ofPattern("HH:mm:ss.SSS").withZone(ZoneId.systemDefault());
 
-    @Mixin
-    PlacerOptions placer;
+    @Mixin PlacerOptions placer;
 
     @Option(names = "--json", description = "Print lines of JSON.")
     boolean json;
@@ -38,7 +45,11 @@
 
     @Override
     public Integer call() throws Exception {
-        Why why = placer.ask(Destinations.WHY, WhyQuery.newBuilder().setTask(task).build(), Why.newBuilder());
+        Why why =
+                placer.ask(
+                        Destinations.WHY,
+                        WhyQuery.newBuilder().setTask(task).build(),
+                        Why.newBuilder());
         if (why.getState().equals("unknown")) {
             System.err.println("thornferry: no task " + task + " of yours is known");
             return UNKNOWN;
@@ -51,19 +62,23 @@
     }
 
     private void watch() throws Exception {
-        placer.exchange(24 * 3_600_000L, c -> c.subscribe("waiting", Destinations.WAITING, "auto"), (frame, over) -> {
-            try {
-                Why why = Bodies.read(frame, Why.newBuilder());
-                if (why.getTask().equals(task)) {
-                    print(why);
-                    if (!why.getState().equals("waiting")) {
-                        over.complete(0);
+        placer.exchange(
+                24 * 3_600_000L,
+                c -> c.subscribe("waiting", Destinations.WAITING, "auto"),
+                (frame, over) -> {
+                    try {
+                        Why why = Bodies.read(frame, Why.newBuilder());
+                        if (why.getTask().equals(task)) {
+                            print(why);
+                            if (!why.getState().equals("waiting")) {
+                                over.complete(0);
+                            }
+                        }
+                    } catch (ProtocolException e) {
+                        over.completeExceptionally(e);
                     }
-                }
-            } catch (ProtocolException e) {
-                over.completeExceptionally(e);
-            }
-        }, new CompletableFuture<Integer>());
+                },
+                new CompletableFuture<Integer>());
     }
 
     private void print(Why why) {
@@ -71,20 +86,44 @@
             System.out.println(Bodies.json(why));
             return;
         }
-        System.out.println("task " + why.getTask() + " " + (why.hasReason() ? "waits: " + why.getReason().getSentence()
-            : why.getState()));
+        System.out.println(
+                "task "
+                        + why.getTask()
+                        + " "
+                        + (why.hasReason()
+                                ? "waits: " + why.getReason().getSentence()
+                                : why.getState()));
         for (Reason.Evidence e : why.getReason().getEvidenceList()) {
-            System.out.println("  " + e.getWhat() + (e.getName().isEmpty() ? "" : " " + e.getName())
-                + (e.getNodes() > 0 ? ", nodes: " + e.getNodes() : "") + (e.hasNeeds() ? ", " + e.getNeeds() : "")
-                + (e.hasHas() ? ", has " + e.getHas() : ""));
+            System.out.println(
+                    "  "
+                            + e.getWhat()
+                            + (e.getName().isEmpty() ? "" : " " + e.getName())
+                            + (e.getNodes() > 0 ? ", nodes: " + e.getNodes() : "")
+                            + (e.hasNeeds() ? ", " + e.getNeeds() : "")
+                            + (e.hasHas() ? ", has " + e.getHas() : ""));
         }
         if (why.getHistoryCount() > 0) {
-            System.out.println("asked for " + why.getAsks() + " times, offered " + why.getAttempts() + " times; so far:");
+            System.out.println(
+                    "asked for "
+                            + why.getAsks()
+                            + " times, offered "
+                            + why.getAttempts()
+                            + " times; so far:");
         }
         for (Why.Change c : why.getHistoryList()) {
-            System.out.println("  " + TIME.format(Instant.ofEpochMilli(c.getAtMs())) + "  " + c.getState()
-                + (c.hasReason() ? ": " + c.getReason().getKind().name().toLowerCase(java.util.Locale.ROOT)
-                    .replace('_', ' ') : ""));
+            System.out.println(
+                    "  "
+                            + TIME.format(Instant.ofEpochMilli(c.getAtMs()))
+                            + "  "
+                            + c.getState()
+                            + (c.hasReason()
+                                    ? ": "
+                                            + c.getReason()
+                                                    .getKind()
+                                                    .name()
+                                                    .toLowerCase(java.util.Locale.ROOT)
+                                                    .replace('_', ' ')
+                                    : ""));
         }
         System.out.flush();
     }
--- a/bench-adapter/src/main/java/thornferry/bench/SimHost.java
+++ b/bench-adapter/src/main/java/thornferry/bench/SimHost.java
@@ -15,13 +15,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
+import thornferry.bench.WireCodec.WireException;
 import thornferry.decisions.Placement;
-import thornferry.decisions.Policy;
 import thornferry.decisions.Placement.MachineEntry;
 import thornferry.decisions.Placement.Settings;
-import thornferry.bench.WireCodec.WireException;
+import thornferry.decisions.Policy;
 
-/** Hosts placement modules for the simulator: reads its batches, writes the modules' replies, decides nothing. */
+/**
+ * Hosts placement modules for the simulator: reads its batches, writes the modules' replies,
+ * decides nothing.
+ */
 public final class SimHost {
     private final Function<Settings, Placement> maker;
     private final Map<String, Placement> instances = new HashMap<>();
@@ -50,7 +53,8 @@
     /** Serves until the input ends; returns the exit code. */
     int run(InputStream in, OutputStream out, PrintStream err) {
         long lineNumber = 0;
-        try (BufferedReader reader = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16)) {
+        try (BufferedReader reader =
+                new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16)) {
             Writer writer = new OutputStreamWriter(out, StandardCharsets.UTF_8);
             for (String line = reader.readLine(); line != null; line = reader.readLine()) {
                 lineNumber++;
--- a/bench-adapter/src/main/java/thornferry/bench/WireCodec.java
+++ b/bench-adapter/src/main/java/thornferry/bench/WireCodec.java
@@ -7,7 +7,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import thornferry.decisions.Placement;
 import thornferry.decisions.Placement.*;
 import thornferry.settings.SettingsException;
 import thornferry.settings.SettingsReader;
@@ -15,16 +14,43 @@
 /** Translates between the simulator's wire and the module's interface. */
 final class WireCodec {
     static final ObjectMapper JSON = new ObjectMapper();
-    static final Set<String> EVENTS = Set.of("configure", "manifest", "registry", "pending", "pingResult", "destroy",
-        "whisper", "standing", "heartbeat", "reportBack", "placed", "clientLeft", "fired");
+    static final Set<String> EVENTS =
+            Set.of(
+                    "configure",
+                    "manifest",
+                    "registry",
+                    "pending",
+                    "pingResult",
+                    "destroy",
+                    "whisper",
+                    "standing",
+                    "heartbeat",
+                    "reportBack",
+                    "placed",
+                    "clientLeft",
+                    "fired");
 
-    private static final Map<String, Outcome> OUTCOMES = Map.of("OK", Outcome.ENDED, "INTERNAL", Outcome.ERROR,
-        "RESOURCE_EXHAUSTED", Outcome.REFUSED, "DEADLINE_EXCEEDED", Outcome.TIMED_OUT,
-        "UNAVAILABLE", Outcome.UNREACHABLE, "ABORTED", Outcome.LOST, "CANCELLED", Outcome.CANCELLED,
-        "TOO_LATE", Outcome.NOT_SENT);
+    private static final Map<String, Outcome> OUTCOMES =
+            Map.of(
+                    "OK",
+                    Outcome.ENDED,
+                    "INTERNAL",
+                    Outcome.ERROR,
+                    "RESOURCE_EXHAUSTED",
+                    Outcome.REFUSED,
+                    "DEADLINE_EXCEEDED",
+                    Outcome.TIMED_OUT,
+                    "UNAVAILABLE",
+                    Outcome.UNREACHABLE,
+                    "ABORTED",
+                    Outcome.LOST,
+                    "CANCELLED",
+                    Outcome.CANCELLED,
+                    "TOO_LATE",
+                    Outcome.NOT_SENT);
     private static final long AGAIN_BIT = 16;
 
-    private WireCodec() { }
+    private WireCodec() {}
 
     /** A line that cannot be what the wire's page describes; the message says what was wrong. */
     static final class WireException extends Exception {
@@ -35,7 +61,8 @@
 
     // ---- events ----
 
-    static Event event(String name, JsonNode row, Map<Long, List<MachineEntry>> tables) throws WireException {
+    static Event event(String name, JsonNode row, Map<Long, List<MachineEntry>> tables)
+            throws WireException {
         switch (name) {
             case "registry":
                 return machineList(row, tables);
@@ -44,19 +71,29 @@
             case "standing":
                 return new Running(ask(name, row), text(row, 12, "standing machine"));
             case "placed":
-                return new Placed(text(row, 2, "placed xid"), (int) integer(row, 3, "placed try"),
-                    text(row, 4, "placed machine"), integerOr(row, 5, 0, "placed waitTime"));
+                return new Placed(
+                        text(row, 2, "placed xid"),
+                        (int) integer(row, 3, "placed try"),
+                        text(row, 4, "placed machine"),
+                        integerOr(row, 5, 0, "placed waitTime"));
             case "reportBack":
-                return new Ended(text(row, 2, "reportBack xid"), (int) integer(row, 3, "reportBack try"),
-                    text(row, 4, "reportBack machine"), chosen(OUTCOMES, row, 5, "reportBack code"),
-                    integerOr(row, 6, 0, "reportBack waitTime"), flag(row, 7, "reportBack settled"),
-                    reason(integerOr(row, 8, 0, "reportBack note")), report(row, 9, "reportBack metrics"));
+                return new Ended(
+                        text(row, 2, "reportBack xid"),
+                        (int) integer(row, 3, "reportBack try"),
+                        text(row, 4, "reportBack machine"),
+                        chosen(OUTCOMES, row, 5, "reportBack code"),
+                        integerOr(row, 6, 0, "reportBack waitTime"),
+                        flag(row, 7, "reportBack settled"),
+                        reason(integerOr(row, 8, 0, "reportBack note")),
+                        report(row, 9, "reportBack metrics"));
             case "heartbeat":
                 return note(row);
             case "pingResult":
-                return new Probed(text(row, 4, "pingResult machine"),
-                    text(row, 3, "pingResult code").equals("OK"), integerOr(row, 2, 0, "pingResult waitTime"),
-                    report(row, 5, "pingResult metrics"));
+                return new Probed(
+                        text(row, 4, "pingResult machine"),
+                        text(row, 3, "pingResult code").equals("OK"),
+                        integerOr(row, 2, 0, "pingResult waitTime"),
+                        report(row, 5, "pingResult metrics"));
             case "clientLeft":
                 return new OwnerLeft(text(row, 2, "clientLeft xid"));
             case "fired":
@@ -66,7 +103,8 @@
         }
     }
 
-    private static Event machineList(JsonNode row, Map<Long, List<MachineEntry>> tables) throws WireException {
+    private static Event machineList(JsonNode row, Map<Long, List<MachineEntry>> tables)
+            throws WireException {
         long how = integer(row, 4, "registry how");
         long version = integerOr(row, 2, 0, "registry generation");
         if (how == 2) {
@@ -80,7 +118,10 @@
         if (entries == null) {
             throw new WireException("registry: unknown list number " + table);
         }
-        return new MachineList(version, how == 0 ? ListKind.CACHED : how == 1 ? ListKind.FULL : ListKind.DELTA, entries);
+        return new MachineList(
+                version,
+                how == 0 ? ListKind.CACHED : how == 1 ? ListKind.FULL : ListKind.DELTA,
+                entries);
     }
 
     static List<MachineEntry> entries(JsonNode row) throws WireException {
@@ -97,22 +138,34 @@
             if (state < 0 || state > 2) {
                 throw new WireException("manifest stageState: unknown state " + state);
             }
-            entries.add(new MachineEntry(text(item, 0, "manifest machine"), textOr(item, 1, "", "manifest locality"),
-                textOr(item, 2, "", "manifest classOfHost"), (int) integerOr(item, 4, 0, "manifest stripe"),
-                MachineState.values()[(int) state], numberOr(item, 3, 0, "manifest coresFree"),
-                numberOr(item, 7, 0, "manifest freeMemory"), numberOr(item, 6, 1, "manifest heft"),
-                integerOr(item, 8, 0, "manifest startTime")));
+            entries.add(
+                    new MachineEntry(
+                            text(item, 0, "manifest machine"),
+                            textOr(item, 1, "", "manifest locality"),
+                            textOr(item, 2, "", "manifest classOfHost"),
+                            (int) integerOr(item, 4, 0, "manifest stripe"),
+                            MachineState.values()[(int) state],
+                            numberOr(item, 3, 0, "manifest coresFree"),
+                            numberOr(item, 7, 0, "manifest freeMemory"),
+                            numberOr(item, 6, 1, "manifest heft"),
+                            integerOr(item, 8, 0, "manifest startTime")));
         }
         return entries;
     }
 
     private static Ask ask(String name, JsonNode row) throws WireException {
         JsonNode tenant = at(row, 4);
-        return new Ask(text(row, 2, name + " xid"), text(row, 3, name + " kind"),
-            tenant.isTextual() ? tenant.textValue() : null, textOr(row, 5, "", name + " instanceKey"),
-            integer(row, 6, name + " grace"), integerOr(row, 7, 0, name + " lasts"),
-            textOr(row, 8, "", name + " service"), numberOr(row, 9, 0, name + " cpus"),
-            numberOr(row, 10, 0, name + " memory"), (integerOr(row, 11, 0, name + " opts") & AGAIN_BIT) != 0);
+        return new Ask(
+                text(row, 2, name + " xid"),
+                text(row, 3, name + " kind"),
+                tenant.isTextual() ? tenant.textValue() : null,
+                textOr(row, 5, "", name + " instanceKey"),
+                integer(row, 6, name + " grace"),
+                integerOr(row, 7, 0, name + " lasts"),
+                textOr(row, 8, "", name + " service"),
+                numberOr(row, 9, 0, name + " cpus"),
+                numberOr(row, 10, 0, name + " memory"),
+                (integerOr(row, 11, 0, name + " opts") & AGAIN_BIT) != 0);
     }
 
     private static Event note(JsonNode row) throws WireException {
@@ -120,12 +173,18 @@
         if (sort < 1 || sort > NoteKind.values().length) {
             return null; // a kind of note that came after this version
         }
-        return new Noted(text(row, 2, "heartbeat xid"), (int) integer(row, 3, "heartbeat try"),
-            text(row, 4, "heartbeat machine"), NoteKind.values()[(int) sort - 1], numberOr(row, 6, 0, "heartbeat level"));
+        return new Noted(
+                text(row, 2, "heartbeat xid"),
+                (int) integer(row, 3, "heartbeat try"),
+                text(row, 4, "heartbeat machine"),
+                NoteKind.values()[(int) sort - 1],
+                numberOr(row, 6, 0, "heartbeat level"));
     }
 
     private static Reason reason(long code) {
-        return code >= 0 && code < Reason.values().length ? Reason.values()[(int) code] : Reason.NONE;
+        return code >= 0 && code < Reason.values().length
+                ? Reason.values()[(int) code]
+                : Reason.NONE;
     }
 
     private static double[] report(JsonNode row, int index, String what) throws WireException {
@@ -224,7 +283,8 @@
         return absent(at(row, index)) ? instead : integer(row, index, what);
     }
 
-    private static double numberOr(JsonNode row, int index, double instead, String what) throws WireException {
+    private static double numberOr(JsonNode row, int index, double instead, String what)
+            throws WireException {
         JsonNode node = at(row, index);
         if (absent(node)) {
             return instead;
@@ -243,7 +303,8 @@
         return node.textValue();
     }
 
-    private static String textOr(JsonNode row, int index, String instead, String what) throws WireException {
+    private static String textOr(JsonNode row, int index, String instead, String what)
+            throws WireException {
         return absent(at(row, index)) ? instead : text(row, index, what);
     }
 
@@ -255,7 +316,8 @@
         return node.asBoolean();
     }
 
-    private static <T> T chosen(Map<String, T> words, JsonNode row, int index, String what) throws WireException {
+    private static <T> T chosen(Map<String, T> words, JsonNode row, int index, String what)
+            throws WireException {
         T value = words.get(text(row, index, what));
         if (value == null) {
             throw new WireException(what + ": unknown word " + row.get(index).textValue());
--- a/bench-adapter/src/test/java/thornferry/bench/SimHostTest.java
+++ b/bench-adapter/src/test/java/thornferry/bench/SimHostTest.java
@@ -13,21 +13,23 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 import thornferry.decisions.Placement;
-import thornferry.decisions.Policy;
 import thornferry.decisions.Placement.*;
+import thornferry.decisions.Policy;
 
 class SimHostTest {
-    private static final String CONFIG = "{\"instances\":2,\"myNumber\":0,\"zone\":\"z1\",\"later\":{\"x\":[1]},"
-        + "\"discovery\":\"push\",\"hostTypes\":[\"k\"],\"loadInfo\":{\"how\":\"off\",\"names\":[]},"
-        + "\"allowed\":{\"mostTries\":3,\"probes\":true},\"prices\":{},\"rules\":{\"fall\":1000000},"
-        + "\"familyInfo\":{\"view\":true,\"sizeCores\":[8],\"memOfKind\":[16],\"coldSends\":20},"
-        + "\"grades\":[{\"name\":\"c\",\"effect\":\"read_like\",\"deadline\":5000000,\"aim\":100000}]}";
-    private static final String LIST = "[\"manifest\",3,[[\"10.0.0.1:1\",\"z1\",\"k\",6,0,1,1,12,null],"
-        + "[\"10.0.0.2:1\",\"z1\",\"k\",1,0,1,1,2,null]]]\n";
+    private static final String CONFIG =
+            "{\"instances\":2,\"myNumber\":0,\"zone\":\"z1\",\"later\":{\"x\":[1]},"
+                + "\"discovery\":\"push\",\"hostTypes\":[\"k\"],\"loadInfo\":{\"how\":\"off\",\"names\":[]},"
+                + "\"allowed\":{\"mostTries\":3,\"probes\":true},\"prices\":{},\"rules\":{\"fall\":1000000},"
+                + "\"familyInfo\":{\"view\":true,\"sizeCores\":[8],\"memOfKind\":[16],\"coldSends\":20},"
+                + "\"grades\":[{\"name\":\"c\",\"effect\":\"read_like\",\"deadline\":5000000,\"aim\":100000}]}";
+    private static final String LIST =
+            "[\"manifest\",3,[[\"10.0.0.1:1\",\"z1\",\"k\",6,0,1,1,12,null],"
+                    + "[\"10.0.0.2:1\",\"z1\",\"k\",1,0,1,1,2,null]]]\n";
     private static final String ASK =
-        "[\"pending\",\"%s\",\"%s\",\"c\",null,\"w\",5000000,null,\"s\",1,2,1]\n";
+            "[\"pending\",\"%s\",\"%s\",\"c\",null,\"w\",5000000,null,\"s\",1,2,1]\n";
 
-    private record Run(int code, String out, String err) { }
+    private record Run(int code, String out, String err) {}
 
     private static Run run(String input) {
         return run(input, Policy::new);
@@ -36,14 +38,28 @@
     private static Run run(String input, Function<Settings, Placement> maker) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
-        int code = new SimHost(maker).run(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out,
-            new PrintStream(err, true, StandardCharsets.UTF_8));
-        return new Run(code, out.toString(StandardCharsets.UTF_8), err.toString(StandardCharsets.UTF_8));
+        int code =
+                new SimHost(maker)
+                        .run(
+                                new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
+                                out,
+                                new PrintStream(err, true, StandardCharsets.UTF_8));
+        return new Run(
+                code, out.toString(StandardCharsets.UTF_8), err.toString(StandardCharsets.UTF_8));
     }
 
     private static String start(String placer, int salt) {
-        return "[\"configure\",\"" + placer + "\"," + salt + "," + CONFIG + "]\n" + LIST
-            + "[\"registry\",\"" + placer + "\",41,3,0]\n";
+        return "[\"configure\",\""
+                + placer
+                + "\","
+                + salt
+                + ","
+                + CONFIG
+                + "]\n"
+                + LIST
+                + "[\"registry\",\""
+                + placer
+                + "\",41,3,0]\n";
     }
 
     private static String batch(long clock, int number, String events) {
@@ -57,22 +73,46 @@
 
     @Test
     void aTaskIsOfferedPlacedAndEnds() {
-        Run run = run(batch(8_000_000, 1, start("placer-0", 5))
-            + batch(8_002_000, 2, ASK.formatted("placer-0", "r1"))
-            + batch(8_012_000, 3, "[\"placed\",\"placer-0\",\"r1\",0,\"10.0.0.1:1\",10000]\n")
-            + batch(9_000_000, 4, "[\"heartbeat\",\"placer-0\",\"r1\",0,\"10.0.0.1:1\",2,0.5]\n"
-                + "[\"reportBack\",\"placer-0\",\"r1\",0,\"10.0.0.1:1\",\"OK\",988000,true,null,null]\n"));
-        assertEquals(new Run(0, "[\"setTimer\",\"placer-0\",8020000,0]\n[\"done\",1]\n"
-            + "[\"propose\",\"placer-0\",\"r1\",\"10.0.0.1:1\",600000]\n[\"done\",2]\n[\"done\",3]\n[\"done\",4]\n", ""),
-            run);
+        Run run =
+                run(
+                        batch(8_000_000, 1, start("placer-0", 5))
+                                + batch(8_002_000, 2, ASK.formatted("placer-0", "r1"))
+                                + batch(
+                                        8_012_000,
+                                        3,
+                                        "[\"placed\",\"placer-0\",\"r1\",0,\"10.0.0.1:1\",10000]\n")
+                                + batch(
+                                        9_000_000,
+                                        4,
+                                        "[\"heartbeat\",\"placer-0\",\"r1\",0,\"10.0.0.1:1\",2,0.5]\n"
+                                            + "[\"reportBack\",\"placer-0\",\"r1\",0,\"10.0.0.1:1\",\"OK\",988000,true,null,null]\n"));
+        assertEquals(
+                new Run(
+                        0,
+                        "[\"setTimer\",\"placer-0\",8020000,0]\n"
+                                + "[\"done\",1]\n"
+                                + "[\"propose\",\"placer-0\",\"r1\",\"10.0.0.1:1\",600000]\n"
+                                + "[\"done\",2]\n"
+                                + "[\"done\",3]\n"
+                                + "[\"done\",4]\n",
+                        ""),
+                run);
     }
 
     @Test
     void whatIsUnknownOrLateIsSkipped() {
-        Run run = run(batch(8_000_000, 1, start("placer-0", 5) + "[\"news\",\"placer-0\",{}]\n"
-            + "[\"whisper\",\"placer-0\",1,\"68\"]\n[\"heartbeat\",\"placer-0\",\"r9\",0,\"10.0.0.1:1\",77,1]\n"
-            + "[\"clientLeft\",\"placer-0\",\"r9\"]\n[\"fired\",\"placer-0\",99]\n"
-            + "[\"reportBack\",\"placer-0\",\"r9\",0,\"10.0.0.1:1\",\"OK\",1,true,null,null]\n"));
+        Run run =
+                run(
+                        batch(
+                                8_000_000,
+                                1,
+                                start("placer-0", 5)
+                                        + "[\"news\",\"placer-0\",{}]\n"
+                                        + "[\"whisper\",\"placer-0\",1,\"68\"]\n"
+                                        + "[\"heartbeat\",\"placer-0\",\"r9\",0,\"10.0.0.1:1\",77,1]\n"
+                                        + "[\"clientLeft\",\"placer-0\",\"r9\"]\n"
+                                        + "[\"fired\",\"placer-0\",99]\n"
+                                        + "[\"reportBack\",\"placer-0\",\"r9\",0,\"10.0.0.1:1\",\"OK\",1,true,null,null]\n"));
         assertEquals(0, run.code);
         assertEquals("", run.err);
     }
@@ -80,8 +120,15 @@
     @Test
     void aListNumberIsUsedAgainInTheSameBatch() {
         String other = "[\"manifest\",3,[[\"10.0.0.9:1\",\"z1\",\"k\",6,0,1,1,12,null]]]\n";
-        Run run = run(batch(8_000_000, 1, start("placer-0", 5) + other + "[\"registry\",\"placer-0\",42,3,1]\n"
-            + ASK.formatted("placer-0", "r1")));
+        Run run =
+                run(
+                        batch(
+                                8_000_000,
+                                1,
+                                start("placer-0", 5)
+                                        + other
+                                        + "[\"registry\",\"placer-0\",42,3,1]\n"
+                                        + ASK.formatted("placer-0", "r1")));
         assertTrue(run.out.contains("\"10.0.0.9:1\""), run.out);
     }
 
@@ -107,15 +154,39 @@
         plain(open + "[\"mark\",8000000,2]\n[\"mark\",8000000,3]\n", "batch 2 has not ended");
         plain("[\"eob\"]\n", "no batch is open");
         plain("[\"fired\",\"placer-0\",1]\n", "outside a batch");
-        plain(open + batch(8_002_000, 2, "[\"registry\",\"placer-0\",1,9,1]\n"), "unknown list number 9");
-        plain(open + batch(8_002_000, 2, "[\"fired\",\"placer-7\",1]\n"), "unknown instance placer-7");
-        plain(open + batch(8_002_000, 2, "[\"pending\",\"placer-0\",\"r1\",\"c\"]\n"), "pending grace");
-        plain(open + batch(8_002_000, 2, "[\"pending\",\"placer-0\",\"r1\",\"c\",null,\"w\",1.5]\n"), "pending grace");
-        plain(open + batch(8_002_000, 2,
-            "[\"reportBack\",\"placer-0\",\"r1\",0,\"m\",\"WELL\",1,true]\n"), "unknown word WELL");
-        plain(batch(8_000_000, 1, start("placer-0", 5).replace("\"instances\":2", "\"instances\":0")), "instances");
+        plain(
+                open + batch(8_002_000, 2, "[\"registry\",\"placer-0\",1,9,1]\n"),
+                "unknown list number 9");
+        plain(
+                open + batch(8_002_000, 2, "[\"fired\",\"placer-7\",1]\n"),
+                "unknown instance placer-7");
+        plain(
+                open + batch(8_002_000, 2, "[\"pending\",\"placer-0\",\"r1\",\"c\"]\n"),
+                "pending grace");
+        plain(
+                open
+                        + batch(
+                                8_002_000,
+                                2,
+                                "[\"pending\",\"placer-0\",\"r1\",\"c\",null,\"w\",1.5]\n"),
+                "pending grace");
+        plain(
+                open
+                        + batch(
+                                8_002_000,
+                                2,
+                                "[\"reportBack\",\"placer-0\",\"r1\",0,\"m\",\"WELL\",1,true]\n"),
+                "unknown word WELL");
+        plain(
+                batch(
+                        8_000_000,
+                        1,
+                        start("placer-0", 5).replace("\"instances\":2", "\"instances\":0")),
+                "instances");
         plain(batch(8_000_000, 1, start("placer-0", 5).replace("read_like", "odd")), "effect");
-        plain(batch(8_000_000, 1, start("placer-0", 5).replace("\"mostTries\":3,", "")), "mostTries");
+        plain(
+                batch(8_000_000, 1, start("placer-0", 5).replace("\"mostTries\":3,", "")),
+                "mostTries");
     }
 
     private static void plain(String input, String part) {
@@ -127,10 +198,17 @@
 
     @Test
     void anExceptionInTheModuleBecomesTheFaultLine() {
-        Run run = run(batch(8_000_000, 1, start("placer-0", 5)), settings -> (now, event, actions) -> {
-            throw new IllegalStateException("broken");
-        });
-        assertTrue(run.out.contains("[\"fatal\",\"placer-0\",\"java.lang.IllegalStateException: broken\"]"), run.out);
+        Run run =
+                run(
+                        batch(8_000_000, 1, start("placer-0", 5)),
+                        settings ->
+                                (now, event, actions) -> {
+                                    throw new IllegalStateException("broken");
+                                });
+        assertTrue(
+                run.out.contains(
+                        "[\"fatal\",\"placer-0\",\"java.lang.IllegalStateException: broken\"]"),
+                run.out);
     }
 
     @Test
@@ -141,8 +219,13 @@
             StringBuilder shared = new StringBuilder();
             for (int p = 0; p < 2; p++) {
                 String placer = "placer-" + p;
-                String events = i == 0 ? start(placer, 5 + p)
-                    : ASK.formatted(placer, "r" + p + "-" + i) + "[\"fired\",\"" + placer + "\",0]\n";
+                String events =
+                        i == 0
+                                ? start(placer, 5 + p)
+                                : ASK.formatted(placer, "r" + p + "-" + i)
+                                        + "[\"fired\",\""
+                                        + placer
+                                        + "\",0]\n";
                 shared.append(events);
                 alone[p].append(batch(8_000_000 + i * 20_000, i, events));
             }
--- a/config/src/main/java/thornferry/config/LineSection.java
+++ b/config/src/main/java/thornferry/config/LineSection.java
@@ -11,17 +11,22 @@
 import thornferry.decisions.LineSettings.Limit;
 import thornferry.decisions.Placement;
 
-/** The table {@code [line]}, the tables {@code [[limit]]}, the shares of tenants and what classes do at a limit. */
+/**
+ * The table {@code [line]}, the tables {@code [[limit]]}, the shares of tenants and what classes do
+ * at a limit.
+ */
 final class LineSection {
     private static final long HOUR_MS = 3_600_000;
     private static final double NONE = Double.POSITIVE_INFINITY;
 
     /** What a class does where a limit is reached. */
-    private enum AtLimit { WAIT, REFUSE }
-
-    private LineSection() {
+    private enum AtLimit {
+        WAIT,
+        REFUSE
     }
 
+    private LineSection() {}
+
     static LineSettings read(Section root, Placement.Settings module) {
         LineSettings usual = LineSettings.usual();
         Section s = root.table("line");
@@ -36,17 +41,29 @@
         limits(root, module, all, owners, tenants);
         Map<String, Double> shares = new HashMap<>();
         module.tenants().forEach(t -> shares.put(t.name(), Math.max(1e-6, t.share())));
-        return new LineSettings(s.flag("on", true), s.whole("length", 1, 10_000_000, usual.length()),
-            s.whole("window", 1, 1_000_000, usual.window()), s.millis("take-back-ms", 1, HOUR_MS, usual.takeBack() / 1e3),
-            s.millis("look-again-ms", 1, HOUR_MS, usual.lookAgain() / 1e3),
-            s.number("overload-from", 0.01, 1, usual.target()),
-            s.millis("overload-interval-ms", 10, HOUR_MS, usual.interval() / 1e3),
-            s.whole("oldest-turn", 2, 1_000_000, usual.oldestTurn()), s.number("large-from", 0.01, 1, usual.large()),
-            s.millis("gather-after-ms", 1, HOUR_MS, usual.gatherAfter() / 1e3),
-            s.millis("gather-for-ms", 0, HOUR_MS, usual.gatherFor() / 1e3),
-            s.number("retry-share", 0, 100, usual.retryShare()),
-            s.number("retry-per-second", 0, 1e6, usual.retryPerSecond()), least, Math.max(least, most), all[0], all[1], all[2],
-            owners, tenants, shares, refusing(root));
+        return new LineSettings(
+                s.flag("on", true),
+                s.whole("length", 1, 10_000_000, usual.length()),
+                s.whole("window", 1, 1_000_000, usual.window()),
+                s.millis("take-back-ms", 1, HOUR_MS, usual.takeBack() / 1e3),
+                s.millis("look-again-ms", 1, HOUR_MS, usual.lookAgain() / 1e3),
+                s.number("overload-from", 0.01, 1, usual.target()),
+                s.millis("overload-interval-ms", 10, HOUR_MS, usual.interval() / 1e3),
+                s.whole("oldest-turn", 2, 1_000_000, usual.oldestTurn()),
+                s.number("large-from", 0.01, 1, usual.large()),
+                s.millis("gather-after-ms", 1, HOUR_MS, usual.gatherAfter() / 1e3),
+                s.millis("gather-for-ms", 0, HOUR_MS, usual.gatherFor() / 1e3),
+                s.number("retry-share", 0, 100, usual.retryShare()),
+                s.number("retry-per-second", 0, 1e6, usual.retryPerSecond()),
+                least,
+                Math.max(least, most),
+                all[0],
+                all[1],
+                all[2],
+                owners,
+                tenants,
+                shares,
+                refusing(root));
     }
 
     private static Set<String> refusing(Section root) {
@@ -59,8 +76,12 @@
         return refuse;
     }
 
-    private static void limits(Section root, Placement.Settings module, Limit[] all, Map<String, Limit> owners,
-                               Map<String, Limit> tenants) {
+    private static void limits(
+            Section root,
+            Placement.Settings module,
+            Limit[] all,
+            Map<String, Limit> owners,
+            Map<String, Limit> tenants) {
         List<String> logins = new ArrayList<>();
         root.tables("account").forEach(a -> logins.add(a.text("login", "")));
         Set<String> seen = new HashSet<>();
@@ -69,15 +90,20 @@
             String tenant = s.text("tenant", "");
             boolean site = s.flag("site", false);
             if ((owner.isEmpty() ? 0 : 1) + (tenant.isEmpty() ? 0 : 1) + (site ? 1 : 0) != 1) {
-                s.complain("owner", "a limit names one of owner = \"LOGIN\", tenant = \"NAME\" (or \"*\" for each) and "
-                    + "site = true");
+                s.complain(
+                        "owner",
+                        "a limit names one of owner = \"LOGIN\", tenant = \"NAME\" (or \"*\" for"
+                                + " each) and site = true");
             } else if (!owner.isEmpty() && !owner.equals("*") && !logins.contains(owner)) {
                 s.complain("owner", "no account " + owner + " stands in this file");
-            } else if (!tenant.isEmpty() && !tenant.equals("*")
-                && module.tenants().stream().noneMatch(t -> t.name().equals(tenant))) {
+            } else if (!tenant.isEmpty()
+                    && !tenant.equals("*")
+                    && module.tenants().stream().noneMatch(t -> t.name().equals(tenant))) {
                 s.complain("tenant", "no tenant " + tenant + " stands in this file");
             } else if (!seen.add(owner + "/" + tenant + "/" + site)) {
-                s.complain(site ? "site" : owner.isEmpty() ? "tenant" : "owner", "its limit stands already");
+                s.complain(
+                        site ? "site" : owner.isEmpty() ? "tenant" : "owner",
+                        "its limit stands already");
             }
             Limit limit = limit(s);
             if (site) {
@@ -98,8 +124,18 @@
 
     private static Limit limit(Section s) {
         double perSecond = s.number("per-second", 1e-3, 1e9, NONE);
-        double burst = s.number("burst", 1, 1e9, Double.isFinite(perSecond) ? Math.max(1, perSecond) : NONE);
-        return new Limit(s.number("waiting", 0, 1e9, NONE), s.number("tasks", 1, 1e9, NONE), perSecond, burst,
-            s.number("cores", 1e-3, 1e9, NONE), s.number("memory", 1e-3, 1e9, NONE));
+        double burst =
+                s.number(
+                        "burst",
+                        1,
+                        1e9,
+                        Double.isFinite(perSecond) ? Math.max(1, perSecond) : NONE);
+        return new Limit(
+                s.number("waiting", 0, 1e9, NONE),
+                s.number("tasks", 1, 1e9, NONE),
+                perSecond,
+                burst,
+                s.number("cores", 1e-3, 1e9, NONE),
+                s.number("memory", 1e-3, 1e9, NONE));
     }
 }
--- a/config/src/main/java/thornferry/config/TlsSection.java
+++ b/config/src/main/java/thornferry/config/TlsSection.java
@@ -8,8 +8,7 @@
 
 /** The table {@code [tls]}: none means plain text. Paths are relative to the file they stand in. */
 final class TlsSection {
-    private TlsSection() {
-    }
+    private TlsSection() {}
 
     static Site.TlsFiles read(Section root, Path directory) {
         if (!root.has("tls")) {
@@ -18,8 +17,12 @@
         Section s = root.table("tls");
         Path certificate = path(s, "certificate", directory);
         Path key = path(s, "key", directory);
-        Tls.Clients clients = s.choice("client-certificates", Tls.Clients.class, Tls.Clients.WANTED);
-        Path authorities = s.has("authorities") || clients != Tls.Clients.NONE ? path(s, "authorities", directory) : null;
+        Tls.Clients clients =
+                s.choice("client-certificates", Tls.Clients.class, Tls.Clients.WANTED);
+        Path authorities =
+                s.has("authorities") || clients != Tls.Clients.NONE
+                        ? path(s, "authorities", directory)
+                        : null;
         return new Site.TlsFiles(new Tls.Pem(certificate, key, authorities), clients);
     }
 
--- a/config/src/main/java/thornferry/config/TomlFile.java
+++ b/config/src/main/java/thornferry/config/TomlFile.java
@@ -19,18 +19,20 @@
 import java.util.regex.Pattern;
 
 /**
- * A TOML file read value by value. Each value is checked as it is read, complaints name file, line and key, and
- * {@link #check} raises them all together, keys that nobody asked for among them.
+ * A TOML file read value by value. Each value is checked as it is read, complaints name file, line
+ * and key, and {@link #check} raises them all together, keys that nobody asked for among them.
  */
 public final class TomlFile {
     private static final TomlMapper MAPPER = new TomlMapper();
-    private static final Pattern HEADER = Pattern.compile("\\s*(\\[\\[?)\\s*([^\\]]+?)\\s*\\]\\]?\\s*(#.*)?");
+    private static final Pattern HEADER =
+            Pattern.compile("\\s*(\\[\\[?)\\s*([^\\]]+?)\\s*\\]\\]?\\s*(#.*)?");
     private static final Pattern KEY = Pattern.compile("\\s*([A-Za-z0-9_\"'.-]+)\\s*=.*");
 
     private final String file;
     private final Map<String, Integer> lines = new HashMap<>();
     private final List<String> complaints = new ArrayList<>();
-    private final Map<String, Section> sections = new LinkedHashMap<>(); // by path; all that were read
+    private final Map<String, Section> sections =
+            new LinkedHashMap<>(); // by path; all that were read
     private final Section root;
 
     private TomlFile(String file, String text) throws ConfigException {
@@ -40,7 +42,8 @@
             root = new Section("", MAPPER.readTree(text));
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 0 : e.getLocation().getLineNr();
-            throw new ConfigException(List.of(file + ":" + line + ": not TOML: " + e.getOriginalMessage()));
+            throw new ConfigException(
+                    List.of(file + ":" + line + ": not TOML: " + e.getOriginalMessage()));
         }
         sections.put("", root);
     }
@@ -55,12 +58,17 @@
         }
     }
 
-    /** @param file how complaints name it */
+    /**
+     * @param file how complaints name it
+     */
     public static TomlFile parse(String file, String text) throws ConfigException {
         return new TomlFile(file, text);
     }
 
-    /** The parser keeps no places, so lines are found by their headers and keys; what it misses has line 0. */
+    /**
+     * The parser keeps no places, so lines are found by their headers and keys; what it misses has
+     * line 0.
+     */
     private void number(String text) {
         Map<String, Integer> repeats = new HashMap<>();
         String table = "";
@@ -141,7 +149,9 @@
             if (value != null && !value.isObject()) {
                 complain(key, "must be a table");
             }
-            return section(full(key), value != null && value.isObject() ? value : MAPPER.createObjectNode());
+            return section(
+                    full(key),
+                    value != null && value.isObject() ? value : MAPPER.createObjectNode());
         }
 
         /** The tables of an array of tables. */
@@ -184,9 +194,16 @@
                 }
                 return otherwise;
             }
-            if (!value.isNumber() || !(value.doubleValue() >= least && value.doubleValue() <= most)) {
-                complain(key, "must be a number from " + plain(least) + " to " + plain(most) + ", not "
-                    + value.asText());
+            if (!value.isNumber()
+                    || !(value.doubleValue() >= least && value.doubleValue() <= most)) {
+                complain(
+                        key,
+                        "must be a number from "
+                                + plain(least)
+                                + " to "
+                                + plain(most)
+                                + ", not "
+                                + value.asText());
                 return least;
             }
             return value.doubleValue();
@@ -235,11 +252,18 @@
         }
 
         private void unknown() {
-            node.fieldNames().forEachRemaining(key -> {
-                if (!asked.contains(key)) {
-                    complain(key, "is not known; known here: " + String.join(", ", asked.stream().sorted().toList()));
-                }
-            });
+            node.fieldNames()
+                    .forEachRemaining(
+                            key -> {
+                                if (!asked.contains(key)) {
+                                    complain(
+                                            key,
+                                            "is not known; known here: "
+                                                    + String.join(
+                                                            ", ",
+                                                            asked.stream().sorted().toList()));
+                                }
+                            });
         }
     }
 
@@ -248,11 +272,13 @@
     }
 
     private static <E extends Enum<E>> String words(Class<E> of) {
-        return String.join(", ", java.util.Arrays.stream(of.getEnumConstants()).map(TomlFile::word).toList());
+        return String.join(
+                ", ", java.util.Arrays.stream(of.getEnumConstants()).map(TomlFile::word).toList());
     }
 
     private static String plain(double number) {
-        return number == Math.rint(number) && Math.abs(number) < 1e15 ? Long.toString((long) number)
-            : Double.toString(number);
+        return number == Math.rint(number) && Math.abs(number) < 1e15
+                ? Long.toString((long) number)
+                : Double.toString(number);
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/Attempts.java
+++ b/decisions/src/main/java/thornferry/decisions/Attempts.java
@@ -5,7 +5,6 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
-import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
@@ -18,47 +17,67 @@
 import thornferry.decisions.Placement.Reason;
 
 /**
- * What each attempt has come to, and above all <b>what proves that it never ran</b>: its octets were never wholly
- * written; the machine refused it; the inventory of the same life of the machine, after a reconnect, does not hold
- * it. A broken connection proves nothing, so an attempt whose second start could do harm then stays open until the
- * machine is back or its time is up.
+ * What each attempt has come to, and above all <b>what proves that it never ran</b>: its octets
+ * were never wholly written; the machine refused it; the inventory of the same life of the machine,
+ * after a reconnect, does not hold it. A broken connection proves nothing, so an attempt whose
+ * second start could do harm then stays open until the machine is back or its time is up.
  *
  * <p>Each attempt ends with exactly one {@link Ended} for the module. Times are microseconds.
  */
 public final class Attempts {
     /** What a machine says of an attempt. */
-    public enum Word { ACCEPTED, REFUSED, RUNS, ENDED, EVICTED, SENT_AWAY, WITHDRAWN }
+    public enum Word {
+        ACCEPTED,
+        REFUSED,
+        RUNS,
+        ENDED,
+        EVICTED,
+        SENT_AWAY,
+        WITHDRAWN
+    }
 
     /** How a placed task came to its end, as its owner is told. */
-    public enum Fate { ENDED, EVICTED, LOST, MOVED, STOPPED }
+    public enum Fate {
+        ENDED,
+        EVICTED,
+        LOST,
+        MOVED,
+        STOPPED
+    }
 
-    public sealed interface Action { }
+    public sealed interface Action {}
 
     /** To the module. */
-    public record Tell(Placement.Event event) implements Action { }
+    public record Tell(Placement.Event event) implements Action {}
 
     /** Tell the machine to drop the attempt, whatever became of it. */
-    public record Withdraw(String machine, String attempt) implements Action { }
+    public record Withdraw(String machine, String attempt) implements Action {}
 
-    /** The attempt is proven never to have run; before its {@link Tell}. Not said of what may be repeated freely. */
-    public record NeverRan(String request, String attempt) implements Action { }
+    /**
+     * The attempt is proven never to have run; before its {@link Tell}. Not said of what may be
+     * repeated freely.
+     */
+    public record NeverRan(String request, String attempt) implements Action {}
 
     /** The request is placed: its owner's result. */
-    public record IsPlaced(String request, String machine) implements Action { }
+    public record IsPlaced(String request, String machine) implements Action {}
 
     /** A placed task is over. */
-    public record Over(String request, String machine, Fate fate) implements Action { }
+    public record Over(String request, String machine, Fate fate) implements Action {}
 
     /** The machine refused; for the reason that the owner may be given. */
-    public record Turned(String request, String machine, Reason reason) implements Action { }
+    public record Turned(String request, String machine, Reason reason) implements Action {}
 
     /** The machine holds work of a former life of this placer: look after it from now on. */
-    public record Adopt(String machine, String attempt) implements Action { }
+    public record Adopt(String machine, String attempt) implements Action {}
 
     /** The machine spoke of an attempt that it was never offered. */
-    public record Guilty(String machine, String why) implements Action { }
+    public record Guilty(String machine, String why) implements Action {}
 
-    private enum State { OPEN, PLACED }
+    private enum State {
+        OPEN,
+        PLACED
+    }
 
     private static final class Attempt {
         final String id;
@@ -71,9 +90,18 @@
         final long until;
         State state = State.OPEN;
         boolean runs;
-        Fate wanted; // what the owner or the module asked for a placed task, to be named when it ends
-
-        Attempt(String id, String request, int number, String machine, long incarnation, Effect effect, long sentAt,
+        Fate wanted; // what the owner or the module asked for a placed task, to be named when it
+
+        // ends
+
+        Attempt(
+                String id,
+                String request,
+                int number,
+                String machine,
+                long incarnation,
+                Effect effect,
+                long sentAt,
                 long until) {
             this.id = id;
             this.request = request;
@@ -86,30 +114,56 @@
         }
     }
 
-    /** Attempts given up are remembered, so that late words are not taken for lies; bounded, oldest first out. */
+    /**
+     * Attempts given up are remembered, so that late words are not taken for lies; bounded, oldest
+     * first out.
+     */
     private static final int REMEMBERED = 50_000;
-    /** A machine that does not say since when it remembers all, does so for this long: the protocol's least. */
+
+    /**
+     * A machine that does not say since when it remembers all, does so for this long: the
+     * protocol's least.
+     */
     private static final long UNSAID_MEMORY = 30_000_000;
 
     private final String life;
     private final Map<String, Attempt> byId = new LinkedHashMap<>();
     private final Map<String, Attempt> byRequest = new HashMap<>();
     private final Map<String, Map<String, Attempt>> byMachine = new HashMap<>();
+
     /** Open ones only, in the order sent: what {@link #tick} looks through. */
     private final Map<String, Attempt> open = new LinkedHashMap<>();
+
     private final Map<String, String> formerly = new LinkedHashMap<>(); // attempt -> machine
     private long number;
 
-    /** @param life names this life of this placer, unlike any earlier one; attempts are named after it */
+    /**
+     * @param life names this life of this placer, unlike any earlier one; attempts are named after
+     *     it
+     */
     public Attempts(String life) {
         this.life = life;
     }
 
     /** A name for an attempt about to be offered; no other placer or life uses it. */
-    public String offered(long now, String request, int tryNumber, String machine, long incarnation, Effect effect,
-                          long timeout) {
-        Attempt a = new Attempt(life + "-" + ++number, request, tryNumber, machine, incarnation, effect, now,
-            now + timeout);
+    public String offered(
+            long now,
+            String request,
+            int tryNumber,
+            String machine,
+            long incarnation,
+            Effect effect,
+            long timeout) {
+        Attempt a =
+                new Attempt(
+                        life + "-" + ++number,
+                        request,
+                        tryNumber,
+                        machine,
+                        incarnation,
+                        effect,
+                        now,
+                        now + timeout);
         keep(a);
         open.put(a.id, a);
         return a.id;
@@ -132,7 +186,10 @@
         }
     }
 
-    /** The offer's octets were not all written, so no one can have read the whole of it: it never ran. */
+    /**
+     * The offer's octets were not all written, so no one can have read the whole of it: it never
+     * ran.
+     */
     public void notWritten(long now, String attempt, Consumer<Action> actions) {
         Attempt a = byId.get(attempt);
         if (a != null && a.state == State.OPEN) {
@@ -141,26 +198,39 @@
     }
 
     /** A machine's word; {@code report} may be null. */
-    public void said(long now, String machine, String attempt, Word word, Reason reason, boolean ran, double[] report,
-                     Consumer<Action> actions) {
+    public void said(
+            long now,
+            String machine,
+            String attempt,
+            Word word,
+            Reason reason,
+            boolean ran,
+            double[] report,
+            Consumer<Action> actions) {
         Attempt a = byId.get(attempt);
         if (a == null || !a.machine.equals(machine)) {
             String was = a == null ? formerly.get(attempt) : a.machine;
             boolean ours = ours(attempt);
             if (ours && !machine.equals(was)) {
-                actions.accept(new Guilty(machine, "attempt " + attempt + " was not offered to this node"));
+                actions.accept(
+                        new Guilty(
+                                machine, "attempt " + attempt + " was not offered to this node"));
             } else if (word == Word.ACCEPTED || word == Word.RUNS) {
-                actions.accept(new Withdraw(machine, attempt)); // given up meanwhile: it must not stay
+                actions.accept(
+                        new Withdraw(machine, attempt)); // given up meanwhile: it must not stay
             }
             return;
         }
         switch (word) {
             case ACCEPTED -> place(now, a, actions);
             case RUNS -> {
-                place(now, a, actions); // running proves acceptance, also where that answer was lost
+                place(
+                        now, a,
+                        actions); // running proves acceptance, also where that answer was lost
                 if (!a.runs) {
                     a.runs = true;
-                    actions.accept(new Tell(new Noted(a.request, a.number, machine, NoteKind.RUNS, 1)));
+                    actions.accept(
+                            new Tell(new Noted(a.request, a.number, machine, NoteKind.RUNS, 1)));
                 }
             }
             case REFUSED -> {
@@ -170,24 +240,36 @@
                 }
             }
             case ENDED -> over(now, a, Outcome.ENDED, Reason.NONE, Fate.ENDED, report, actions);
-            case EVICTED -> over(now, a, Outcome.LOST, Reason.EVICTED, Fate.EVICTED, report, actions);
-            case SENT_AWAY -> over(now, a, Outcome.LOST, Reason.SENT_AWAY, Fate.EVICTED, report, actions);
+            case EVICTED ->
+                    over(now, a, Outcome.LOST, Reason.EVICTED, Fate.EVICTED, report, actions);
+            case SENT_AWAY ->
+                    over(now, a, Outcome.LOST, Reason.SENT_AWAY, Fate.EVICTED, report, actions);
             case WITHDRAWN -> {
                 if (a.state == State.PLACED) {
                     over(now, a, Outcome.CANCELLED, Reason.NONE, Fate.STOPPED, report, actions);
                 } else {
-                    end(now, a, ran ? Outcome.CANCELLED : Outcome.REFUSED, Reason.NOT_HERE, report, actions);
+                    end(
+                            now,
+                            a,
+                            ran ? Outcome.CANCELLED : Outcome.REFUSED,
+                            Reason.NOT_HERE,
+                            report,
+                            actions);
                 }
             }
         }
     }
 
     /** What own tasks use, as their machine reports it. */
-    public void uses(String machine, String attempt, double cores, double memory, Consumer<Action> actions) {
+    public void uses(
+            String machine, String attempt, double cores, double memory, Consumer<Action> actions) {
         Attempt a = byId.get(attempt);
         if (a != null && a.machine.equals(machine) && a.state == State.PLACED) {
-            actions.accept(new Tell(new Noted(a.request, a.number, machine, NoteKind.CORES_USED, cores)));
-            actions.accept(new Tell(new Noted(a.request, a.number, machine, NoteKind.MEMORY_USED, memory)));
+            actions.accept(
+                    new Tell(new Noted(a.request, a.number, machine, NoteKind.CORES_USED, cores)));
+            actions.accept(
+                    new Tell(
+                            new Noted(a.request, a.number, machine, NoteKind.MEMORY_USED, memory)));
         }
     }
 
@@ -200,27 +282,61 @@
         }
     }
 
-    private void end(long now, Attempt a, Outcome outcome, Reason reason, double[] report, Consumer<Action> actions) {
+    private void end(
+            long now,
+            Attempt a,
+            Outcome outcome,
+            Reason reason,
+            double[] report,
+            Consumer<Action> actions) {
         drop(a);
-        if (a.effect != Effect.SAFE && (outcome == Outcome.REFUSED || outcome == Outcome.UNREACHABLE)) {
+        if (a.effect != Effect.SAFE
+                && (outcome == Outcome.REFUSED || outcome == Outcome.UNREACHABLE)) {
             actions.accept(new NeverRan(a.request, a.id));
         }
-        actions.accept(new Tell(new Ended(a.request, a.number, a.machine, outcome, now - a.sentAt, false, reason,
-            report)));
+        actions.accept(
+                new Tell(
+                        new Ended(
+                                a.request,
+                                a.number,
+                                a.machine,
+                                outcome,
+                                now - a.sentAt,
+                                false,
+                                reason,
+                                report)));
     }
 
     /** The end of a task that was placed, or that proves by its end that it had been. */
-    private void over(long now, Attempt a, Outcome outcome, Reason reason, Fate fate, double[] report,
-                      Consumer<Action> actions) {
+    private void over(
+            long now,
+            Attempt a,
+            Outcome outcome,
+            Reason reason,
+            Fate fate,
+            double[] report,
+            Consumer<Action> actions) {
         place(now, a, actions);
         drop(a);
         Fate told = a.wanted != null && fate == Fate.STOPPED ? a.wanted : fate;
-        actions.accept(new Tell(new Ended(a.request, a.number, a.machine, outcome, now - a.sentAt, true, reason,
-            report)));
+        actions.accept(
+                new Tell(
+                        new Ended(
+                                a.request,
+                                a.number,
+                                a.machine,
+                                outcome,
+                                now - a.sentAt,
+                                true,
+                                reason,
+                                report)));
         actions.accept(new Over(a.request, a.machine, told));
     }
 
-    /** The connection to a machine broke. What may be repeated freely is given up; the rest waits for proof. */
+    /**
+     * The connection to a machine broke. What may be repeated freely is given up; the rest waits
+     * for proof.
+     */
     public void linkBroken(long now, String machine, Consumer<Action> actions) {
         for (Attempt a : at(machine)) {
             if (a.state == State.OPEN && a.effect == Effect.SAFE) {
@@ -232,15 +348,22 @@
     /**
      * A machine is connected and says what it holds of this placer's, in {@code held}.
      *
-     * <p>The node dials again only after its former connection is closed for it, so nothing sent on that one can
-     * still reach it: what the inventory of the same life does not hold, and whose end it has not told before with its
-     * last answers, was never received; as far back as the machine remembers.
+     * <p>The node dials again only after its former connection is closed for it, so nothing sent on
+     * that one can still reach it: what the inventory of the same life does not hold, and whose end
+     * it has not told before with its last answers, was never received; as far back as the machine
+     * remembers.
      *
      * @param running those of {@code held} that run
-     * @param since   by effect, since when it remembers all that it accepted
+     * @param since by effect, since when it remembers all that it accepted
      */
-    public void inventory(long now, String machine, long incarnation, Set<String> held, Set<String> running,
-                          Map<Effect, Long> since, Consumer<Action> actions) {
+    public void inventory(
+            long now,
+            String machine,
+            long incarnation,
+            Set<String> held,
+            Set<String> running,
+            Map<Effect, Long> since,
+            Consumer<Action> actions) {
         for (Attempt a : at(machine)) {
             if (a.incarnation != incarnation) {
                 continue; // of an earlier life: lifeOver ends those
@@ -248,11 +371,25 @@
             if (held.contains(a.id)) {
                 place(now, a, actions);
             } else if (a.state == State.OPEN) {
-                // guards against a machine that had to forget how an attempt ended: its silence then proves nothing
+                // guards against a machine that had to forget how an attempt ended: its silence
+                // then proves nothing
                 boolean remembers = a.sentAt > since.getOrDefault(a.effect, now - UNSAID_MEMORY);
-                end(now, a, remembers ? Outcome.UNREACHABLE : Outcome.LOST, Reason.NONE, null, actions);
+                end(
+                        now,
+                        a,
+                        remembers ? Outcome.UNREACHABLE : Outcome.LOST,
+                        Reason.NONE,
+                        null,
+                        actions);
             } else {
-                over(now, a, Outcome.LOST, Reason.NONE, a.wanted == null ? Fate.LOST : a.wanted, null, actions);
+                over(
+                        now,
+                        a,
+                        Outcome.LOST,
+                        Reason.NONE,
+                        a.wanted == null ? Fate.LOST : a.wanted,
+                        null,
+                        actions);
             }
         }
         for (String id : new LinkedHashSet<>(held)) {
@@ -261,7 +398,9 @@
                     said(now, machine, id, Word.RUNS, Reason.NONE, true, null, actions);
                 }
             } else if (ours(id)) {
-                actions.accept(new Withdraw(machine, id)); // given up while it was away: its owner was told so
+                actions.accept(
+                        new Withdraw(
+                                machine, id)); // given up while it was away: its owner was told so
             } else {
                 actions.accept(new Adopt(machine, id));
             }
@@ -269,8 +408,14 @@
     }
 
     /** Work of a former life, taken over: placed as attempt 0 of {@code request}. */
-    public void adopted(long now, String attempt, String request, String machine, long incarnation, Effect effect,
-                        boolean runs) {
+    public void adopted(
+            long now,
+            String attempt,
+            String request,
+            String machine,
+            long incarnation,
+            Effect effect,
+            boolean runs) {
         Attempt a = new Attempt(attempt, request, 0, machine, incarnation, effect, now, now);
         a.state = State.PLACED;
         a.runs = runs;
@@ -286,7 +431,14 @@
             if (a.state == State.OPEN) {
                 end(now, a, Outcome.LOST, Reason.NONE, null, actions);
             } else {
-                over(now, a, Outcome.LOST, Reason.NONE, a.wanted == null ? Fate.LOST : a.wanted, null, actions);
+                over(
+                        now,
+                        a,
+                        Outcome.LOST,
+                        Reason.NONE,
+                        a.wanted == null ? Fate.LOST : a.wanted,
+                        null,
+                        actions);
             }
         }
     }
@@ -308,7 +460,8 @@
         for (Attempt a : new ArrayList<>(open.values())) {
             if (now >= a.until) {
                 actions.accept(new Withdraw(a.machine, a.id));
-                if (byId.get(a.id) == a) { // else it was never sent, and the withdrawal has ended it
+                if (byId.get(a.id)
+                        == a) { // else it was never sent, and the withdrawal has ended it
                     end(now, a, Outcome.TIMED_OUT, Reason.NONE, null, actions);
                 }
             }
--- a/decisions/src/main/java/thornferry/decisions/Buckets.java
+++ b/decisions/src/main/java/thornferry/decisions/Buckets.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Token buckets by name, filled by time, by deed, or by both. Bounded: a bucket that is full again is forgotten, for
- * it would begin full. Times are microseconds.
+ * Token buckets by name, filled by time, by deed, or by both. Bounded: a bucket that is full again
+ * is forgotten, for it would begin full. Times are microseconds.
  */
 final class Buckets {
     private static final class Bucket {
@@ -21,7 +21,9 @@
     private double most;
     private int sweepAt = SWEEP_ABOVE;
 
-    /** @param most what a bucket holds at the most, and at first */
+    /**
+     * @param most what a bucket holds at the most, and at first
+     */
     Buckets(double perSecond, double most) {
         set(perSecond, most);
     }
@@ -50,7 +52,7 @@
         if (buckets.size() < sweepAt) {
             return;
         }
-        for (Iterator<Bucket> i = buckets.values().iterator(); i.hasNext();) {
+        for (Iterator<Bucket> i = buckets.values().iterator(); i.hasNext(); ) {
             Bucket b = i.next();
             if (b.tokens + (now - b.at) * perSecond / 1e6 >= most) {
                 i.remove();
--- a/decisions/src/main/java/thornferry/decisions/Fleet.java
+++ b/decisions/src/main/java/thornferry/decisions/Fleet.java
@@ -10,12 +10,21 @@
 import thornferry.decisions.Placement.MachineState;
 
 /**
- * What has been seen of the machines, for the line and for reasons: state, size, the last report of room and the last
- * refusal. Observed beside the module and never asked by it: where a task goes is not decided here. Microseconds.
+ * What has been seen of the machines, for the line and for reasons: state, size, the last report of
+ * room and the last refusal. Observed beside the module and never asked by it: where a task goes is
+ * not decided here. Microseconds.
  */
 public final class Fleet {
     /** Why a machine turned an offer down, in its own words. */
-    public enum Said { NO_CORES, NO_MEMORY, OFFERS_WAIT, KEY_HELD, DRAINING, NOT_HERE, NONE }
+    public enum Said {
+        NO_CORES,
+        NO_MEMORY,
+        OFFERS_WAIT,
+        KEY_HELD,
+        DRAINING,
+        NOT_HERE,
+        NONE
+    }
 
     /** One machine; {@code out} where it has no connection or is held out, microseconds. */
     static final class Seen {
@@ -27,7 +36,9 @@
         double coresFree;
         double memoryFree;
         Said refused = Said.NONE; // not taken back by a reading since
-        boolean silent; // it left an offer unanswered, or was out of reach, and has not answered since
+        boolean silent; // it left an offer unanswered, or was out of reach, and has not answered
+
+        // since
 
         Seen(String name) {
             this.name = name;
@@ -127,7 +138,10 @@
         }
     }
 
-    /** Whether a ready machine shows so much room; its report may be old, so this is a hint, not an answer. */
+    /**
+     * Whether a ready machine shows so much room; its report may be old, so this is a hint, not an
+     * answer.
+     */
     public boolean mayFit(double cores, double memory) {
         for (Seen m : machines.values()) {
             if (m.state == MachineState.READY && m.coresFree >= cores && m.memoryFree >= memory) {
@@ -156,8 +170,9 @@
 
     /** Whether the task is a large one: this part of the largest ready machine. */
     boolean large(double cores, double memory, double part) {
-        return part < 1 && (cores >= part * largestCores && largestCores > 0
-            || memory >= part * largestMemory && largestMemory > 0);
+        return part < 1
+                && (cores >= part * largestCores && largestCores > 0
+                        || memory >= part * largestMemory && largestMemory > 0);
     }
 
     /** The larger of the parts of all ready machines; of 1 where there are none. */
--- a/decisions/src/main/java/thornferry/decisions/Line.java
+++ b/decisions/src/main/java/thornferry/decisions/Line.java
@@ -13,53 +13,99 @@
 import thornferry.decisions.LineSettings.Limit;
 
 /**
- * The waiting line: which task the module is asked to place next, which waits, and which is refused early.
+ * The waiting line: which task the module is asked to place next, which waits, and which is refused
+ * early.
  *
- * <p>Between tenants the one with the lowest dominant share for its weight comes next, within a tenant the class of
- * most worth, then first asks, then the earliest deadline; every {@link LineSettings#oldestTurn}-th turn is the oldest's. So <b>a task
- * that no limit holds is asked for after at most {@code oldestTurn * (n + 1)} others</b>, n being those that came before
- * it and wait still. The line never says where a task goes. Times are microseconds.
+ * <p>Between tenants the one with the lowest dominant share for its weight comes next, within a
+ * tenant the class of most worth, then first asks, then the earliest deadline; every {@link
+ * LineSettings#oldestTurn}-th turn is the oldest's. So <b>a task that no limit holds is asked for
+ * after at most {@code oldestTurn * (n + 1)} others</b>, n being those that came before it and wait
+ * still. The line never says where a task goes. Times are microseconds.
  */
 public final class Line {
     /**
-     * One ask. {@code turnedBy} is the machine that turned the task down last time, empty for none; {@code runsFor} 0
-     * if unknown.
+     * One ask. {@code turnedBy} is the machine that turned the task down last time, empty for none;
+     * {@code runsFor} 0 if unknown.
      */
-    public record Item(String request, String owner, String tenant, String taskClass, double worth, double cores,
-                       double memory, long deadline, long runsFor, boolean again, String turnedBy) { }
+    public record Item(
+            String request,
+            String owner,
+            String tenant,
+            String taskClass,
+            double worth,
+            double cores,
+            double memory,
+            long deadline,
+            long runsFor,
+            boolean again,
+            String turnedBy) {}
 
     /** Where a task stands. */
-    public enum Where { NOWHERE, LINE, PARKED, ASKED, OFFERED, PLACED }
+    public enum Where {
+        NOWHERE,
+        LINE,
+        PARKED,
+        ASKED,
+        OFFERED,
+        PLACED
+    }
 
-    /** A limit that holds a task back: whose ({@link Scope}), which, how much it allows, and until when if by time. */
-    public record Hold(Scope scope, String limit, double allows, double uses, long until) { }
+    /**
+     * A limit that holds a task back: whose ({@link Scope}), which, how much it allows, and until
+     * when if by time.
+     */
+    public record Hold(Scope scope, String limit, double allows, double uses, long until) {}
 
-    public enum Scope { OWNER, TENANT, ALL }
+    public enum Scope {
+        OWNER,
+        TENANT,
+        ALL
+    }
 
     /**
-     * @param hold      the limit that holds it, or null
-     * @param nextLook  of a parked one: when it is asked for again at the latest
-     * @param behind    its tenant is above its share and others come first
+     * @param hold the limit that holds it, or null
+     * @param nextLook of a parked one: when it is asked for again at the latest
+     * @param behind its tenant is above its share and others come first
      * @param gathering room is kept for a larger task
      */
-    public record Standing(Where where, Hold hold, long nextLook, boolean behind, boolean gathering, long arrived) { }
+    public record Standing(
+            Where where,
+            Hold hold,
+            long nextLook,
+            boolean behind,
+            boolean gathering,
+            long arrived) {}
 
-    public sealed interface Action { }
+    public sealed interface Action {}
 
     /** Ask the module; so much patience is left. */
-    public record Release(String request, long patience) implements Action { }
+    public record Release(String request, long patience) implements Action {}
 
     /** The module no longer needs to hold it: it was never offered and waits in the line again. */
-    public record TakeBack(String request) implements Action { }
+    public record TakeBack(String request) implements Action {}
 
     /** Refuse it now rather than late. */
-    public record Turn(String request, String why, long retryAfter) implements Action { }
+    public record Turn(String request, String why, long retryAfter) implements Action {}
 
     /** Sums for operators. {@code overload} whether tasks are being shed. */
-    public record Counts(int line, int parked, int asked, int offered, int placed, boolean overload, long shed) { }
+    public record Counts(
+            int line,
+            int parked,
+            int asked,
+            int offered,
+            int placed,
+            boolean overload,
+            long shed) {}
 
     /** A tenant's or owner's use of its limits. */
-    public record Use(String name, int waiting, int tasks, double cores, double memory, double share, Limit limit) { }
+    public record Use(
+            String name,
+            int waiting,
+            int tasks,
+            double cores,
+            double memory,
+            double share,
+            Limit limit) {}
 
     private static final class Entry {
         final Item item;
@@ -125,7 +171,8 @@
     private static final class Tenant {
         final Group use;
         final TreeSet<Entry> heads = new TreeSet<>(ORDER);
-        final TreeMap<Double, Integer> byWorth = new TreeMap<>(); // waiting tasks that some machine could take
+        final TreeMap<Double, Integer> byWorth =
+                new TreeMap<>(); // waiting tasks that some machine could take
 
         Tenant(String name) {
             this.use = new Group(name);
@@ -133,15 +180,29 @@
     }
 
     private static final Comparator<Entry> AGE = Comparator.comparingLong(e -> e.seq);
-    /** First asks before repeated ones of equal worth, so that a storm that comes back takes only what is left. */
-    private static final Comparator<Entry> ORDER = Comparator.<Entry>comparingDouble(e -> -e.item.worth())
-        .thenComparing(e -> e.item.again()).thenComparingLong(e -> e.item.deadline()).thenComparing(AGE);
-    /** What cannot be asked for so long before its deadline is refused: the module answers 40 ms before it. */
+
+    /**
+     * First asks before repeated ones of equal worth, so that a storm that comes back takes only
+     * what is left.
+     */
+    private static final Comparator<Entry> ORDER =
+            Comparator.<Entry>comparingDouble(e -> -e.item.worth())
+                    .thenComparing(e -> e.item.again())
+                    .thenComparingLong(e -> e.item.deadline())
+                    .thenComparing(AGE);
+
+    /**
+     * What cannot be asked for so long before its deadline is refused: the module answers 40 ms
+     * before it.
+     */
     private static final long EARLY = 60_000;
+
     /** Parked tasks looked at when room comes. */
     private static final int SCAN = 256;
+
     private static final int LOOK_AGAIN_FACTOR = 16;
     private static final int GATHER_REST = 3;
+
     /** A tick later than this tells that we stood still; that time is not held against the line. */
     private static final long TICK_LATE = 250_000;
 
@@ -151,15 +212,19 @@
     private final Map<String, Owner> owners = new HashMap<>();
     private final Map<String, Tenant> tenants = new LinkedHashMap<>();
     private final Group all = new Group("");
-    private final TreeSet<Entry> oldest = new TreeSet<>(AGE); // the oldest of each owner that no limit holds
+    private final TreeSet<Entry> oldest =
+            new TreeSet<>(AGE); // the oldest of each owner that no limit holds
     private final TreeSet<Entry> parked = new TreeSet<>(ORDER);
-    private final TreeSet<Entry> due = new TreeSet<>(ORDER); // of the parked: their time came, though no room was seen to come
+    private final TreeSet<Entry> due =
+            new TreeSet<>(ORDER); // of the parked: their time came, though no room was seen to come
     private final PriorityQueue<Due> wakes = new PriorityQueue<>(Comparator.comparingLong(Due::at));
-    private final PriorityQueue<Due> deadlines = new PriorityQueue<>(Comparator.comparingLong(Due::at));
+    private final PriorityQueue<Due> deadlines =
+            new PriorityQueue<>(Comparator.comparingLong(Due::at));
     private final PriorityQueue<Long> ownerWakes = new PriorityQueue<>();
     private final LinkedHashMap<String, Entry> asked = new LinkedHashMap<>(); // in the order asked
     private final Buckets ownerRate = new Buckets(0, Double.POSITIVE_INFINITY);
-    private final Map<String, Buckets> ownRates = new HashMap<>(); // of owners and tenants with a limit of their own
+    private final Map<String, Buckets> ownRates =
+            new HashMap<>(); // of owners and tenants with a limit of their own
     private final Buckets tenantRate = new Buckets(0, Double.POSITIVE_INFINITY);
     private final Buckets allRate = new Buckets(0, Double.POSITIVE_INFINITY);
     private final Buckets retries = new Buckets(0, 1);
@@ -177,9 +242,11 @@
     private long gatherUntil = Long.MIN_VALUE / 2;
     private long gatherNext = Long.MIN_VALUE / 2;
 
-    private record Due(long at, Entry entry) { }
+    private record Due(long at, Entry entry) {}
 
-    /** @param seed for the spread of retry-after */
+    /**
+     * @param seed for the spread of retry-after
+     */
     public Line(LineSettings settings, Fleet fleet, long seed) {
         this.fleet = fleet;
         this.overload = new Overload(settings, seed);
@@ -194,11 +261,20 @@
         allRate.set(s.all().perSecond(), s.all().burst());
         retries.set(s.retryPerSecond(), Math.max(5, 2 * s.retryPerSecond()));
         ownRates.clear();
-        s.owners().forEach((name, l) -> ownRates.put("o" + name, new Buckets(l.perSecond(), l.burst())));
-        s.tenants().forEach((name, l) -> ownRates.put("t" + name, new Buckets(l.perSecond(), l.burst())));
+        s.owners()
+                .forEach(
+                        (name, l) ->
+                                ownRates.put("o" + name, new Buckets(l.perSecond(), l.burst())));
+        s.tenants()
+                .forEach(
+                        (name, l) ->
+                                ownRates.put("t" + name, new Buckets(l.perSecond(), l.burst())));
     }
 
-    /** Other settings from now on. What waits keeps its place and what runs goes on, also above a new limit. */
+    /**
+     * Other settings from now on. What waits keeps its place and what runs goes on, also above a
+     * new limit.
+     */
     public void reload(long now, LineSettings s, Consumer<Action> actions) {
         use(s);
         for (Owner o : owners.values()) {
@@ -237,7 +313,8 @@
         if (!item.again() || withinRetries(now, e)) {
             enqueue(now, e);
         } else {
-            // guards against owners who ask again and again, and machines that turn down again and again
+            // guards against owners who ask again and again, and machines that turn down again and
+            // again
             park(now, e, Math.min(retryReady(now, e), item.deadline() - 2 * EARLY), true);
         }
         pump(now, actions);
@@ -265,10 +342,15 @@
         Limit own = settings.ofOwner(i.owner());
         Limit tenant = settings.ofTenant(i.tenant());
         if (i.cores() > own.cores() || i.memory() > own.memory()) {
-            return "it asks for more than your limit of " + Words.number(own.cores()) + " cores and " + Words.number(own.memory())
-                + " memory";
-        } else if (i.cores() > tenant.cores() || i.memory() > tenant.memory() || i.cores() > settings.all().cores()
-            || i.memory() > settings.all().memory()) {
+            return "it asks for more than your limit of "
+                    + Words.number(own.cores())
+                    + " cores and "
+                    + Words.number(own.memory())
+                    + " memory";
+        } else if (i.cores() > tenant.cores()
+                || i.memory() > tenant.memory()
+                || i.cores() > settings.all().cores()
+                || i.memory() > settings.all().memory()) {
             return "it asks for more than your tenant or the site may have at all";
         } else if (e.owner.use.waiting >= own.waiting()) {
             return "your limit of waiting tasks: " + Words.number(own.waiting());
@@ -278,15 +360,19 @@
         if (settings.refuse().contains(i.taskClass())) {
             Hold hold = hold(now, e);
             if (hold != null) {
-                return words(hold) + ", and tasks of class " + i.taskClass() + " do not wait for it";
+                return words(hold)
+                        + ", and tasks of class "
+                        + i.taskClass()
+                        + " do not wait for it";
             }
         }
         if (overload.pressed(now)) {
             // guards against answering late what can be answered early: it would wait in vain
             double ahead = wouldWait(e);
             if (ahead > i.deadline() - now) {
-                return "the placer is overloaded: about " + Words.number(Math.rint(ahead / 1e5) / 10)
-                    + " s would pass before its turn";
+                return "the placer is overloaded: about "
+                        + Words.number(Math.rint(ahead / 1e5) / 10)
+                        + " s would pass before its turn";
             }
         }
         return null;
@@ -350,7 +436,10 @@
         busy(e, 1);
     }
 
-    /** Nothing is owed for the request any more: refused, failed, stopped, or its placed task is over. */
+    /**
+     * Nothing is owed for the request any more: refused, failed, stopped, or its placed task is
+     * over.
+     */
     public void over(long now, String request, Consumer<Action> actions) {
         Entry e = entries.remove(request);
         if (e != null) {
@@ -365,7 +454,10 @@
     /** Only what waited long, could have been taken and was held by no limit tells of overload. */
     private void late(long now, Entry e) {
         boolean hasty = e.item.deadline() - e.arrived < settings.interval() / 2;
-        if (e.couldFit && !hasty && !e.forRetry && (e.where != Where.LINE || e.owner.hold == null)) {
+        if (e.couldFit
+                && !hasty
+                && !e.forRetry
+                && (e.where != Where.LINE || e.owner.hold == null)) {
             overload.late(now);
         }
     }
@@ -386,7 +478,10 @@
         forgetIdle(e.owner);
     }
 
-    /** Takes it out of whatever it is in. Where it was not at the module, it no longer counts as waiting. */
+    /**
+     * Takes it out of whatever it is in. Where it was not at the module, it no longer counts as
+     * waiting.
+     */
     private void leave(long now, Entry e) {
         switch (e.where) {
             case LINE -> {
@@ -400,7 +495,7 @@
             }
             case ASKED -> unask(e);
             case OFFERED -> offered--;
-            default -> { }
+            default -> {}
         }
     }
 
@@ -419,7 +514,8 @@
         e.owner.tenant.use.waiting += sign;
         all.waiting += sign;
         if (e.couldFit) {
-            e.owner.tenant.byWorth.merge(e.item.worth(), sign, (a, b) -> a + b == 0 ? null : Integer.valueOf(a + b));
+            e.owner.tenant.byWorth.merge(
+                    e.item.worth(), sign, (a, b) -> a + b == 0 ? null : Integer.valueOf(a + b));
         }
     }
 
@@ -454,7 +550,9 @@
         list(now, e.owner);
     }
 
-    /** Lists an owner's head with its tenant, and its oldest, unless a limit of its own holds it. */
+    /**
+     * Lists an owner's head with its tenant, and its oldest, unless a limit of its own holds it.
+     */
     private void list(long now, Owner o) {
         Entry head = o.queue.isEmpty() ? null : o.queue.first();
         o.hold = head == null ? null : ownHold(now, head);
@@ -491,14 +589,21 @@
 
     private Hold ownHold(long now, Entry e) {
         String name = e.item.owner();
-        return hold(now, Scope.OWNER, settings.ofOwner(name), e.owner.use, e, ownerRate(name),
-            name);
+        return hold(
+                now, Scope.OWNER, settings.ofOwner(name), e.owner.use, e, ownerRate(name), name);
     }
 
     private Hold sharedHold(long now, Entry e) {
         Tenant t = e.owner.tenant;
-        Hold hold = hold(now, Scope.TENANT, settings.ofTenant(t.use.name), t.use, e,
-            tenantRate(t.use.name), t.use.name);
+        Hold hold =
+                hold(
+                        now,
+                        Scope.TENANT,
+                        settings.ofTenant(t.use.name),
+                        t.use,
+                        e,
+                        tenantRate(t.use.name),
+                        t.use.name);
         return hold != null ? hold : hold(now, Scope.ALL, settings.all(), all, e, allRate, "");
     }
 
@@ -510,7 +615,8 @@
         return ownRates.isEmpty() ? tenantRate : ownRates.getOrDefault("t" + name, tenantRate);
     }
 
-    private static Hold hold(long now, Scope scope, Limit limit, Group use, Entry e, Buckets rate, String name) {
+    private static Hold hold(
+            long now, Scope scope, Limit limit, Group use, Entry e, Buckets rate, String name) {
         if (use.tasks + 1 > limit.tasks()) {
             return new Hold(scope, "tasks", limit.tasks(), use.tasks, Long.MAX_VALUE / 4);
         } else if (use.cores + e.item.cores() > limit.cores() + 1e-9) {
@@ -518,7 +624,12 @@
         } else if (use.memory + e.item.memory() > limit.memory() + 1e-9) {
             return new Hold(scope, "memory", limit.memory(), use.memory, Long.MAX_VALUE / 4);
         } else if (limit.perSecond() < Double.POSITIVE_INFINITY && !rate.has(now, name)) {
-            return new Hold(scope, "tasks a second", limit.perSecond(), limit.perSecond(), rate.ready(now, name));
+            return new Hold(
+                    scope,
+                    "tasks a second",
+                    limit.perSecond(),
+                    limit.perSecond(),
+                    rate.ready(now, name));
         }
         return null;
     }
@@ -528,16 +639,23 @@
         if (!machine || !retries.has(now, "o" + e.item.owner())) {
             return false;
         }
-        retries.take(now, "o" + e.item.owner()); // the machine's is taken when something is offered there
+        retries.take(
+                now,
+                "o" + e.item.owner()); // the machine's is taken when something is offered there
         return true;
     }
 
     private long retryReady(long now, Entry e) {
         long own = retries.ready(now, "o" + e.item.owner());
-        return e.item.turnedBy().isEmpty() ? own : Math.max(own, retries.ready(now, "m" + e.item.turnedBy()));
+        return e.item.turnedBy().isEmpty()
+                ? own
+                : Math.max(own, retries.ready(now, "m" + e.item.turnedBy()));
     }
 
-    /** Releases what may go now. A release may lead to calls of this very object, so each step looks anew. */
+    /**
+     * Releases what may go now. A release may lead to calls of this very object, so each step looks
+     * anew.
+     */
     private void pump(long now, Consumer<Action> actions) {
         if (pumping) {
             return;
@@ -556,7 +674,10 @@
         }
     }
 
-    /** Those whose time came get at most half of the window, so that what fits nowhere never keeps others waiting. */
+    /**
+     * Those whose time came get at most half of the window, so that what fits nowhere never keeps
+     * others waiting.
+     */
     private void lookAgain(long now, Consumer<Action> actions) {
         if (due.isEmpty()) {
             return;
@@ -607,8 +728,11 @@
     }
 
     private Entry firstOf(long now, Tenant t) {
-        return t.heads.stream().limit(SCAN).filter(e -> sharedHold(now, e) == null && !gathersAgainst(now, e)).findFirst()
-            .orElse(null);
+        return t.heads.stream()
+                .limit(SCAN)
+                .filter(e -> sharedHold(now, e) == null && !gathersAgainst(now, e))
+                .findFirst()
+                .orElse(null);
     }
 
     private void release(long now, Entry e, Consumer<Action> actions) {
@@ -643,7 +767,8 @@
         while (!ownerWakes.isEmpty() && ownerWakes.peek() <= now) {
             ownerWakes.poll();
             if (ownerWakes.isEmpty() || ownerWakes.peek() > now) {
-                new ArrayList<>(owners.values()).stream().filter(o -> o.hold != null).forEach(o -> list(now, o));
+                new ArrayList<>(owners.values())
+                        .stream().filter(o -> o.hold != null).forEach(o -> list(now, o));
             }
         }
         wake(now);
@@ -691,7 +816,8 @@
 
     private void unpark(long now, Entry e) {
         if (e.forRetry && !withinRetries(now, e) && e.item.deadline() - now > 3 * EARLY) {
-            e.notBefore = Math.max(now + 1, Math.min(retryReady(now, e), e.item.deadline() - 2 * EARLY));
+            e.notBefore =
+                    Math.max(now + 1, Math.min(retryReady(now, e), e.item.deadline() - 2 * EARLY));
             wakes.add(new Due(e.notBefore, e));
             return;
         }
@@ -702,8 +828,9 @@
     }
 
     /**
-     * Guards against a window full of tasks that find no room while others wait that would: what the module holds for
-     * long and never offered goes back, so nothing that it knows of the task's attempts is lost.
+     * Guards against a window full of tasks that find no room while others wait that would: what
+     * the module holds for long and never offered goes back, so nothing that it knows of the task's
+     * attempts is lost.
      */
     private void takeBack(long now, Consumer<Action> actions) {
         if (asked.size() < settings.window() || all.waiting == 0) {
@@ -719,7 +846,11 @@
                 count(e, 1);
                 long most = settings.lookAgain() * LOOK_AGAIN_FACTOR;
                 long wait = e.couldFit ? settings.lookAgain() << Math.min(4, e.looks++) : most;
-                park(now, e, Math.min(now + Math.min(wait, most), e.item.deadline() - 2 * EARLY), false);
+                park(
+                        now,
+                        e,
+                        Math.min(now + Math.min(wait, most), e.item.deadline() - 2 * EARLY),
+                        false);
                 list(now, e.owner);
                 actions.accept(new TakeBack(e.item.request()));
             }
@@ -732,8 +863,12 @@
             overload.waited(0);
         } else if (overload.untold()) {
             // nothing was released: what would be next tells how it stands
-            Entry next = oldest.stream().limit(SCAN).filter(e -> sharedHold(now, e) == null).findFirst()
-                .orElse(parked.isEmpty() ? null : parked.first());
+            Entry next =
+                    oldest.stream()
+                            .limit(SCAN)
+                            .filter(e -> sharedHold(now, e) == null)
+                            .findFirst()
+                            .orElse(parked.isEmpty() ? null : parked.first());
             double waited = next == null ? 0 : next.waited(now);
             if (waited < settings.target() || overload.intervalOver(now)) {
                 overload.waited(waited);
@@ -753,10 +888,16 @@
         }
     }
 
-    /** How long it would wait behind all of its tenant that are worth as much or more, at the present rate of placing. */
+    /**
+     * How long it would wait behind all of its tenant that are worth as much or more, at the
+     * present rate of placing.
+     */
     private double wouldWait(Entry e) {
         Tenant t = e.owner.tenant;
-        int ahead = t.byWorth.tailMap(e.item.worth(), true).values().stream().mapToInt(Integer::intValue).sum();
+        int ahead =
+                t.byWorth.tailMap(e.item.worth(), true).values().stream()
+                        .mapToInt(Integer::intValue)
+                        .sum();
         return ahead * 1e6 / Math.max(0.1, overload.placedPerSecond() * part(t));
     }
 
@@ -778,7 +919,9 @@
         }
         Entry worst = null;
         for (Owner o : owners.values()) {
-            if (o.tenant == most && !o.queue.isEmpty() && (worst == null || ORDER.compare(o.queue.last(), worst) > 0)) {
+            if (o.tenant == most
+                    && !o.queue.isEmpty()
+                    && (worst == null || ORDER.compare(o.queue.last(), worst) > 0)) {
                 worst = o.queue.last();
             }
         }
@@ -801,9 +944,15 @@
     }
 
     // ---- large tasks ----
-    /** Whether a smaller task of less worth is held back now; a short one that ends in time is let by. */
+    /**
+     * Whether a smaller task of less worth is held back now; a short one that ends in time is let
+     * by.
+     */
     private boolean gathersAgainst(long now, Entry e) {
-        if (gatherFor == null || now >= gatherUntil || e == gatherFor || e.item.worth() >= gatherFor.item.worth()) {
+        if (gatherFor == null
+                || now >= gatherUntil
+                || e == gatherFor
+                || e.item.worth() >= gatherFor.item.worth()) {
             return false;
         }
         boolean backfill = e.item.runsFor() > 0 && now + e.item.runsFor() <= gatherUntil;
@@ -811,19 +960,26 @@
     }
 
     private void gather(long now) {
-        if (gatherFor != null && (now >= gatherUntil || gatherFor.where == Where.PLACED
-            || gatherFor.where == Where.OFFERED)) {
+        if (gatherFor != null
+                && (now >= gatherUntil
+                        || gatherFor.where == Where.PLACED
+                        || gatherFor.where == Where.OFFERED)) {
             gatherFor = null;
         }
-        if (gatherFor != null || now < gatherNext || settings.gatherFor() <= 0 || settings.large() >= 1) {
+        if (gatherFor != null
+                || now < gatherNext
+                || settings.gatherFor() <= 0
+                || settings.large() >= 1) {
             return;
         }
         Entry largest = null;
         List<Entry> candidates = new ArrayList<>(asked.values());
         candidates.addAll(firstParked());
         for (Entry e : candidates) {
-            boolean waitsForRoom = now - e.arrived >= settings.gatherAfter() && !e.forRetry
-                && fleet.large(e.item.cores(), e.item.memory(), settings.large());
+            boolean waitsForRoom =
+                    now - e.arrived >= settings.gatherAfter()
+                            && !e.forRetry
+                            && fleet.large(e.item.cores(), e.item.memory(), settings.large());
             if (waitsForRoom && (largest == null || ORDER.compare(e, largest) < 0)) {
                 largest = e;
             }
@@ -890,33 +1046,68 @@
     }
 
     public Counts counts() {
-        return new Counts(all.waiting - parked.size(), parked.size(), asked.size(), offered, placed, overload.on(),
-            shedTotal);
+        return new Counts(
+                all.waiting - parked.size(),
+                parked.size(),
+                asked.size(),
+                offered,
+                placed,
+                overload.on(),
+                shedTotal);
     }
 
     public List<Use> tenantUse() {
-        return tenants.values().stream().map(t -> new Use(t.use.name, t.use.waiting, t.use.tasks, t.use.cores,
-            t.use.memory, fleet.dominant(t.use.cores, t.use.memory), settings.ofTenant(t.use.name))).toList();
+        return tenants.values().stream()
+                .map(
+                        t ->
+                                new Use(
+                                        t.use.name,
+                                        t.use.waiting,
+                                        t.use.tasks,
+                                        t.use.cores,
+                                        t.use.memory,
+                                        fleet.dominant(t.use.cores, t.use.memory),
+                                        settings.ofTenant(t.use.name)))
+                .toList();
     }
 
     /** An owner's use; zeros where nothing of it is in hand. */
     public Use ownerUse(String name) {
         Owner o = owners.get(name);
         Group g = o == null ? new Group(name) : o.use;
-        return new Use(name, g.waiting, g.tasks, g.cores, g.memory, fleet.dominant(g.cores, g.memory),
-            settings.ofOwner(name));
+        return new Use(
+                name,
+                g.waiting,
+                g.tasks,
+                g.cores,
+                g.memory,
+                fleet.dominant(g.cores, g.memory),
+                settings.ofOwner(name));
     }
 
     public Use allUse() {
-        return new Use("", all.waiting, all.tasks, all.cores, all.memory, fleet.dominant(all.cores, all.memory),
-            settings.all());
+        return new Use(
+                "",
+                all.waiting,
+                all.tasks,
+                all.cores,
+                all.memory,
+                fleet.dominant(all.cores, all.memory),
+                settings.all());
     }
 
     /** A hold in words, as an owner may read it. */
     public static String words(Hold h) {
-        String whose = h.scope() == Scope.OWNER ? "your limit of " : h.scope() == Scope.TENANT ? "your tenant's limit of "
-            : "the site's limit of ";
-        return whose + (h.limit().equals("asks again") ? "asks again" : Words.number(h.allows()) + " " + h.limit())
-            + " is reached";
+        String whose =
+                h.scope() == Scope.OWNER
+                        ? "your limit of "
+                        : h.scope() == Scope.TENANT
+                                ? "your tenant's limit of "
+                                : "the site's limit of ";
+        return whose
+                + (h.limit().equals("asks again")
+                        ? "asks again"
+                        : Words.number(h.allows()) + " " + h.limit())
+                + " is reached";
     }
 }
