--- a/decisions/src/main/java/thornferry/decisions/Membership.java
+++ b/decisions/src/main/java/thornferry/decisions/Membership.java
@@ -9,20 +9,24 @@
 import thornferry.decisions.Placement.MachineState;
 
 /**
- * Which machines there are, in which life, and whether they may be offered anything: from registrations, broken
- * connections and drains to the machine list of {@link Placement}.
+ * Which machines there are, in which life, and whether they may be offered anything: from
+ * registrations, broken connections and drains to the machine list of {@link Placement}.
  *
- * <p>A machine is known by its name, and its lives by their incarnations. A connection that breaks proves nothing
- * about what runs there: the machine is taken off the list at once, since nothing can be sent, but its tasks are given
- * up only after {@link Limits#goneAfter} or when a later incarnation registers. Times are microseconds.
+ * <p>A machine is known by its name, and its lives by their incarnations. A connection that breaks
+ * proves nothing about what runs there: the machine is taken off the list at once, since nothing
+ * can be sent, but its tasks are given up only after {@link Limits#goneAfter} or when a later
+ * incarnation registers. Times are microseconds.
  */
 public final class Membership {
     /**
-     * @param goneAfter   a machine without a connection for so long is gone, and what ran there is lost
-     * @param flaps       connections that a machine may lose within {@code flapWindow} without being held out
-     * @param flapWindow  see {@code flaps}
-     * @param heldOut     the first time for which a flapping machine gets nothing; doubles up to 16 times that
-     * @param machines    machines known at once, gone ones among them
+     * @param goneAfter a machine without a connection for so long is gone, and what ran there is
+     *     lost
+     * @param flaps connections that a machine may lose within {@code flapWindow} without being held
+     *     out
+     * @param flapWindow see {@code flaps}
+     * @param heldOut the first time for which a flapping machine gets nothing; doubles up to 16
+     *     times that
+     * @param machines machines known at once, gone ones among them
      */
     public record Limits(long goneAfter, int flaps, long flapWindow, long heldOut, int machines) {
         public Limits {
@@ -32,39 +36,67 @@
         }
     }
 
-    /** What a machine says of itself. {@code uptime} since this incarnation started; free figures count asks. */
-    public record Registration(String machine, long incarnation, String kind, String zone, int cell, double cores,
-                               double memory, long uptime, double coresFree, double memoryFree) { }
+    /**
+     * What a machine says of itself. {@code uptime} since this incarnation started; free figures
+     * count asks.
+     */
+    public record Registration(
+            String machine,
+            long incarnation,
+            String kind,
+            String zone,
+            int cell,
+            double cores,
+            double memory,
+            long uptime,
+            double coresFree,
+            double memoryFree) {}
 
     /** What is to be done; in the order given. */
-    public sealed interface Action { }
+    public sealed interface Action {}
 
     /** The module's list changed: hand it these lines. */
-    public record Changed(List<MachineEntry> lines) implements Action { }
+    public record Changed(List<MachineEntry> lines) implements Action {}
 
     /** End this connection, whose peer did what {@code why} says. */
-    public record CloseLink(long link, String why) implements Action { }
+    public record CloseLink(long link, String why) implements Action {}
 
     /** This life of the machine is over: whatever was placed or offered there is lost. */
-    public record LifeOver(String machine, long incarnation, String why) implements Action { }
+    public record LifeOver(String machine, long incarnation, String why) implements Action {}
 
-    /** A machine long gone is known no longer: another took its place among those that may be known. */
-    public record Forgotten(String machine) implements Action { }
+    /**
+     * A machine long gone is known no longer: another took its place among those that may be known.
+     */
+    public record Forgotten(String machine) implements Action {}
 
     /** The machine is connected by this link, in this life; its inventory holds what it has. */
-    public record Admitted(String machine, long incarnation, long link) implements Action { }
+    public record Admitted(String machine, long incarnation, long link) implements Action {}
 
     /** Tell the machine that it drains, or no longer does. */
-    public record TellDrain(String machine, long link, boolean on) implements Action { }
+    public record TellDrain(String machine, long link, boolean on) implements Action {}
 
-    /** A machine as an operator sees it; {@code note} says why it gets nothing, where it gets nothing. */
-    public record View(String machine, long incarnation, String kind, String zone, String state, double cores,
-                       double memory, String note) { }
+    /**
+     * A machine as an operator sees it; {@code note} says why it gets nothing, where it gets
+     * nothing.
+     */
+    public record View(
+            String machine,
+            long incarnation,
+            String kind,
+            String zone,
+            String state,
+            double cores,
+            double memory,
+            String note) {}
 
     private static final long NO_LINK = -1;
+
     /** Held out at most so many times the first time. */
     private static final int HELD_OUT_FACTOR = 16;
-    /** A tick later than this tells that we stood still; the time is then held against no machine. */
+
+    /**
+     * A tick later than this tells that we stood still; the time is then held against no machine.
+     */
     private static final long TICK_LATE = 250_000;
 
     private static final class Machine {
@@ -99,7 +131,10 @@
         if (wrong == null && links.containsKey(link) && !links.get(link).equals(r.machine())) {
             wrong = "this connection is registered as another node";
         }
-        if (wrong == null && m == null && machines.size() >= limits.machines() && !forgetOne(actions)) {
+        if (wrong == null
+                && m == null
+                && machines.size() >= limits.machines()
+                && !forgetOne(actions)) {
             wrong = "the placer knows as many nodes as it may: " + limits.machines();
         }
         if (wrong == null && m != null && r.incarnation() < m.is.incarnation()) {
@@ -114,19 +149,22 @@
             m = new Machine();
             machines.put(r.machine(), m);
         } else if (m.link != link && m.link != NO_LINK) {
-            // connected twice: the newer connection counts, for the older may be half-open without our knowing
+            // connected twice: the newer connection counts, for the older may be half-open without
+            // our knowing
             long old = m.link;
             unlink(now, m);
             actions.accept(new CloseLink(old, "registered again on another connection"));
         }
         if (m.is != null && r.incarnation() > m.is.incarnation()) {
             if (!m.over) {
-                actions.accept(new LifeOver(r.machine(), m.is.incarnation(), "it has started anew"));
+                actions.accept(
+                        new LifeOver(r.machine(), m.is.incarnation(), "it has started anew"));
             }
             m.is = null;
         }
         if (m.is == null) {
-            // kept for the whole life: a start that seemed to move would look like a restart to the module
+            // kept for the whole life: a start that seemed to move would look like a restart to the
+            // module
             m.started = Math.max(1, now - r.uptime());
         }
         m.is = r;
@@ -148,20 +186,41 @@
         } else if (r.zone().isEmpty()) {
             return "node " + r.machine() + " names no zone";
         } else if (kind == null) {
-            return "kind " + r.kind() + " is not configured; known: " + String.join(", ", kinds.keySet());
-        } else if (Math.abs(r.cores() - kind.cores()) > 1e-6 || Math.abs(r.memory() - kind.memory()) > 1e-6) {
-            return "kind " + r.kind() + " is configured with " + kind.cores() + " cores and " + kind.memory()
-                + " memory, not " + r.cores() + " and " + r.memory();
-        } else if (r.uptime() < 0 || !Double.isFinite(r.coresFree()) || !Double.isFinite(r.memoryFree())) {
+            return "kind "
+                    + r.kind()
+                    + " is not configured; known: "
+                    + String.join(", ", kinds.keySet());
+        } else if (Math.abs(r.cores() - kind.cores()) > 1e-6
+                || Math.abs(r.memory() - kind.memory()) > 1e-6) {
+            return "kind "
+                    + r.kind()
+                    + " is configured with "
+                    + kind.cores()
+                    + " cores and "
+                    + kind.memory()
+                    + " memory, not "
+                    + r.cores()
+                    + " and "
+                    + r.memory();
+        } else if (r.uptime() < 0
+                || !Double.isFinite(r.coresFree())
+                || !Double.isFinite(r.memoryFree())) {
             return "uptime and load must be numbers, uptime not below 0";
         }
         return null;
     }
 
-    /** Room for another by forgetting one that is gone and not being drained; false where there is none. */
+    /**
+     * Room for another by forgetting one that is gone and not being drained; false where there is
+     * none.
+     */
     private boolean forgetOne(Consumer<Action> actions) {
-        String gone = machines.entrySet().stream().filter(e -> e.getValue().over && !e.getValue().draining)
-            .map(Map.Entry::getKey).findFirst().orElse(null);
+        String gone =
+                machines.entrySet().stream()
+                        .filter(e -> e.getValue().over && !e.getValue().draining)
+                        .map(Map.Entry::getKey)
+                        .findFirst()
+                        .orElse(null);
         if (gone == null) {
             return false;
         }
@@ -170,7 +229,10 @@
         return true;
     }
 
-    /** A connection is over, whoever ended it. Unknown ones are ignored: they never registered, or were replaced. */
+    /**
+     * A connection is over, whoever ended it. Unknown ones are ignored: they never registered, or
+     * were replaced.
+     */
     public void linkClosed(long now, long link, Consumer<Action> actions) {
         String name = links.get(link);
         if (name != null) {
@@ -187,16 +249,22 @@
         m.breaks.add(now);
         m.breaks.removeIf(at -> at <= now - limits.flapWindow());
         if (m.breaks.size() > limits.flaps()) {
-            // guards against a machine whose link comes and goes: each return would draw offers that then hang
+            // guards against a machine whose link comes and goes: each return would draw offers
+            // that then hang
             boolean calm = now > m.heldOutUntil + limits.flapWindow();
-            m.heldOutFor = calm ? limits.heldOut()
-                : Math.min(limits.heldOut() * HELD_OUT_FACTOR, m.heldOutFor * 2);
+            m.heldOutFor =
+                    calm
+                            ? limits.heldOut()
+                            : Math.min(limits.heldOut() * HELD_OUT_FACTOR, m.heldOutFor * 2);
             m.heldOutUntil = now + m.heldOutFor;
             m.breaks.clear();
         }
     }
 
-    /** Starts or ends a drain; false where no such machine is known. A drain outlasts connections and lives. */
+    /**
+     * Starts or ends a drain; false where no such machine is known. A drain outlasts connections
+     * and lives.
+     */
     public boolean drain(long now, String machine, boolean on, Consumer<Action> actions) {
         Machine m = machines.get(machine);
         if (m == null) {
@@ -217,27 +285,45 @@
         for (Map.Entry<String, Machine> e : machines.entrySet()) {
             Machine m = e.getValue();
             if (late > TICK_LATE && m.link == NO_LINK) {
-                m.brokenAt += late; // guards against condemning all at once after a pause of our own
+                m.brokenAt +=
+                        late; // guards against condemning all at once after a pause of our own
             }
             if (m.link == NO_LINK && !m.over && now - m.brokenAt > limits.goneAfter()) {
                 m.over = true;
-                actions.accept(new LifeOver(e.getKey(), m.is.incarnation(), "not heard of for "
-                    + limits.goneAfter() / 1_000 + " ms"));
+                actions.accept(
+                        new LifeOver(
+                                e.getKey(),
+                                m.is.incarnation(),
+                                "not heard of for " + limits.goneAfter() / 1_000 + " ms"));
             }
             tell(now, m, actions);
         }
     }
 
     private void tell(long now, Machine m, Consumer<Action> actions) {
-        MachineState state = m.link == NO_LINK || now < m.heldOutUntil ? MachineState.GONE
-            : m.draining ? MachineState.DRAINING : MachineState.READY;
+        MachineState state =
+                m.link == NO_LINK || now < m.heldOutUntil
+                        ? MachineState.GONE
+                        : m.draining ? MachineState.DRAINING : MachineState.READY;
         if (state != m.told) {
             m.told = state;
             Registration r = m.is;
-            // guards against a drain that ends long after: the module takes what the list shows for a reading
+            // guards against a drain that ends long after: the module takes what the list shows for
+            // a reading
             boolean fresh = now == m.registeredAt;
-            actions.accept(new Changed(List.of(new MachineEntry(r.machine(), r.zone(), r.kind(), r.cell(), state,
-                fresh ? r.coresFree() : Double.NaN, fresh ? r.memoryFree() : Double.NaN, 1, m.started))));
+            actions.accept(
+                    new Changed(
+                            List.of(
+                                    new MachineEntry(
+                                            r.machine(),
+                                            r.zone(),
+                                            r.kind(),
+                                            r.cell(),
+                                            state,
+                                            fresh ? r.coresFree() : Double.NaN,
+                                            fresh ? r.memoryFree() : Double.NaN,
+                                            1,
+                                            m.started))));
         }
     }
 
@@ -266,16 +352,37 @@
 
     public List<View> view(long now) {
         List<View> views = new ArrayList<>();
-        machines.forEach((name, m) -> {
-            String state = m.link == NO_LINK ? "gone" : m.draining ? "draining"
-                : now < m.heldOutUntil ? "held-out" : "ready";
-            String note = m.link == NO_LINK ? "no connection for " + (now - m.brokenAt) / 1_000_000 + " s"
-                + (m.draining ? ", drains" : "")
-                : now < m.heldOutUntil ? "its connection came and went too often; held out for "
-                    + (m.heldOutUntil - now) / 1_000_000 + " s more" : "";
-            views.add(new View(name, m.is.incarnation(), m.is.kind(), m.is.zone(), state, m.is.cores(),
-                m.is.memory(), note));
-        });
+        machines.forEach(
+                (name, m) -> {
+                    String state =
+                            m.link == NO_LINK
+                                    ? "gone"
+                                    : m.draining
+                                            ? "draining"
+                                            : now < m.heldOutUntil ? "held-out" : "ready";
+                    String note =
+                            m.link == NO_LINK
+                                    ? "no connection for "
+                                            + (now - m.brokenAt) / 1_000_000
+                                            + " s"
+                                            + (m.draining ? ", drains" : "")
+                                    : now < m.heldOutUntil
+                                            ? "its connection came and went too often; held out for"
+                                                    + " "
+                                                    + (m.heldOutUntil - now) / 1_000_000
+                                                    + " s more"
+                                            : "";
+                    views.add(
+                            new View(
+                                    name,
+                                    m.is.incarnation(),
+                                    m.is.kind(),
+                                    m.is.zone(),
+                                    state,
+                                    m.is.cores(),
+                                    m.is.memory(),
+                                    note));
+                });
         return views;
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/Overload.java
+++ b/decisions/src/main/java/thornferry/decisions/Overload.java
@@ -3,11 +3,13 @@
 import java.util.SplittableRandom;
 
 /**
- * Whether more is asked for than can be placed, when to shed the next task, and when those turned away are to come back.
+ * Whether more is asked for than can be placed, when to shed the next task, and when those turned
+ * away are to come back.
  *
- * <p>After CoDel (K. Nichols, V. Jacobson, "Controlling Queue Delay"): not the mean wait but the least one within an
- * interval tells a standing line from a burst that drains by itself; and waits are taken as parts of each task's patience,
- * since patience here differs by orders of magnitude. Times are microseconds.
+ * <p>After CoDel (K. Nichols, V. Jacobson, "Controlling Queue Delay"): not the mean wait but the
+ * least one within an interval tells a standing line from a burst that drains by itself; and waits
+ * are taken as parts of each task's patience, since patience here differs by orders of magnitude.
+ * Times are microseconds.
  */
 final class Overload {
     private static final long RATED_EVERY = 200_000;
@@ -90,8 +92,9 @@
     }
 
     /**
-     * Whether to turn away what would not be reached in time. Tasks of much worth are asked for at once also while those of
-     * little worth wait in vain, so the least wait alone does not tell; refusals that came late do.
+     * Whether to turn away what would not be reached in time. Tasks of much worth are asked for at
+     * once also while those of little worth wait in vain, so the least wait alone does not tell;
+     * refusals that came late do.
      */
     boolean pressed(long now) {
         return on || now - lateAt < 2 * settings.interval();
@@ -122,8 +125,9 @@
     }
 
     /**
-     * After how long to ask again. Guards against a second storm: those turned away together are given turns one after
-     * the other, each spread by chance, at the rate of placing that first asks leave over; a quarter of it at the least.
+     * After how long to ask again. Guards against a second storm: those turned away together are
+     * given turns one after the other, each spread by chance, at the rate of placing that first
+     * asks leave over; a quarter of it at the least.
      */
     long retryAfter(long now) {
         double spare = Math.max(placedPerSecond / 4, placedPerSecond - firstPerSecond);
@@ -132,7 +136,8 @@
         long most = settings.retryMost();
         long least = settings.retryLeast();
         if (wait > most) {
-            // more than can be promised turns: spread over the whole time, for any crowd within it is a second storm
+            // more than can be promised turns: spread over the whole time, for any crowd within it
+            // is a second storm
             nextSlot = now + most;
             return least / 2 + random.nextLong(Math.max(1, most - least / 2));
         }
--- a/decisions/src/main/java/thornferry/decisions/Placement.java
+++ b/decisions/src/main/java/thornferry/decisions/Placement.java
@@ -6,32 +6,71 @@
 /**
  * The interface of the placement module: what a placer is told, and what it may do.
  *
- * <p>One instance decides for one placer. Its host hands it every event together with the present time and carries
- * out the actions in the order given. All times and durations are microseconds; {@code now} never goes back.
+ * <p>One instance decides for one placer. Its host hands it every event together with the present
+ * time and carries out the actions in the order given. All times and durations are microseconds;
+ * {@code now} never goes back.
  */
 public interface Placement {
 
-    /** Takes one event and hands to {@code actions}, in order, whatever is to be done at this very moment. */
+    /**
+     * Takes one event and hands to {@code actions}, in order, whatever is to be done at this very
+     * moment.
+     */
     void on(long now, Event event, Consumer<Action> actions);
 
     /** Whether a second start of a task does harm. */
-    enum Effect { SAFE, KEYED, UNSAFE }
+    enum Effect {
+        SAFE,
+        KEYED,
+        UNSAFE
+    }
 
-    /** A set of machines that belong together: for dropping the repeats of a key, or for spreading a service. */
-    enum Scope { NONE, MACHINE, CELL, ZONE, ALL }
+    /**
+     * A set of machines that belong together: for dropping the repeats of a key, or for spreading a
+     * service.
+     */
+    enum Scope {
+        NONE,
+        MACHINE,
+        CELL,
+        ZONE,
+        ALL
+    }
 
     /** How load reports reach the placer. */
-    enum Reports { NONE, WITH_ANSWERS, ON_PROBE }
+    enum Reports {
+        NONE,
+        WITH_ANSWERS,
+        ON_PROBE
+    }
 
-    /** What a list message holds: all machines (as last held, or fresh), changed ones only, or nothing. */
-    enum ListKind { CACHED, FULL, DELTA, FAILED }
+    /**
+     * What a list message holds: all machines (as last held, or fresh), changed ones only, or
+     * nothing.
+     */
+    enum ListKind {
+        CACHED,
+        FULL,
+        DELTA,
+        FAILED
+    }
 
-    enum MachineState { GONE, READY, DRAINING }
+    enum MachineState {
+        GONE,
+        READY,
+        DRAINING
+    }
 
     /** How an attempt ended. */
     enum Outcome {
-        ENDED(false), ERROR(false), REFUSED(true), TIMED_OUT(false), UNREACHABLE(true), LOST(false),
-        CANCELLED(false), NOT_SENT(true);
+        ENDED(false),
+        ERROR(false),
+        REFUSED(true),
+        TIMED_OUT(false),
+        UNREACHABLE(true),
+        LOST(false),
+        CANCELLED(false),
+        NOT_SENT(true);
 
         /** True where the outcome proves that the task never ran. */
         public final boolean neverRan;
@@ -42,20 +81,61 @@
     }
 
     /** Why an attempt ended so, where told. */
-    enum Reason { NONE, NO_CORES, NO_MEMORY, OFFERS_WAIT, NOT_HERE, EVICTED, PUSHED_OUT, SENT_AWAY }
+    enum Reason {
+        NONE,
+        NO_CORES,
+        NO_MEMORY,
+        OFFERS_WAIT,
+        NOT_HERE,
+        EVICTED,
+        PUSHED_OUT,
+        SENT_AWAY
+    }
 
     /** Why a listed, ready machine gets no offer of a held task now; see {@link Held}. */
     enum Cause {
-        TOO_SMALL, WRONG_KIND, NO_CORES, NO_MEMORY, REFUSED, OUT_OF_TRUST, CLASS_OUT, CROWDED, FAILED_IT, KEY_GROUP,
-        COLD, SPREAD
+        TOO_SMALL,
+        WRONG_KIND,
+        NO_CORES,
+        NO_MEMORY,
+        REFUSED,
+        OUT_OF_TRUST,
+        CLASS_OUT,
+        CROWDED,
+        FAILED_IT,
+        KEY_GROUP,
+        COLD,
+        SPREAD
     }
 
-    enum NoteKind { RUNS, CORES_USED, MEMORY_USED, SERVED, MACHINE_MEMORY }
+    enum NoteKind {
+        RUNS,
+        CORES_USED,
+        MEMORY_USED,
+        SERVED,
+        MACHINE_MEMORY
+    }
 
-    /** A class of tasks. {@code spreadMost} counts only where {@code spread} is not NONE; kind -1 means any. */
-    record TaskClass(String name, Effect effect, Scope keyScope, long keyWindow, long aim, long deadline,
-                     double worth, double lateWorth, double startSeconds, double calm, double fade, int priority,
-                     int needsKind, Scope spread, int spreadMost) {
+    /**
+     * A class of tasks. {@code spreadMost} counts only where {@code spread} is not NONE; kind -1
+     * means any.
+     */
+    record TaskClass(
+            String name,
+            Effect effect,
+            Scope keyScope,
+            long keyWindow,
+            long aim,
+            long deadline,
+            double worth,
+            double lateWorth,
+            double startSeconds,
+            double calm,
+            double fade,
+            int priority,
+            int needsKind,
+            Scope spread,
+            int spreadMost) {
         public TaskClass {
             check(name != null, "class name");
             check(effect != null, "class effect");
@@ -75,7 +155,10 @@
         }
     }
 
-    /** A tenant; {@code cores} is what it may ask for over all placers inside its share, 0 where not told. */
+    /**
+     * A tenant; {@code cores} is what it may ask for over all placers inside its share, 0 where not
+     * told.
+     */
     record Tenant(String name, double share, double cores) {
         public Tenant {
             check(name != null, "tenant name");
@@ -83,17 +166,39 @@
         }
     }
 
-    record Prices(double fleet, double moves, double waste, double crossZone, double probe, double listLines,
-                  double refusedOffer, double evictionAsMoves) {
+    record Prices(
+            double fleet,
+            double moves,
+            double waste,
+            double crossZone,
+            double probe,
+            double listLines,
+            double refusedOffer,
+            double evictionAsMoves) {
         public Prices {
-            check(finite(fleet) && finite(moves) && finite(waste) && finite(crossZone) && finite(probe)
-                && finite(listLines) && finite(refusedOffer) && finite(evictionAsMoves), "prices");
+            check(
+                    finite(fleet)
+                            && finite(moves)
+                            && finite(waste)
+                            && finite(crossZone)
+                            && finite(probe)
+                            && finite(listLines)
+                            && finite(refusedOffer)
+                            && finite(evictionAsMoves),
+                    "prices");
         }
     }
 
     /** The figures of the rules; {@code coldOffers} within {@code coldWindow} are always borne. */
-    record Rules(long answerGrace, long drainGrace, long mustAskIn, double coldFrom, long rampTime,
-                 double coldMultiple, long coldWindow, double coldOffers) {
+    record Rules(
+            long answerGrace,
+            long drainGrace,
+            long mustAskIn,
+            double coldFrom,
+            long rampTime,
+            double coldMultiple,
+            long coldWindow,
+            double coldOffers) {
         public Rules {
             check(answerGrace >= 0 && drainGrace >= 0 && mustAskIn >= 0, "rules grace");
             check(rampTime >= 0 && coldWindow >= 0 && finite(coldOffers), "rules cold machine");
@@ -101,20 +206,48 @@
         }
     }
 
-    record Limits(boolean probes, boolean cancelling, boolean retryAfter, boolean secondAttempts, int attempts,
-                  long maxRetryAfter) {
+    record Limits(
+            boolean probes,
+            boolean cancelling,
+            boolean retryAfter,
+            boolean secondAttempts,
+            int attempts,
+            long maxRetryAfter) {
         public Limits {
             check(attempts > 0, "limits attempts");
         }
     }
 
-    /** Everything that a placer is told at its start. {@code reportNames} order the values of a load report. */
-    record Settings(long seed, int number, int instances, String zone, List<TaskClass> classes,
-                    List<MachineKind> kinds, List<Tenant> tenants, Reports reports, List<String> reportNames,
-                    boolean countsUsed, boolean listShowsRoom, boolean mustAskForList, boolean placedWhenRunning,
-                    boolean useNotes, boolean displaces, boolean oneHome, double acceptCores, double acceptMemory,
-                    double meanCores, double meanMemory, double overShareWorth, long ownerWait, Prices prices,
-                    Rules rules, Limits limits) {
+    /**
+     * Everything that a placer is told at its start. {@code reportNames} order the values of a load
+     * report.
+     */
+    record Settings(
+            long seed,
+            int number,
+            int instances,
+            String zone,
+            List<TaskClass> classes,
+            List<MachineKind> kinds,
+            List<Tenant> tenants,
+            Reports reports,
+            List<String> reportNames,
+            boolean countsUsed,
+            boolean listShowsRoom,
+            boolean mustAskForList,
+            boolean placedWhenRunning,
+            boolean useNotes,
+            boolean displaces,
+            boolean oneHome,
+            double acceptCores,
+            double acceptMemory,
+            double meanCores,
+            double meanMemory,
+            double overShareWorth,
+            long ownerWait,
+            Prices prices,
+            Rules rules,
+            Limits limits) {
         public Settings {
             check(instances > 0, "instances");
             check(number >= 0, "number");
@@ -138,71 +271,110 @@
         }
     }
 
-    /** One line of the machine list; {@code started} is the last start's time, 0 for long ago; room NaN if not told. */
-    record MachineEntry(String machine, String zone, String kind, int cell, MachineState state, double coresFree,
-                        double memoryFree, double weight, long started) { }
+    /**
+     * One line of the machine list; {@code started} is the last start's time, 0 for long ago; room
+     * NaN if not told.
+     */
+    record MachineEntry(
+            String machine,
+            String zone,
+            String kind,
+            int cell,
+            MachineState state,
+            double coresFree,
+            double memoryFree,
+            double weight,
+            long started) {}
 
-    /** A task as its owner asks for it; {@code patience} until it stops waiting, {@code runsFor} 0 if unknown. */
-    record Ask(String id, String taskClass, String tenant, String task, long patience, long runsFor, String service,
-               double cores, double memory, boolean again) { }
+    /**
+     * A task as its owner asks for it; {@code patience} until it stops waiting, {@code runsFor} 0
+     * if unknown.
+     */
+    record Ask(
+            String id,
+            String taskClass,
+            String tenant,
+            String task,
+            long patience,
+            long runsFor,
+            String service,
+            double cores,
+            double memory,
+            boolean again) {}
 
-    sealed interface Event { }
+    sealed interface Event {}
 
-    record MachineList(long version, ListKind kind, List<MachineEntry> entries) implements Event { }
+    record MachineList(long version, ListKind kind, List<MachineEntry> entries) implements Event {}
 
-    record Asked(Ask ask) implements Event { }
+    record Asked(Ask ask) implements Event {}
 
     /** A task that runs already and is now this placer's to look after, as its attempt 0. */
-    record Running(Ask ask, String machine) implements Event { }
+    record Running(Ask ask, String machine) implements Event {}
 
-    record Noted(String id, int attempt, String machine, NoteKind kind, double level) implements Event { }
+    record Noted(String id, int attempt, String machine, NoteKind kind, double level)
+            implements Event {}
 
-    record Placed(String id, int attempt, String machine, long waited) implements Event { }
+    record Placed(String id, int attempt, String machine, long waited) implements Event {}
 
-    /** The one outcome of an attempt; {@code settled} when nothing more is owed. A report may be null. */
-    record Ended(String id, int attempt, String machine, Outcome outcome, long waited, boolean settled,
-                 Reason reason, double[] report) implements Event { }
+    /**
+     * The one outcome of an attempt; {@code settled} when nothing more is owed. A report may be
+     * null.
+     */
+    record Ended(
+            String id,
+            int attempt,
+            String machine,
+            Outcome outcome,
+            long waited,
+            boolean settled,
+            Reason reason,
+            double[] report)
+            implements Event {}
 
-    record Probed(String machine, boolean answered, long waited, double[] report) implements Event { }
+    record Probed(String machine, boolean answered, long waited, double[] report)
+            implements Event {}
 
-    record OwnerLeft(String id) implements Event { }
+    record OwnerLeft(String id) implements Event {}
 
-    record Timer(long ref) implements Event { }
+    record Timer(long ref) implements Event {}
 
-    sealed interface Action { }
+    sealed interface Action {}
 
     /** Offers the task to a machine; attempts are numbered 0, 1, 2 ... in order. */
-    record Offer(String id, String machine, long timeout) implements Action { }
+    record Offer(String id, String machine, long timeout) implements Action {}
 
-    record Cancel(String id, int attempt) implements Action { }
+    record Cancel(String id, int attempt) implements Action {}
 
     /** Stops a placed task; its owner soon asks anew. */
-    record Move(String id) implements Action { }
+    record Move(String id) implements Action {}
 
     /** A final no that says trying again is harmless; {@code retryAfter} 0 gives no hint. */
-    record Refuse(String id, long retryAfter) implements Action { }
+    record Refuse(String id, long retryAfter) implements Action {}
 
     /** A final no that promises nothing. */
-    record Fail(String id) implements Action { }
+    record Fail(String id) implements Action {}
 
-    record Probe(String machine) implements Action { }
+    record Probe(String machine) implements Action {}
 
-    record SetTimer(long at, long ref) implements Action { }
+    record SetTimer(long at, long ref) implements Action {}
 
-    record Subscribe(boolean on) implements Action { }
+    record Subscribe(boolean on) implements Action {}
 
-    record FetchList() implements Action { }
+    record FetchList() implements Action {}
 
-    record Log(String text) implements Action { }
+    record Log(String text) implements Action {}
 
     /**
-     * The task is held, for no machine will do now; told again whenever that changes. Nothing is to be done.
+     * The task is held, for no machine will do now; told again whenever that changes. Nothing is to
+     * be done.
      *
-     * @param causes  how many ready machines there are for each {@link Cause}, in the order of its constants
+     * @param causes how many ready machines there are for each {@link Cause}, in the order of its
+     *     constants
      * @param closest the machine that lacks the least room, empty where room is not what any lacks
-     * @param cores   what it lacks, at least
+     * @param cores what it lacks, at least
      */
-    record Held(String id, List<Integer> causes, String closest, double cores, double memory) implements Action { }
+    record Held(String id, List<Integer> causes, String closest, double cores, double memory)
+            implements Action {}
 
     private static void check(boolean good, String field) {
         if (!good) {
--- a/decisions/src/main/java/thornferry/decisions/Policy.java
+++ b/decisions/src/main/java/thornferry/decisions/Policy.java
@@ -7,98 +7,168 @@
 /**
  * All decisions of one placer. The interface (settings, events, actions) is in Placement.java.
  *
- * <p>Ordinary path of an ask: eligible machines, a sample of about the root of their number, the lowest
- * weighted score of filtered figures, one offer. Everything else here guards that path where it breaks.
+ * <p>Ordinary path of an ask: eligible machines, a sample of about the root of their number, the
+ * lowest weighted score of filtered figures, one offer. Everything else here guards that path where
+ * it breaks.
  */
 public final class Policy implements Placement {
     // ---- constants: times in microseconds ----
     private static final int CORES = 0, MEMORY = 1, BUSY = 2, QUEUE = 3; // places of the figures
     private static final long MS = 1_000;
     private static final long SECOND = 1_000_000;
+
     /** Held asks, deadlines and probes are looked after this often: fine beside any aim. */
     private static final long TICK = 20 * MS;
+
     /** Held asks are tried again when there is news, and after this long without any. */
     private static final long RETRY = 100 * MS;
+
     /** A final answer goes out this long before the owner's patience ends: two ticks. */
     private static final long ANSWER_EARLY = 2 * TICK;
-    /** The fast half's Q: readings are late but not noisy, so it follows them with a gain near 0.8. */
+
+    /**
+     * The fast half's Q: readings are late but not noisy, so it follows them with a gain near 0.8.
+     */
     private static final double FAST_Q = 3.0;
-    /** The error that a reset leaves the slow half: at 4 its first step is 0.8, later ones shrink. */
+
+    /**
+     * The error that a reset leaves the slow half: at 4 its first step is 0.8, later ones shrink.
+     */
     private static final double RESET_ERROR = 4.0;
+
     /** Sampled machines per root of the eligible ones. */
     private static final double SAMPLE_FACTOR = 2.0;
-    /** A report misses binds younger than this (refresh and delay), a list line those younger than that. */
+
+    /**
+     * A report misses binds younger than this (refresh and delay), a list line those younger than
+     * that.
+     */
     private static final long REPORT_LAG = 1100 * MS;
+
     private static final long LIST_LAG = 2500 * MS;
+
     /** Tasks use this part of what they ask until notes on own tasks tell better. */
     private static final double USUAL_USE = 0.75;
-    /** Memory above this part in use slows tasks and soon evicts: kept clear of by weight, then by filter. */
+
+    /**
+     * Memory above this part in use slows tasks and soon evicts: kept clear of by weight, then by
+     * filter.
+     */
     private static final double MEMORY_CALM = 0.85;
+
     private static final double MEMORY_FULL = 0.95;
-    /** How far into the fade of the calmest class a machine may be filled before asks rather wait. */
+
+    /**
+     * How far into the fade of the calmest class a machine may be filled before asks rather wait.
+     */
     private static final double FADE_ALLOWED = 0.3;
+
     /** The part of a machine's room that a class of no worth leaves to the class of most worth. */
     private static final double KEPT_FOR_WORTH = 0.15;
+
     /** Weights of the score's figures. */
     private static final double W_OVER = 3.0;
+
     private static final double W_START = 0.5;
     private static final double W_QUEUE = 0.6;
     private static final double W_LEAN = 0.3;
-    private static final double SPREAD_LEAN = 2.5; // times the lean, where machines in use cost nothing
-    /** A start without the program weighs as so many with it: used to count what waits at a machine. */
+    private static final double SPREAD_LEAN =
+            2.5; // times the lean, where machines in use cost nothing
+
+    /**
+     * A start without the program weighs as so many with it: used to count what waits at a machine.
+     */
     private static final double SETUP = 6.0;
+
     /** A machine keeps a program about so long after its last task here. */
     private static final long KEPT = 8 * SECOND;
+
     /**
-     * The machines that a service's program is expected on, by a hash all share: where placers are many, or
-     * more than homes, one sees so few of a service's tasks that its own tell it less.
+     * The machines that a service's program is expected on, by a hash all share: where placers are
+     * many, or more than homes, one sees so few of a service's tasks that its own tell it less.
      */
     private static final int HOMES = 7;
-    private static final double HOME_FIRST = 0.1; // what a home counts as of a new program, each further one
+
+    private static final double HOME_FIRST =
+            0.1; // what a home counts as of a new program, each further one
     private static final double HOME_NEXT = 0.12;
-    private static final double HOME_WEIGHT = 3.0; // times W_START there: only together do homes hold
-    /** Where placers are many and readings old, an ask waits so long for probes of so many machines. */
+    private static final double HOME_WEIGHT =
+            3.0; // times W_START there: only together do homes hold
+
+    /**
+     * Where placers are many and readings old, an ask waits so long for probes of so many machines.
+     */
     private static final int PROBED = 3;
+
     private static final long PROBE_WAIT = 80 * MS;
     private static final long PROBE_FRESH = 400 * MS;
-    /** Where machines outnumber placers: a period for each, longer where this placer has few asks. */
+
+    /**
+     * Where machines outnumber placers: a period for each, longer where this placer has few asks.
+     */
     private static final long PROBE_PERIOD = 700 * MS;
+
     private static final long PROBE_PERIOD_MOST = 2 * SECOND;
     private static final double PROBES_PER_ASK = 2.0;
-    /** Where the list shows room, which it does for nothing, probes may cost so much of an ask's worth. */
+
+    /**
+     * Where the list shows room, which it does for nothing, probes may cost so much of an ask's
+     * worth.
+     */
     private static final double PROBE_SPEND = 0.008;
+
     /** Bounds of an attempt's time-out; between them it follows the waits seen. */
     private static final long TIMEOUT_LEAST = 600 * MS;
-    private static final long TIMEOUT_RUNNING = 1500 * MS; // where the answer comes only when the task runs
+
+    private static final long TIMEOUT_RUNNING =
+            1500 * MS; // where the answer comes only when the task runs
     private static final long TIMEOUT_MOST = 3 * SECOND;
+
     /** A machine that let an attempt time out sits out this long, doubling to the most. */
     private static final long SUSPECT_LEAST = 1 * SECOND;
+
     private static final long SUSPECT_MOST = 8 * SECOND;
-    private static final long CLASS_OUT_LEAST = 2 * SECOND; // likewise one class, which no probe brings back
+    private static final long CLASS_OUT_LEAST =
+            2 * SECOND; // likewise one class, which no probe brings back
     private static final long CLASS_OUT_MOST = 16 * SECOND;
+
     /** How much of a machine's record of errors each placing there leaves. */
     private static final double FAULTS_KEPT = 0.7;
+
     /**
-     * Where readings count use, what is asked for is only inferred: so much is taken off it, since a refused
-     * offer corrects a guess too low at once and nothing corrects one too high.
+     * Where readings count use, what is asked for is only inferred: so much is taken off it, since
+     * a refused offer corrects a guess too low at once and nothing corrects one too high.
      */
     private static final double HOPE = 1.15;
+
     private static final long[] NEVER_OUT = {Long.MIN_VALUE, 0};
     private static final long CROWDED_FOR = 200 * MS;
-    /** A machine that sends its tasks away sits out so long, unless it starts anew: lists are less late. */
+
+    /**
+     * A machine that sends its tasks away sits out so long, unless it starts anew: lists are less
+     * late.
+     */
     private static final long LEAVING = 5 * SECOND;
+
     /** The part of its share of a cold machine's budget that a placer spends. */
     private static final double COLD_PART = 0.8;
+
     /** Offers are counted over so many windows, for one may reach a machine later than the next. */
     private static final double COLD_SPAN = 1.25;
+
     /** Where a share is under one offer: how long a placer's turn to send one lasts, in windows. */
     private static final double COLD_TURN = 0.5;
+
     /** A lost subscription is renewed after this, doubling to the most; well inside mustAskIn. */
     private static final long RENEW_LEAST = 300 * MS;
+
     private static final long RENEW_MOST = 2 * SECOND;
 
     // ---- the two-speed filter ----
-    /** Scalar Kalman filter in two speeds: follows rises fast, falls slowly; see DESIGN for the resets. */
+    /**
+     * Scalar Kalman filter in two speeds: follows rises fast, falls slowly; see DESIGN for the
+     * resets.
+     */
     static final class Filter {
         private double slow;
         private double fast;
@@ -121,7 +191,8 @@
             fastError *= 1 - gain;
             boolean above = z > slow;
             if (above != rising) {
-                slow = fast; // falling: go on where the fast half left off; rising: decay later from its peak
+                slow = fast; // falling: go on where the fast half left off; rising: decay later
+                // from its peak
                 slowError = RESET_ERROR;
                 rising = above;
             }
@@ -134,7 +205,7 @@
 
     // ---- machines ----
     /** A change in own tasks that readings may not show yet. */
-    private record Change(long at, double cores, double memory) { }
+    private record Change(long at, double cores, double memory) {}
 
     private static final class Machine {
         final String id;
@@ -153,11 +224,13 @@
         long suspectFor;
         boolean suspect, unreachable, crowded;
         long answeredAt = Long.MIN_VALUE / 2;
-        final Map<String, long[]> classOut = new HashMap<>(); // until when it gets none of it, for how long
+        final Map<String, long[]> classOut =
+                new HashMap<>(); // until when it gets none of it, for how long
         double faults; // the part of late offers that erred here and were taken elsewhere
         long coldUntil = Long.MIN_VALUE;
         final ArrayDeque<Long> offers = new ArrayDeque<>(); // within the cold window
-        long refusedAt = Long.MIN_VALUE; // a refusal tells of room: less than this, but for own tasks since
+        long refusedAt =
+                Long.MIN_VALUE; // a refusal tells of room: less than this, but for own tasks since
         final double[] refused = {Double.MAX_VALUE, Double.MAX_VALUE};
         long heardAt = Long.MIN_VALUE / 2; // when the last reading or probe came
         boolean probing;
@@ -168,7 +241,10 @@
             forget();
         }
 
-        /** Guards against frozen figures: a machine that starts anew is empty, whatever its last readings. */
+        /**
+         * Guards against frozen figures: a machine that starts anew is empty, whatever its last
+         * readings.
+         */
         void forget() {
             Arrays.setAll(figures, i -> new Filter());
             Arrays.fill(last, 0);
@@ -265,7 +341,8 @@
     private final double[] waitSpread = {50 * MS, 50 * MS};
     private final double[] use = new double[2]; // what own tasks use, of what they ask for
     private final double[] useOf = new double[2];
-    private final int[] causes = new int[Cause.values().length]; // of the task looked at last, as below
+    private final int[] causes =
+            new int[Cause.values().length]; // of the task looked at last, as below
     private Machine closest;
     private double leastLack;
     private final double[] lack = new double[2];
@@ -313,7 +390,11 @@
         } else if (event instanceof Timer) {
             tick();
         }
-        long due = lastTick + (!held.isEmpty() || !many() ? TICK : suspects || !subscribed ? RETRY : SECOND);
+        long due =
+                lastTick
+                        + (!held.isEmpty() || !many()
+                                ? TICK
+                                : suspects || !subscribed ? RETRY : SECOND);
         due = Math.max(now + 1, due);
         if (due < timerAt) {
             timerAt = due;
@@ -321,7 +402,10 @@
         }
     }
 
-    /** More placers than machines: this one sees little of each, and where programs run only by chance. */
+    /**
+     * More placers than machines: this one sees little of each, and where programs run only by
+     * chance.
+     */
     private boolean many() {
         return settings.instances() > machines.size();
     }
@@ -334,7 +418,8 @@
     // ---- the list, the subscription, probes ----
     private void machineList(MachineList e) {
         if (e.kind() == ListKind.FAILED) {
-            // guards against a list that silently goes stale: any failed call may have been the subscription
+            // guards against a list that silently goes stale: any failed call may have been the
+            // subscription
             subscribed = false;
             renewAt = now + renewWait;
             renewWait = Math.min(RENEW_MOST, renewWait * 2);
@@ -346,11 +431,14 @@
             renewAt = now;
             renew();
         }
-        if (e.kind() != ListKind.DELTA) { // whoever a whole list lacks is gone, though no line says so
-            machines.values().forEach(m -> {
-                m.ready = false;
-                m.goneAt = Math.min(m.goneAt, now);
-            });
+        if (e.kind()
+                != ListKind.DELTA) { // whoever a whole list lacks is gone, though no line says so
+            machines.values()
+                    .forEach(
+                            m -> {
+                                m.ready = false;
+                                m.goneAt = Math.min(m.goneAt, now);
+                            });
         }
         e.entries().forEach(this::listed);
         ready.clear();
@@ -386,11 +474,17 @@
             m.coveredTo(Long.MAX_VALUE);
             m.classOut.clear();
             m.faults = 0;
-            own.values().forEach(at -> at.computeIfPresent(m, (k, there) -> there.tasks == 0 ? null : there));
+            own.values()
+                    .forEach(
+                            at ->
+                                    at.computeIfPresent(
+                                            m, (k, there) -> there.tasks == 0 ? null : there));
             m.forget();
         }
-        if (settings.listShowsRoom() && (settings.reports() == Reports.NONE || !m.heard()
-            || m.readFrom < now - LIST_LAG)) {
+        if (settings.listShowsRoom()
+                && (settings.reports() == Reports.NONE
+                        || !m.heard()
+                        || m.readFrom < now - LIST_LAG)) {
             read(m, entry.coresFree(), entry.memoryFree(), LIST_LAG); // stands in for a report
         }
     }
@@ -434,13 +528,26 @@
         if (settings.reports() == Reports.NONE || due.isEmpty() || many()) {
             return;
         }
-        double dear = settings.listShowsRoom() ? settings.prices().probe() * PROBES_PER_ASK / PROBE_SPEND : 0;
-        double period = Math.max(1, dear) * Math.max(PROBE_PERIOD, Math.min(PROBE_PERIOD_MOST,
-            SECOND * due.size() / (PROBES_PER_ASK * Math.max(0.1, askRate))));
+        double dear =
+                settings.listShowsRoom()
+                        ? settings.prices().probe() * PROBES_PER_ASK / PROBE_SPEND
+                        : 0;
+        double period =
+                Math.max(1, dear)
+                        * Math.max(
+                                PROBE_PERIOD,
+                                Math.min(
+                                        PROBE_PERIOD_MOST,
+                                        SECOND
+                                                * due.size()
+                                                / (PROBES_PER_ASK * Math.max(0.1, askRate))));
         probeCredit = Math.min(due.size(), probeCredit + passed * due.size() / period);
         due.sort(Comparator.comparingLong(m -> m.heardAt));
-        // where answers bear reports, only a machine that none came from: its figures would stay frozen
-        for (int i = 0; i < due.size() && probeCredit >= 1 && now - due.get(i).heardAt >= period; i++) {
+        // where answers bear reports, only a machine that none came from: its figures would stay
+        // frozen
+        for (int i = 0;
+                i < due.size() && probeCredit >= 1 && now - due.get(i).heardAt >= period;
+                i++) {
             probeCredit--;
             probe(due.get(i));
         }
@@ -480,13 +587,19 @@
         if (now >= timerAt) {
             timerAt = Long.MAX_VALUE;
         }
-        if (now - prunedAt >= KEPT) { // nothing is kept of services that are over and machines long gone
+        if (now - prunedAt
+                >= KEPT) { // nothing is kept of services that are over and machines long gone
             prunedAt = now;
-            own.values().forEach(at -> at.values().removeIf(o -> o.tasks == 0 && o.last < now - KEPT));
+            own.values()
+                    .forEach(at -> at.values().removeIf(o -> o.tasks == 0 && o.last < now - KEPT));
             own.values().removeIf(Map::isEmpty);
             // one that comes back soon is known still
-            machines.values().removeIf(m -> m.goneAt < now - CLASS_OUT_MOST
-                && own.values().stream().noneMatch(at -> at.containsKey(m)));
+            machines.values()
+                    .removeIf(
+                            m ->
+                                    m.goneAt < now - CLASS_OUT_MOST
+                                            && own.values().stream()
+                                                    .noneMatch(at -> at.containsKey(m)));
         }
         renew();
         probeSome(passed);
@@ -499,7 +612,9 @@
         if (tasks.containsKey(ask.id())) {
             return;
         }
-        Task t = new Task(ask, classes.getOrDefault(ask.taskClass(), settings.classes().get(0)), now);
+        Task t =
+                new Task(
+                        ask, classes.getOrDefault(ask.taskClass(), settings.classes().get(0)), now);
         tasks.put(ask.id(), t);
         if (seesFew() && !settings.oneHome()) {
             t.homes = homes(t);
@@ -507,11 +622,18 @@
         placeOrHold(t);
     }
 
-    /** Where the service's program is expected: placers that list the same machines come to the same. */
+    /**
+     * Where the service's program is expected: placers that list the same machines come to the
+     * same.
+     */
     private List<Machine> homes(Task t) {
         List<Machine> ranked = new ArrayList<>(ready);
         long seed = (long) t.ask.service().hashCode() << 32;
-        ranked.forEach(m -> m.rank = -Math.log(1 - random(seed ^ m.id.hashCode())) / (1e-9 + m.size[CORES]));
+        ranked.forEach(
+                m ->
+                        m.rank =
+                                -Math.log(1 - random(seed ^ m.id.hashCode()))
+                                        / (1e-9 + m.size[CORES]));
         ranked.sort(Comparator.comparingDouble(m -> m.rank));
         return new ArrayList<>(ranked.subList(0, Math.min(HOMES, ranked.size())));
     }
@@ -521,11 +643,14 @@
     }
 
     /**
-     * Guards against old readings where placers are many and machines tell only when probed: before the first
-     * offer its homes are, where the list shows no room; where it does, the best few after a failed offer.
+     * Guards against old readings where placers are many and machines tell only when probed: before
+     * the first offer its homes are, where the list shows no room; where it does, the best few
+     * after a failed offer.
      */
     private boolean waitsForProbes(Task t, List<Machine> sample) {
-        boolean probes = settings.reports() == Reports.ON_PROBE && t.attempts > 0 == settings.listShowsRoom();
+        boolean probes =
+                settings.reports() == Reports.ON_PROBE
+                        && t.attempts > 0 == settings.listShowsRoom();
         if (!probes || !many()) {
             return false;
         }
@@ -534,14 +659,20 @@
             t.probedFor = t.attempts;
             t.probesUntil = now + PROBE_WAIT;
             t.probed = new ArrayList<>(of.subList(0, Math.min(PROBED, of.size())));
-            t.probed.stream().filter(m -> m.readFrom < now - REPORT_LAG - PROBE_FRESH).forEach(this::probe);
-        } else if (t.attempts > 0 && t.probed.stream().anyMatch(m -> !m.probing && sample.contains(m))) {
+            t.probed.stream()
+                    .filter(m -> m.readFrom < now - REPORT_LAG - PROBE_FRESH)
+                    .forEach(this::probe);
+        } else if (t.attempts > 0
+                && t.probed.stream().anyMatch(m -> !m.probing && sample.contains(m))) {
             sample.removeIf(m -> m.probing || !t.probed.contains(m));
         }
         return now < t.probesUntil && t.probed.stream().anyMatch(m -> m.probing);
     }
 
-    /** Offers, holds, or answers at once where patience is so short that no tick comes before it ends. */
+    /**
+     * Offers, holds, or answers at once where patience is so short that no tick comes before it
+     * ends.
+     */
     private void placeOrHold(Task t) {
         boolean late = now >= t.deadline - ANSWER_EARLY;
         if (cannotTryAgain(t) || now >= t.deadline - TICK || !place(t) && late) {
@@ -555,8 +686,13 @@
     /** Only on a change, since held tasks are looked at many times a second. */
     private void tellWhy(Task t) {
         List<Integer> counts = Arrays.stream(causes).boxed().toList();
-        Held why = new Held(t.ask.id(), counts, closest == null ? "" : closest.id,
-            Math.rint(100 * closestLack[CORES]) / 100, Math.rint(100 * closestLack[MEMORY]) / 100);
+        Held why =
+                new Held(
+                        t.ask.id(),
+                        counts,
+                        closest == null ? "" : closest.id,
+                        Math.rint(100 * closestLack[CORES]) / 100,
+                        Math.rint(100 * closestLack[MEMORY]) / 100);
         if (!why.equals(t.told)) {
             t.told = why;
             actions.accept(why);
@@ -583,8 +719,9 @@
     }
 
     private boolean cannotTryAgain(Task t) {
-        return t.attempts >= settings.limits().attempts() || t.mayHaveRun && t.cls.effect() == Effect.UNSAFE
-            || t.keyBound() && now >= t.mayHaveRunFrom + t.cls.keyWindow() - TICK;
+        return t.attempts >= settings.limits().attempts()
+                || t.mayHaveRun && t.cls.effect() == Effect.UNSAFE
+                || t.keyBound() && now >= t.mayHaveRunFrom + t.cls.keyWindow() - TICK;
     }
 
     /** Offers the task to a machine if any will do; false if it has to wait. */
@@ -602,8 +739,13 @@
             sample.addAll(own.getOrDefault(t.ask.service(), Map.of()).keySet());
         }
         sample.retainAll(fit);
-        int drawn = (int) Math.min(fit.size(),
-            Math.ceil(SAMPLE_FACTOR * Math.sqrt(many() ? ready.size() : fit.size())));
+        int drawn =
+                (int)
+                        Math.min(
+                                fit.size(),
+                                Math.ceil(
+                                        SAMPLE_FACTOR
+                                                * Math.sqrt(many() ? ready.size() : fit.size())));
         for (int i = 0; i < drawn; i++) {
             Collections.swap(fit, i, i + random.nextInt(fit.size() - i));
             sample.add(fit.get(i));
@@ -644,16 +786,21 @@
         }
         boolean asBig = t.asks[CORES] >= m.refused[CORES] || t.asks[MEMORY] >= m.refused[MEMORY];
         if (m.refusedAt >= m.readFrom && asBig) {
-            return Cause.REFUSED; // guards against offering over and over on a reading older than the refusal
+            return Cause
+                    .REFUSED; // guards against offering over and over on a reading older than the
+            // refusal
         }
         Cause room = lacksRoom(m, t);
-        return room != null ? room : !withinCold(m) ? Cause.COLD : !withinSpread(m, t) ? Cause.SPREAD : null;
+        return room != null
+                ? room
+                : !withinCold(m) ? Cause.COLD : !withinSpread(m, t) ? Cause.SPREAD : null;
     }
 
     private static boolean sameGroup(Scope scope, Machine a, Machine b) {
         return switch (scope) {
             case ALL -> true;
-            case ZONE -> a.entry != null && b.entry != null && a.entry.zone().equals(b.entry.zone());
+            case ZONE ->
+                    a.entry != null && b.entry != null && a.entry.zone().equals(b.entry.zone());
             case CELL -> a.entry != null && b.entry != null && a.entry.cell() == b.entry.cell();
             default -> a == b;
         };
@@ -666,9 +813,16 @@
         }
         for (int r = CORES; r <= MEMORY; r++) {
             double asked = m.last[r] / (settings.countsUsed() ? HOPE * use[r] / useOf[r] : 1);
-            double over = used(m, t, r) - (m.heard() ? 0 : mean[r]) - (r == CORES ? calm : MEMORY_FULL);
-            lack[r] = Math.max(0, Math.max(t.asks[r] + m.uncoveredSum[r] + asked - accepts(m, t, r),
-                over > 0 ? over * m.size[r] / Math.max(1e-9, use[r] / useOf[r]) : 0));
+            double over =
+                    used(m, t, r) - (m.heard() ? 0 : mean[r]) - (r == CORES ? calm : MEMORY_FULL);
+            lack[r] =
+                    Math.max(
+                            0,
+                            Math.max(
+                                    t.asks[r] + m.uncoveredSum[r] + asked - accepts(m, t, r),
+                                    over > 0
+                                            ? over * m.size[r] / Math.max(1e-9, use[r] / useOf[r])
+                                            : 0));
         }
         if (lack[CORES] <= 0 && lack[MEMORY] <= 0) {
             return null;
@@ -683,29 +837,40 @@
     }
 
     private double accepts(Machine m, Task t, int r) {
-        double open = 1 - KEPT_FOR_WORTH * clamp(1 - 1.5 * t.cls.worth() / mostWorth); // near equals share
-        return open * (r == CORES ? settings.acceptCores() : settings.acceptMemory()) * m.size[r] + 1e-9;
+        double open =
+                1
+                        - KEPT_FOR_WORTH
+                                * clamp(1 - 1.5 * t.cls.worth() / mostWorth); // near equals share
+        return open * (r == CORES ? settings.acceptCores() : settings.acceptMemory()) * m.size[r]
+                + 1e-9;
     }
 
-    /** Whether the machine would not take the task, or not serve it well, with nothing else on it. */
+    /**
+     * Whether the machine would not take the task, or not serve it well, with nothing else on it.
+     */
     private boolean tooSmall(Machine m, Task t) {
-        return t.asks[CORES] > accepts(m, t, CORES) || t.asks[MEMORY] > accepts(m, t, MEMORY)
-            || t.asks[CORES] * use[CORES] / useOf[CORES] > calm * m.size[CORES]
-            || t.asks[MEMORY] * use[MEMORY] / useOf[MEMORY] > MEMORY_FULL * m.size[MEMORY];
+        return t.asks[CORES] > accepts(m, t, CORES)
+                || t.asks[MEMORY] > accepts(m, t, MEMORY)
+                || t.asks[CORES] * use[CORES] / useOf[CORES] > calm * m.size[CORES]
+                || t.asks[MEMORY] * use[MEMORY] / useOf[MEMORY] > MEMORY_FULL * m.size[MEMORY];
     }
 
     /** The part of the machine in use with the task there. */
     private double used(Machine m, Task t, int r) {
         return (m.heard() ? figure(m, r) : mean[r])
-            + (t.asks[r] + m.uncoveredSum[r]) * use[r] / useOf[r] / m.size[r];
+                + (t.asks[r] + m.uncoveredSum[r]) * use[r] / useOf[r] / m.size[r];
     }
 
     private double figure(Machine m, int r) {
-        return r == CORES && m.figures[BUSY].heard ? m.figures[BUSY].value()
-            : m.figures[r].value() * (settings.countsUsed() ? 1 : use[r] / useOf[r]);
+        return r == CORES && m.figures[BUSY].heard
+                ? m.figures[BUSY].value()
+                : m.figures[r].value() * (settings.countsUsed() ? 1 : use[r] / useOf[r]);
     }
 
-    /** The mean figures of the machines heard from, for those never heard from; fresh enough for a while. */
+    /**
+     * The mean figures of the machines heard from, for those never heard from; fresh enough for a
+     * while.
+     */
     private void means() {
         if (now - meanAt < (many() ? RETRY : 1)) {
             return;
@@ -730,22 +895,32 @@
         double cores = used(m, t, CORES);
         double memory = used(m, t, MEMORY);
         double over = clamp((cores - calm + 0.1) / 0.3) + clamp((memory - MEMORY_CALM) / 0.15);
-        double lean = settings.prices().fleet() > 0 ? 1 - Math.max(cores, memory)
-            : SPREAD_LEAN * Math.max(cores, memory);
+        double lean =
+                settings.prices().fleet() > 0
+                        ? 1 - Math.max(cores, memory)
+                        : SPREAD_LEAN * Math.max(cores, memory);
         double told = m.figures[QUEUE].heard ? m.figures[QUEUE].value() : mean[QUEUE];
         double queue = clamp(Math.max(told, m.startsWaiting) / 20);
         double start = W_START * (t.homes.isEmpty() ? 1 : HOME_WEIGHT) * newProgram(m, t);
-        // guards against a machine that answers by errors: they cost others little and fail an unsafe task
+        // guards against a machine that answers by errors: they cost others little and fail an
+        // unsafe task
         double fault = t.cls.effect() == Effect.UNSAFE ? W_OVER * m.faults : 0;
-        return W_OVER * over + W_LEAN * lean + start + W_QUEUE * queue + fault
-            + settings.prices().crossZone() * (m.entry.zone().equals(settings.zone()) ? 0 : 1);
+        return W_OVER * over
+                + W_LEAN * lean
+                + start
+                + W_QUEUE * queue
+                + fault
+                + settings.prices().crossZone() * (m.entry.zone().equals(settings.zone()) ? 0 : 1);
     }
 
     private static double clamp(double x) {
         return x < 0 ? 0 : Math.min(x, 1);
     }
 
-    /** 0 where own tasks tell that the program runs, little at a home, 1 where it likely has to be set up. */
+    /**
+     * 0 where own tasks tell that the program runs, little at a home, 1 where it likely has to be
+     * set up.
+     */
     private double newProgram(Machine m, Task t) {
         Own there = own.getOrDefault(t.ask.service(), Map.of()).get(m);
         if (there != null && there.tasks > 0) {
@@ -757,10 +932,11 @@
     }
 
     /**
-     * Guards a cold machine against the sum of what all placers send. With a share of an offer or more each
-     * sends no more than that within the span. With less, placers take turns by the clock that all share:
-     * turns begin 1.5 windows / (budget - 1) apart and last half a window, so that those which meet any one
-     * window number the budget at most. An earlier life of this placer counts as having spent its share.
+     * Guards a cold machine against the sum of what all placers send. With a share of an offer or
+     * more each sends no more than that within the span. With less, placers take turns by the clock
+     * that all share: turns begin 1.5 windows / (budget - 1) apart and last half a window, so that
+     * those which meet any one window number the budget at most. An earlier life of this placer
+     * counts as having spent its share.
      */
     private boolean withinCold(Machine m) {
         long window = Math.max(1, settings.rules().coldWindow());
@@ -779,16 +955,24 @@
         }
         double apart = (1 + COLD_TURN) * window / Math.max(1, settings.rules().coldOffers() - 1);
         int place = Math.floorMod(settings.number() + m.id.hashCode(), settings.instances());
-        double into = Math.floorMod(now - (long) (place * apart), (long) (settings.instances() * apart));
+        double into =
+                Math.floorMod(now - (long) (place * apart), (long) (settings.instances() * apart));
         return m.offers.isEmpty() && into < COLD_TURN * window;
     }
 
-    /** Counted over the machines as listed now: a task may be handed over before its machine is listed. */
+    /**
+     * Counted over the machines as listed now: a task may be handed over before its machine is
+     * listed.
+     */
     private boolean withinSpread(Machine m, Task t) {
         int there = 0;
         if (t.cls.spread() != Scope.NONE) {
-            for (Map.Entry<Machine, Own> o : own.getOrDefault(t.ask.service(), Map.of()).entrySet()) {
-                there += o.getKey() == m || sameGroup(t.cls.spread(), m, o.getKey()) ? o.getValue().tasks : 0;
+            for (Map.Entry<Machine, Own> o :
+                    own.getOrDefault(t.ask.service(), Map.of()).entrySet()) {
+                there +=
+                        o.getKey() == m || sameGroup(t.cls.spread(), m, o.getKey())
+                                ? o.getValue().tasks
+                                : 0;
             }
         }
         return t.cls.spread() == Scope.NONE || there < t.cls.spreadMost();
@@ -799,10 +983,12 @@
         t.starts = newProgram(m, t) > 0.5 ? SETUP : 1;
         int w = t.starts > 1 ? 1 : 0;
         long least = settings.placedWhenRunning() ? TIMEOUT_RUNNING : TIMEOUT_LEAST;
-        long timeout = (long) Math.min(TIMEOUT_MOST, Math.max(least, 3 * waitMean[w] + 4 * waitSpread[w]));
+        long timeout =
+                (long) Math.min(TIMEOUT_MOST, Math.max(least, 3 * waitMean[w] + 4 * waitSpread[w]));
         if (t.cls.effect() == Effect.UNSAFE) {
             timeout = left; // a time-out only loses sight of it
-        } else if (left - timeout < TIMEOUT_LEAST && t.attempts + 1 >= settings.limits().attempts()) {
+        } else if (left - timeout < TIMEOUT_LEAST
+                && t.attempts + 1 >= settings.limits().attempts()) {
             timeout = left;
         }
         t.at = m;
@@ -820,7 +1006,8 @@
     private void bind(Machine m, Task t) {
         m.startsWaiting += t.starts;
         own.computeIfAbsent(t.ask.service(), service -> new LinkedHashMap<>())
-            .computeIfAbsent(m, there -> new Own()).tasks++;
+                .computeIfAbsent(m, there -> new Own())
+                .tasks++;
     }
 
     /** Undoes a bind when its outcome is in. */
@@ -854,7 +1041,8 @@
         t.closed = true;
         healthy(t.at);
         t.at.faults *= FAULTS_KEPT;
-        // an ask that errs everywhere is itself at fault: only what another machine then took counts
+        // an ask that errs everywhere is itself at fault: only what another machine then took
+        // counts
         t.erred.forEach(m -> m.faults = FAULTS_KEPT * m.faults + 1 - FAULTS_KEPT);
         waited(t, e.waited());
         if (settings.placedWhenRunning()) {
@@ -868,28 +1056,40 @@
         waitMean[w] += 0.05 * (wait - waitMean[w]);
     }
 
-    /** A machine that was out of reach and answers again may have restarted before the list says so. */
+    /**
+     * A machine that was out of reach and answers again may have restarted before the list says so.
+     */
     private void healthy(Machine m) {
-        m.coldUntil = m.unreachable ? Math.max(m.coldUntil, now + settings.rules().rampTime()) : m.coldUntil;
-        m.suspectUntil = m.suspect ? 0 : m.suspectUntil; // one that lets too many wait is no suspect
+        m.coldUntil =
+                m.unreachable
+                        ? Math.max(m.coldUntil, now + settings.rules().rampTime())
+                        : m.coldUntil;
+        m.suspectUntil =
+                m.suspect ? 0 : m.suspectUntil; // one that lets too many wait is no suspect
         m.suspect = m.unreachable = false;
         m.suspectFor = 0;
         m.answeredAt = now;
     }
 
     /**
-     * Guards against a machine that leaves one class unanswered or turns it away while it serves the others:
-     * what other classes and probes see there proves nothing for it, nor does one task that gets through.
+     * Guards against a machine that leaves one class unanswered or turns it away while it serves
+     * the others: what other classes and probes see there proves nothing for it, nor does one task
+     * that gets through.
      */
     private void sitOut(Machine m, TaskClass cls) {
-        long[] out = m.classOut.computeIfAbsent(cls.name(), name -> new long[] {Long.MIN_VALUE / 2, 0});
-        out[1] = now > out[0] + CLASS_OUT_MOST ? CLASS_OUT_LEAST : Math.min(CLASS_OUT_MOST, out[1] * 2);
+        long[] out =
+                m.classOut.computeIfAbsent(cls.name(), name -> new long[] {Long.MIN_VALUE / 2, 0});
+        out[1] =
+                now > out[0] + CLASS_OUT_MOST
+                        ? CLASS_OUT_LEAST
+                        : Math.min(CLASS_OUT_MOST, out[1] * 2);
         out[0] = now + out[1];
     }
 
     /**
-     * Guards against a machine that leaves before the list says so: emptied by its own word it looks the best
-     * of all. Harm: one that sends tasks away for another reason is left alone as long.
+     * Guards against a machine that leaves before the list says so: emptied by its own word it
+     * looks the best of all. Harm: one that sends tasks away for another reason is left alone as
+     * long.
      */
     private void leaves(Machine m) {
         m.crowded = false;
@@ -924,8 +1124,12 @@
         } else if (e.reason() == Reason.SENT_AWAY) {
             leaves(m);
         } else if (e.outcome() == Outcome.LOST && e.reason() == Reason.NONE) {
-            m.unreachable = true; // what answers there next has started since, and the list tells late
-            suspect(m, "a task was lost with it"); // a dead process breaks off offers at once: a black hole
+            m.unreachable =
+                    true; // what answers there next has started since, and the list tells late
+            suspect(
+                    m,
+                    "a task was lost with it"); // a dead process breaks off offers at once: a black
+            // hole
         }
         if (t.closed) {
             tasks.remove(e.id());
@@ -964,7 +1168,10 @@
                     leaves(m); // of a key a copy may stand
                 }
             } else if (e.reason() == Reason.NONE) {
-                sitOut(m, t.cls); // not for want of room: a rate that is held down, or a start given back
+                sitOut(
+                        m,
+                        t.cls); // not for want of room: a rate that is held down, or a start given
+                // back
             }
         }
         boolean room = e.outcome() == Outcome.REFUSED && e.reason() != Reason.NOT_HERE;
@@ -979,10 +1186,14 @@
             sitOut(m, t.cls);
         }
         m.unreachable |= e.outcome() == Outcome.UNREACHABLE;
-        if (silent && (!many() || m.answeredAt < t.sentAt) || e.outcome() == Outcome.LOST
-            || e.outcome() == Outcome.UNREACHABLE) {
-            suspect(m, silent ? "an offer timed out"
-                : e.outcome() == Outcome.LOST ? "an answer broke off" : "out of reach");
+        if (silent && (!many() || m.answeredAt < t.sentAt)
+                || e.outcome() == Outcome.LOST
+                || e.outcome() == Outcome.UNREACHABLE) {
+            suspect(
+                    m,
+                    silent
+                            ? "an offer timed out"
+                            : e.outcome() == Outcome.LOST ? "an answer broke off" : "out of reach");
         }
     }
 
@@ -1000,8 +1211,10 @@
     private void answerNo(Task t) {
         t.closed = true;
         tasks.remove(t.ask.id());
-        boolean harmless = !t.mayHaveRun || t.cls.effect() == Effect.SAFE
-            || t.cls.effect() == Effect.KEYED && t.cls.keyScope() == Scope.ALL;
+        boolean harmless =
+                !t.mayHaveRun
+                        || t.cls.effect() == Effect.SAFE
+                        || t.cls.effect() == Effect.KEYED && t.cls.keyScope() == Scope.ALL;
         actions.accept(harmless ? new Refuse(t.ask.id(), 0) : new Fail(t.ask.id()));
     }
 
@@ -1010,7 +1223,11 @@
         if (tasks.containsKey(e.ask().id())) {
             return;
         }
-        Task t = new Task(e.ask(), classes.getOrDefault(e.ask().taskClass(), settings.classes().get(0)), now);
+        Task t =
+                new Task(
+                        e.ask(),
+                        classes.getOrDefault(e.ask().taskClass(), settings.classes().get(0)),
+                        now);
         t.at = machines.computeIfAbsent(e.machine(), Machine::new);
         t.attempts = 1;
         t.out = true;
@@ -1029,8 +1246,9 @@
             case RUNS -> started(t.at, t);
             case CORES_USED -> use(t, CORES, e.level());
             case MEMORY_USED -> use(t, MEMORY, e.level());
-            case MACHINE_MEMORY -> t.at.figures[MEMORY].read(settings.countsUsed() ? e.level() : Double.NaN);
-            default -> { }
+            case MACHINE_MEMORY ->
+                    t.at.figures[MEMORY].read(settings.countsUsed() ? e.level() : Double.NaN);
+            default -> {}
         }
     }
 
--- a/decisions/src/main/java/thornferry/decisions/Reasons.java
+++ b/decisions/src/main/java/thornferry/decisions/Reasons.java
@@ -18,23 +18,28 @@
 import thornferry.decisions.Placement.Outcome;
 
 /**
- * Why each task waits, as a value that is true now: derived from what holds the task back (its place in the line, the
- * limit, what the module told last, the attempt that is out), never from a record of the past. Changes are kept as a
- * bounded history until some time after the task's end.
+ * Why each task waits, as a value that is true now: derived from what holds the task back (its
+ * place in the line, the limit, what the module told last, the attempt that is out), never from a
+ * record of the past. Changes are kept as a bounded history until some time after the task's end.
  *
- * <p>A task is known by its owner and the owner's name for it. Nothing that is another owner's is ever part of a
- * reason. Times are microseconds.
+ * <p>A task is known by its owner and the owner's name for it. Nothing that is another owner's is
+ * ever part of a reason. Times are microseconds.
  */
 public final class Reasons {
     /** What holds a task back. */
     public enum Kind {
-        /** No machine that is known could ever take it: it asks more than any has, or for a kind that none is. */
+        /**
+         * No machine that is known could ever take it: it asks more than any has, or for a kind
+         * that none is.
+         */
         NO_FIT,
         /** Machines could take it, but lack cores or memory now. */
         NO_ROOM,
         /** Machines turned it down, or turn such tasks down, in words of their own. */
         REFUSED,
-        /** Machines that could take it are silent, gone, held out, or leave its class unanswered. */
+        /**
+         * Machines that could take it are silent, gone, held out, or leave its class unanswered.
+         */
         OUT_OF_TRUST,
         /** Its key is held: a copy stands or stood within the window. */
         KEY_HELD,
@@ -52,11 +57,17 @@
         TENANT_LIMIT,
         /** Its tenant has more than its share and others are asked for first. */
         TENANT_SHARE,
-        /** The limit for all together is reached, or more is asked than can be placed and the line sheds. */
+        /**
+         * The limit for all together is reached, or more is asked than can be placed and the line
+         * sheds.
+         */
         OVERLOADED,
         /** Room is being kept for a larger task of more worth, for a bounded time. */
         GATHERING,
-        /** An earlier attempt may have run; until that is known no other is made, or only where repeats are dropped. */
+        /**
+         * An earlier attempt may have run; until that is known no other is made, or only where
+         * repeats are dropped.
+         */
         PROOF,
         /** It was offered to a machine and its answer is due. */
         ANSWER,
@@ -65,8 +76,9 @@
     }
 
     /**
-     * One piece of evidence. {@code nodes} counts machines, 0 where it is about none; {@code name} is a machine, a limit
-     * or a task of the same owner's, empty for none; {@code needs} and {@code has} as {@code what} says, NaN for none.
+     * One piece of evidence. {@code nodes} counts machines, 0 where it is about none; {@code name}
+     * is a machine, a limit or a task of the same owner's, empty for none; {@code needs} and {@code
+     * has} as {@code what} says, NaN for none.
      */
     public record Evidence(String what, String name, int nodes, double needs, double has) {
         Evidence(String what, int nodes) {
@@ -74,7 +86,9 @@
         }
     }
 
-    /** @param ends what would end it, in words */
+    /**
+     * @param ends what would end it, in words
+     */
     public record Reason(Kind kind, long since, List<Evidence> evidence, String ends) {
         /** One plain sentence. */
         public String sentence() {
@@ -83,20 +97,38 @@
     }
 
     /** What is being done for the task. */
-    public enum State { WAITING, PLACED, REFUSED, FAILED, OVER, UNKNOWN }
+    public enum State {
+        WAITING,
+        PLACED,
+        REFUSED,
+        FAILED,
+        OVER,
+        UNKNOWN
+    }
 
     /** A change of reason or state; {@code reason} null where the state is not WAITING. */
-    public record Change(long at, State state, Reason reason) { }
+    public record Change(long at, State state, Reason reason) {}
 
-    /** All about one task. {@code asks} how often it was asked for, {@code attempts} offers made over all of them. */
-    public record Why(String owner, String task, String taskClass, State state, Reason reason, long waitingSince,
-                      int asks, int attempts, List<Change> history) { }
+    /**
+     * All about one task. {@code asks} how often it was asked for, {@code attempts} offers made
+     * over all of them.
+     */
+    public record Why(
+            String owner,
+            String task,
+            String taskClass,
+            State state,
+            Reason reason,
+            long waitingSince,
+            int asks,
+            int attempts,
+            List<Change> history) {}
 
     /** A task's reason or state is now another: for those who watch. */
-    public record Changed(String owner, String tenant, String task) { }
+    public record Changed(String owner, String tenant, String task) {}
 
     /**
-     * @param on      whether reasons are kept at all
+     * @param on whether reasons are kept at all
      * @param records so many; beyond, those of tasks no longer waiting go, oldest first
      * @param history changes kept of each task; the first and the latest
      * @param keepFor microseconds after a task's end
@@ -139,12 +171,18 @@
         }
     }
 
-    /** Waiting tasks looked at in one tick, beyond those that something happened to: all in so many ticks, up to 1,800. */
+    /**
+     * Waiting tasks looked at in one tick, beyond those that something happened to: all in so many
+     * ticks, up to 1,800.
+     */
     private static final int SWEEP = 200;
+
     private static final int SWEEP_LEAST = 4;
     private static final int SWEEP_TICKS = 9;
+
     /** Less is not worth telling. */
     private static final double AMOUNT = 0.05;
+
     /** How many are counted that come before a task. */
     private static final int AHEAD_MOST = 1_000;
 
@@ -156,19 +194,26 @@
     private final Map<String, Record> records = new HashMap<>();
     private final Map<String, Record> byRequest = new HashMap<>();
     private final LinkedHashMap<String, Record> waiting = new LinkedHashMap<>();
-    private final LinkedHashMap<String, Record> ended = new LinkedHashMap<>(); // in the order of endedAt
+    private final LinkedHashMap<String, Record> ended =
+            new LinkedHashMap<>(); // in the order of endedAt
     private final Set<Record> touched = new LinkedHashSet<>();
-    private final Map<String, String> keys = new HashMap<>(); // owner, class and key -> task that is placed with it
+    private final Map<String, String> keys =
+            new HashMap<>(); // owner, class and key -> task that is placed with it
     private final Map<String, Shape> shapes = new HashMap<>();
     private final ArrayDeque<Record> sweep = new ArrayDeque<>();
 
-    private record Shape(long version, Reason reason) { }
+    private record Shape(long version, Reason reason) {}
 
     /**
      * @param needs the kind of machine that a class needs; none where any will do
      * @param links gives the connection of a machine, -1 where it has none
      */
-    public Reasons(Limits limits, Fleet fleet, Line line, Map<String, String> needs, ToLongFunction<String> links) {
+    public Reasons(
+            Limits limits,
+            Fleet fleet,
+            Line line,
+            Map<String, String> needs,
+            ToLongFunction<String> links) {
         this.needs = Map.copyOf(needs);
         this.limits = limits;
         this.fleet = fleet;
@@ -189,10 +234,18 @@
      * A task is asked for and waits.
      *
      * @param settling for machines to say what runs, after a start of the placer
-     * @param suspect  the machine that may have run it before that start, whose word is lacking; empty for none
+     * @param suspect the machine that may have run it before that start, whose word is lacking;
+     *     empty for none
      */
-    public void asked(long now, String owner, String tenant, String task, String key, boolean keyed, boolean settling,
-                      String suspect) {
+    public void asked(
+            long now,
+            String owner,
+            String tenant,
+            String task,
+            String key,
+            boolean keyed,
+            boolean settling,
+            String suspect) {
         if (!limits.on()) {
             return;
         }
@@ -345,7 +398,10 @@
     }
 
     // ---- time ----
-    /** Looks at whatever changed; {@code changed} hears of each task whose reason or state is now another. */
+    /**
+     * Looks at whatever changed; {@code changed} hears of each task whose reason or state is now
+     * another.
+     */
     public void tick(long now, Consumer<Changed> changed) {
         List<Record> happened = new ArrayList<>(touched);
         touched.clear();
@@ -379,7 +435,9 @@
         }
     }
 
-    /** Derives the reason anew; a change of its kind, or of whom it is about, is kept as history. */
+    /**
+     * Derives the reason anew; a change of its kind, or of whom it is about, is kept as history.
+     */
     private void look(long now, Record r) {
         if (r.state != State.WAITING) {
             return;
@@ -387,25 +445,40 @@
         Reason next = derive(now, r);
         Reason before = r.reason;
         boolean other = before == null || before.kind() != next.kind();
-        r.reason = new Reason(next.kind(), other ? now : before.since(), next.evidence(), next.ends());
+        r.reason =
+                new Reason(next.kind(), other ? now : before.since(), next.evidence(), next.ends());
         if (other) {
             note(r, new Change(now, State.WAITING, r.reason));
         }
     }
 
     private static boolean same(Reason a, Reason b) {
-        return a == b || a != null && b != null && a.kind() == b.kind() && a.evidence().equals(b.evidence());
+        return a == b
+                || a != null
+                        && b != null
+                        && a.kind() == b.kind()
+                        && a.evidence().equals(b.evidence());
     }
 
     // ---- deriving ----
     private Reason derive(long now, Record r) {
         if (r.settling && !r.suspect.isEmpty()) {
-            return reason(Kind.PROOF, List.of(new Evidence("it may have run there before the placer was started anew", r.suspect,
-                1, Double.NaN, Double.NaN)), "the node has said what became of it, or patience ends");
+            return reason(
+                    Kind.PROOF,
+                    List.of(
+                            new Evidence(
+                                    "it may have run there before the placer was started anew",
+                                    r.suspect,
+                                    1,
+                                    Double.NaN,
+                                    Double.NaN)),
+                    "the node has said what became of it, or patience ends");
         }
         if (r.settling) {
-            return reason(Kind.PROOF, List.of(new Evidence("the placer has just started", 0)),
-                "nodes have said what runs, or the settle time is over");
+            return reason(
+                    Kind.PROOF,
+                    List.of(new Evidence("the placer has just started", 0)),
+                    "nodes have said what runs, or the settle time is over");
         }
         if (r.request == null) {
             return reason(Kind.TURN, List.of(), "its turn comes");
@@ -419,7 +492,9 @@
             case OFFERED:
                 return out(r);
             default:
-                return r.held == null ? reason(Kind.TURN, List.of(), "the module has looked at it") : classify(r, r.held);
+                return r.held == null
+                        ? reason(Kind.TURN, List.of(), "the module has looked at it")
+                        : classify(r, r.held);
         }
     }
 
@@ -427,40 +502,78 @@
         if (at.hold() != null) {
             return held(at.hold(), r);
         } else if (at.gathering()) {
-            return reason(Kind.GATHERING, List.of(), "the larger task is placed, or the time for it is over");
+            return reason(
+                    Kind.GATHERING,
+                    List.of(),
+                    "the larger task is placed, or the time for it is over");
         } else if (line.overload()) {
-            return reason(Kind.OVERLOADED, List.of(new Evidence("tasks wait", "", 0, Double.NaN, line.waiting())),
-                "less is asked for, or more is placed");
+            return reason(
+                    Kind.OVERLOADED,
+                    List.of(new Evidence("tasks wait", "", 0, Double.NaN, line.waiting())),
+                    "less is asked for, or more is placed");
         } else if (at.behind()) {
-            return reason(Kind.TENANT_SHARE, List.of(new Evidence("tenant above its share", r.tenant, 0, Double.NaN,
-                Double.NaN)), "tasks of your tenant end, or the other tenants' turn is over");
+            return reason(
+                    Kind.TENANT_SHARE,
+                    List.of(
+                            new Evidence(
+                                    "tenant above its share", r.tenant, 0, Double.NaN, Double.NaN)),
+                    "tasks of your tenant end, or the other tenants' turn is over");
         }
         return reason(Kind.TURN, List.of(), "those before it are placed or leave");
     }
 
     private static Reason held(Line.Hold h, Record r) {
-        Kind kind = h.scope() == Line.Scope.OWNER ? Kind.OWN_LIMIT : h.scope() == Line.Scope.TENANT ? Kind.TENANT_LIMIT
-            : Kind.OVERLOADED;
-        String ends = h.until() < Long.MAX_VALUE / 8 ? "time passes: the limit counts by the second"
-            : kind == Kind.OWN_LIMIT ? "a task of yours ends, or the limit is raised"
-            : kind == Kind.TENANT_LIMIT ? "a task of your tenant ends, or the limit is raised"
-            : "a task of the site ends, or the limit is raised";
+        Kind kind =
+                h.scope() == Line.Scope.OWNER
+                        ? Kind.OWN_LIMIT
+                        : h.scope() == Line.Scope.TENANT ? Kind.TENANT_LIMIT : Kind.OVERLOADED;
+        String ends =
+                h.until() < Long.MAX_VALUE / 8
+                        ? "time passes: the limit counts by the second"
+                        : kind == Kind.OWN_LIMIT
+                                ? "a task of yours ends, or the limit is raised"
+                                : kind == Kind.TENANT_LIMIT
+                                        ? "a task of your tenant ends, or the limit is raised"
+                                        : "a task of the site ends, or the limit is raised";
         double has = h.limit().equals("asks again") ? Double.NaN : h.uses();
         // a shared limit's use would tell of others' tasks
-        return reason(kind, List.of(new Evidence("limit of " + h.limit(), kind == Kind.OWN_LIMIT ? r.owner
-            : kind == Kind.TENANT_LIMIT ? r.tenant : "", 0, h.allows(), kind == Kind.OWN_LIMIT ? has : Double.NaN)), ends);
+        return reason(
+                kind,
+                List.of(
+                        new Evidence(
+                                "limit of " + h.limit(),
+                                kind == Kind.OWN_LIMIT
+                                        ? r.owner
+                                        : kind == Kind.TENANT_LIMIT ? r.tenant : "",
+                                0,
+                                h.allows(),
+                                kind == Kind.OWN_LIMIT ? has : Double.NaN)),
+                ends);
     }
 
     private Reason out(Record r) {
         if (links.applyAsLong(r.at) < 0) {
-            return reason(Kind.PROOF, List.of(new Evidence("it was offered there and the connection broke", r.at, 1,
-                Double.NaN, Double.NaN)), "node " + r.at + " connects and says whether it has it, or its time is over");
-        }
-        return reason(Kind.ANSWER, List.of(new Evidence("offered to", r.at, 1, Double.NaN, Double.NaN)),
-            "node " + r.at + " answers, or its time is over");
+            return reason(
+                    Kind.PROOF,
+                    List.of(
+                            new Evidence(
+                                    "it was offered there and the connection broke",
+                                    r.at,
+                                    1,
+                                    Double.NaN,
+                                    Double.NaN)),
+                    "node " + r.at + " connects and says whether it has it, or its time is over");
+        }
+        return reason(
+                Kind.ANSWER,
+                List.of(new Evidence("offered to", r.at, 1, Double.NaN, Double.NaN)),
+                "node " + r.at + " answers, or its time is over");
     }
 
-    /** Parked tasks: the module has not got them, so what is seen of the machines tells. Many share a shape. */
+    /**
+     * Parked tasks: the module has not got them, so what is seen of the machines tells. Many share
+     * a shape.
+     */
     private Reason shape(Record r) {
         Shape known = shapes.get(r.shape);
         if (known == null || known.version() != fleet.version()) {
@@ -503,15 +616,25 @@
             }
         }
         if (fits > 0) {
-            return reason(Kind.TURN, List.of(new Evidence("nodes that may have room", fits)), "it is asked for again");
+            return reason(
+                    Kind.TURN,
+                    List.of(new Evidence("nodes that may have room", fits)),
+                    "it is asked for again");
         }
-        return classify(r, new Held(r.request, java.util.Arrays.stream(counts).boxed().toList(), closest, lackCores,
-            lackMemory));
+        return classify(
+                r,
+                new Held(
+                        r.request,
+                        java.util.Arrays.stream(counts).boxed().toList(),
+                        closest,
+                        lackCores,
+                        lackMemory));
     }
 
     /**
-     * The kind that stands nearest to its end: what ready machines lack, if any could take the task at all; else what
-     * keeps the others from being ready; else that none fits. All the rest is evidence.
+     * The kind that stands nearest to its end: what ready machines lack, if any could take the task
+     * at all; else what keeps the others from being ready; else that none fits. All the rest is
+     * evidence.
      */
     private Reason classify(Record r, Held held) {
         List<Evidence> evidence = new ArrayList<>();
@@ -524,7 +647,8 @@
         int known = 0;
         for (Fleet.Seen m : fleet.all()) {
             known++;
-            boolean could = r.item.cores() <= m.cores && r.item.memory() <= m.memory && ofKind(r, m);
+            boolean could =
+                    r.item.cores() <= m.cores && r.item.memory() <= m.memory && ofKind(r, m);
             if (could && m.state == MachineState.DRAINING) {
                 draining++;
                 drains.add(m.name);
@@ -537,12 +661,36 @@
         room(held, evidence, counts);
         refused(r, held, evidence, counts);
         failed(r, held, evidence, counts);
-        count(counts, evidence, Kind.OUT_OF_TRUST, "silent or out of reach", of(held, Cause.OUT_OF_TRUST));
-        count(counts, evidence, Kind.OUT_OF_TRUST, "leaves its class unanswered", of(held, Cause.CLASS_OUT));
-        count(counts, evidence, Kind.PROOF, "not of the group where an earlier attempt may have run",
-            of(held, Cause.KEY_GROUP));
-        count(counts, evidence, Kind.SPREAD, "as many of its service as may be", of(held, Cause.SPREAD));
-        count(counts, evidence, Kind.COLD, "just started and given all the starts it bears", of(held, Cause.COLD));
+        count(
+                counts,
+                evidence,
+                Kind.OUT_OF_TRUST,
+                "silent or out of reach",
+                of(held, Cause.OUT_OF_TRUST));
+        count(
+                counts,
+                evidence,
+                Kind.OUT_OF_TRUST,
+                "leaves its class unanswered",
+                of(held, Cause.CLASS_OUT));
+        count(
+                counts,
+                evidence,
+                Kind.PROOF,
+                "not of the group where an earlier attempt may have run",
+                of(held, Cause.KEY_GROUP));
+        count(
+                counts,
+                evidence,
+                Kind.SPREAD,
+                "as many of its service as may be",
+                of(held, Cause.SPREAD));
+        count(
+                counts,
+                evidence,
+                Kind.COLD,
+                "just started and given all the starts it bears",
+                of(held, Cause.COLD));
         Kind kind = null;
         for (Map.Entry<Kind, Integer> e : counts.entrySet()) {
             kind = kind == null || e.getValue() > counts.get(kind) ? e.getKey() : kind;
@@ -551,11 +699,17 @@
             evidence.add(new Evidence("drains", drains.get(0), draining, Double.NaN, Double.NaN));
         }
         if (gone > 0) {
-            evidence.add(new Evidence("without a connection", away.get(0), gone, Double.NaN, Double.NaN));
+            evidence.add(
+                    new Evidence(
+                            "without a connection", away.get(0), gone, Double.NaN, Double.NaN));
         }
         if (kind == null) {
-            kind = draining > 0 && draining >= gone ? Kind.DRAINING : gone > 0 ? Kind.OUT_OF_TRUST
-                : known == 0 ? Kind.NO_NODES : Kind.NO_FIT;
+            kind =
+                    draining > 0 && draining >= gone
+                            ? Kind.DRAINING
+                            : gone > 0
+                                    ? Kind.OUT_OF_TRUST
+                                    : known == 0 ? Kind.NO_NODES : Kind.NO_FIT;
         }
         return reason(kind, evidence, ends(kind, held, drains, away));
     }
@@ -575,7 +729,8 @@
         }
     }
 
-    private static void count(Map<Kind, Integer> counts, List<Evidence> evidence, Kind kind, String what, int nodes) {
+    private static void count(
+            Map<Kind, Integer> counts, List<Evidence> evidence, Kind kind, String what, int nodes) {
         add(evidence, what, nodes);
         if (nodes > 0) {
             counts.merge(kind, nodes, Integer::sum);
@@ -587,10 +742,22 @@
         count(counts, evidence, Kind.NO_ROOM, "not enough memory", of(held, Cause.NO_MEMORY));
         if (!held.closest().isEmpty()) {
             if (held.cores() > AMOUNT) {
-                evidence.add(new Evidence("closest, lacks cores", held.closest(), 1, held.cores(), Double.NaN));
+                evidence.add(
+                        new Evidence(
+                                "closest, lacks cores",
+                                held.closest(),
+                                1,
+                                held.cores(),
+                                Double.NaN));
             }
             if (held.memory() > AMOUNT) {
-                evidence.add(new Evidence("closest, lacks memory", held.closest(), 1, held.memory(), Double.NaN));
+                evidence.add(
+                        new Evidence(
+                                "closest, lacks memory",
+                                held.closest(),
+                                1,
+                                held.memory(),
+                                Double.NaN));
             }
         }
     }
@@ -601,7 +768,8 @@
         int memory = 0;
         String node = "";
         for (Fleet.Seen m : fleet.all()) {
-            if (m.state == MachineState.READY && (m.refused == Fleet.Said.NO_CORES || m.refused == Fleet.Said.NO_MEMORY)) {
+            if (m.state == MachineState.READY
+                    && (m.refused == Fleet.Said.NO_CORES || m.refused == Fleet.Said.NO_MEMORY)) {
                 cores += m.refused == Fleet.Said.NO_CORES ? 1 : 0;
                 memory += m.refused == Fleet.Said.NO_MEMORY ? 1 : 0;
                 node = m.name;
@@ -610,59 +778,112 @@
         if (refused > 0) {
             counts.merge(Kind.REFUSED, refused, Integer::sum);
             if (cores > 0) {
-                evidence.add(new Evidence("refused: not enough cores", memory == 0 ? node : "", Math.min(refused, cores),
-                    Double.NaN, Double.NaN));
+                evidence.add(
+                        new Evidence(
+                                "refused: not enough cores",
+                                memory == 0 ? node : "",
+                                Math.min(refused, cores),
+                                Double.NaN,
+                                Double.NaN));
             }
             if (memory > 0) {
-                evidence.add(new Evidence("refused: not enough memory", cores == 0 ? node : "", Math.min(refused, memory),
-                    Double.NaN, Double.NaN));
+                evidence.add(
+                        new Evidence(
+                                "refused: not enough memory",
+                                cores == 0 ? node : "",
+                                Math.min(refused, memory),
+                                Double.NaN,
+                                Double.NaN));
             }
             if (cores + memory == 0) {
                 evidence.add(new Evidence("refused as much or less", refused));
             }
         }
-        count(counts, evidence, Kind.REFUSED, "refused: too many offers wait there", of(held, Cause.CROWDED));
+        count(
+                counts,
+                evidence,
+                Kind.REFUSED,
+                "refused: too many offers wait there",
+                of(held, Cause.CROWDED));
     }
 
-    /** The machine that failed it last gets it no second time in a row: what it said decides the kind. */
+    /**
+     * The machine that failed it last gets it no second time in a row: what it said decides the
+     * kind.
+     */
     private void failed(Record r, Held held, List<Evidence> evidence, Map<Kind, Integer> counts) {
         if (of(held, Cause.FAILED_IT) == 0) {
             return;
         }
         Fleet.Seen node = fleet.machine(r.failedAt);
         // what it said counts until it is listed as ready anew, or accepts something
-        boolean drains = node != null && (node.state == MachineState.DRAINING
-            || r.said == Fleet.Said.DRAINING && node.refused == Fleet.Said.DRAINING);
+        boolean drains =
+                node != null
+                        && (node.state == MachineState.DRAINING
+                                || r.said == Fleet.Said.DRAINING
+                                        && node.refused == Fleet.Said.DRAINING);
         if (r.failed != Outcome.REFUSED) {
             counts.merge(Kind.OUT_OF_TRUST, 1, Integer::sum);
-            evidence.add(new Evidence("left the last offer unanswered, or broke off", r.failedAt, 1, Double.NaN,
-                Double.NaN));
+            evidence.add(
+                    new Evidence(
+                            "left the last offer unanswered, or broke off",
+                            r.failedAt,
+                            1,
+                            Double.NaN,
+                            Double.NaN));
         } else if (r.said == Fleet.Said.KEY_HELD || r.said == Fleet.Said.NOT_HERE && r.keyed) {
             counts.merge(Kind.KEY_HELD, 1, Integer::sum);
             String own = keys.getOrDefault(keyId(r.owner, r.item.taskClass(), r.key), "");
-            evidence.add(new Evidence(own.isEmpty() ? "key held" : "key held by a task of yours", own, 1, Double.NaN,
-                Double.NaN));
+            evidence.add(
+                    new Evidence(
+                            own.isEmpty() ? "key held" : "key held by a task of yours",
+                            own,
+                            1,
+                            Double.NaN,
+                            Double.NaN));
         } else if (drains) {
             counts.merge(Kind.DRAINING, 1, Integer::sum);
             evidence.add(new Evidence("refused: it drains", r.failedAt, 1, Double.NaN, Double.NaN));
         } else {
             counts.merge(Kind.REFUSED, 1, Integer::sum);
-            evidence.add(new Evidence("refused the last offer and gets it no second time in a row", r.failedAt, 1,
-                Double.NaN, Double.NaN));
+            evidence.add(
+                    new Evidence(
+                            "refused the last offer and gets it no second time in a row",
+                            r.failedAt,
+                            1,
+                            Double.NaN,
+                            Double.NaN));
         }
     }
 
     private static String ends(Kind kind, Held held, List<String> drains, List<String> away) {
         return switch (kind) {
-            case NO_ROOM -> held.closest().isEmpty() ? "a task ends somewhere"
-                : "node " + held.closest() + " frees " + amount(held.cores(), " cores", held.memory()) + ", or another as much";
+            case NO_ROOM ->
+                    held.closest().isEmpty()
+                            ? "a task ends somewhere"
+                            : "node "
+                                    + held.closest()
+                                    + " frees "
+                                    + amount(held.cores(), " cores", held.memory())
+                                    + ", or another as much";
             case NO_FIT -> "a node that is large enough, and of the kind it needs, joins";
             case REFUSED -> "a node that refused reports more room, or another has room";
-            case OUT_OF_TRUST -> away.isEmpty() ? "a silent node answers again"
-                : "node " + away.get(0) + " connects" + (away.size() > 1 ? ", or one of " + (away.size() - 1) + " more" : "");
+            case OUT_OF_TRUST ->
+                    away.isEmpty()
+                            ? "a silent node answers again"
+                            : "node "
+                                    + away.get(0)
+                                    + " connects"
+                                    + (away.size() > 1
+                                            ? ", or one of " + (away.size() - 1) + " more"
+                                            : "");
             case KEY_HELD -> "the copy ends and the key's window is over";
-            case DRAINING -> drains.isEmpty() ? "the drain ends, or another node has room"
-                : "the drain of node " + drains.get(0) + " ends, or another node has room";
+            case DRAINING ->
+                    drains.isEmpty()
+                            ? "the drain ends, or another node has room"
+                            : "the drain of node "
+                                    + drains.get(0)
+                                    + " ends, or another node has room";
             case SPREAD -> "a task of its service ends there";
             case COLD -> "the nodes have been up for longer";
             case NO_NODES -> "a node connects";
@@ -674,7 +895,9 @@
     private static String amount(double cores, String unit, double memory) {
         String c = cores > AMOUNT ? String.format(Locale.ROOT, "%.2f", cores) + unit : "";
         String m = memory > AMOUNT ? String.format(Locale.ROOT, "%.2f", memory) + " memory" : "";
-        return c.isEmpty() && m.isEmpty() ? "a little" : c + (c.isEmpty() || m.isEmpty() ? "" : " and ") + m;
+        return c.isEmpty() && m.isEmpty()
+                ? "a little"
+                : c + (c.isEmpty() || m.isEmpty() ? "" : " and ") + m;
     }
 
     private static Reason reason(Kind kind, List<Evidence> evidence, String ends) {
@@ -682,26 +905,43 @@
     }
 
     // ---- to be read ----
-    /** All about a task of this owner's; state UNKNOWN, and nothing else, where the owner has no such task. */
+    /**
+     * All about a task of this owner's; state UNKNOWN, and nothing else, where the owner has no
+     * such task.
+     */
     public Why why(long now, String owner, String task) {
         Record r = records.get(id(owner, task));
         if (r == null) {
             return new Why(owner, task, "", State.UNKNOWN, null, 0, 0, 0, List.of());
         }
         look(now, r);
-        return new Why(owner, task, r.item == null ? "" : r.item.taskClass(), r.state, shown(r), r.since, r.asks,
-            r.attempts, new ArrayList<>(r.history));
+        return new Why(
+                owner,
+                task,
+                r.item == null ? "" : r.item.taskClass(),
+                r.state,
+                shown(r),
+                r.since,
+                r.asks,
+                r.attempts,
+                new ArrayList<>(r.history));
     }
 
     /** How many come before it is counted only for one who reads it: it changes all the time. */
     private Reason shown(Record r) {
         Reason now = r.reason;
-        if (now == null || now.kind() != Kind.TURN || r.request == null || !now.evidence().isEmpty()) {
+        if (now == null
+                || now.kind() != Kind.TURN
+                || r.request == null
+                || !now.evidence().isEmpty()) {
             return now;
         }
         int ahead = line.ahead(r.request, AHEAD_MOST);
-        return new Reason(now.kind(), now.since(), List.of(new Evidence("tasks of your tenant before it", "", 0,
-            Double.NaN, ahead)), now.ends());
+        return new Reason(
+                now.kind(),
+                now.since(),
+                List.of(new Evidence("tasks of your tenant before it", "", 0, Double.NaN, ahead)),
+                now.ends());
     }
 
     /** The reason of a request that waits, or null. */
@@ -713,7 +953,9 @@
         return r == null ? null : r.reason;
     }
 
-    /** One owner's waiting tasks, oldest first, {@code most} at the most; of all owners where null. */
+    /**
+     * One owner's waiting tasks, oldest first, {@code most} at the most; of all owners where null.
+     */
     public List<Why> waiting(long now, String owner, int most) {
         List<Why> list = new ArrayList<>();
         for (Record r : waiting.values()) {
@@ -727,13 +969,16 @@
         return list;
     }
 
-    /** How many wait for each reason, by tenant; of one owner's, or of all where null. As of the last look. */
+    /**
+     * How many wait for each reason, by tenant; of one owner's, or of all where null. As of the
+     * last look.
+     */
     public Map<String, Map<Kind, Integer>> table(String owner) {
         Map<String, Map<Kind, Integer>> table = new java.util.TreeMap<>();
         for (Record r : waiting.values()) {
             if (r.reason != null && (owner == null || owner.equals(r.owner))) {
-                table.computeIfAbsent(r.tenant, t -> new java.util.EnumMap<>(Kind.class)).merge(r.reason.kind(), 1,
-                    Integer::sum);
+                table.computeIfAbsent(r.tenant, t -> new java.util.EnumMap<>(Kind.class))
+                        .merge(r.reason.kind(), 1, Integer::sum);
             }
         }
         return Collections.unmodifiableMap(table);
--- a/decisions/src/main/java/thornferry/decisions/Throttle.java
+++ b/decisions/src/main/java/thornferry/decisions/Throttle.java
@@ -2,21 +2,23 @@
 
 import java.util.LinkedHashMap;
 
-
 /**
- * How soon a login may be tried again from an address where it failed. Only that address with that login waits: the
- * rightful owner elsewhere, and others at the same address, notice nothing. Times are microseconds.
+ * How soon a login may be tried again from an address where it failed. Only that address with that
+ * login waits: the rightful owner elsewhere, and others at the same address, notice nothing. Times
+ * are microseconds.
  */
 public final class Throttle {
     /**
-     * @param free    failures that cost nothing
-     * @param first   the wait after the next; doubles with each further one
-     * @param most    the longest wait
-     * @param forget  after so long without a try the failures are forgotten
-     * @param known   pairs of address and login remembered; beyond, those tried longest ago are forgotten
+     * @param free failures that cost nothing
+     * @param first the wait after the next; doubles with each further one
+     * @param most the longest wait
+     * @param forget after so long without a try the failures are forgotten
+     * @param known pairs of address and login remembered; beyond, those tried longest ago are
+     *     forgotten
      */
     public record Settings(int free, long first, long most, long forget, int known) {
-        public static final Settings USUAL = new Settings(3, 200_000, 10_000_000, 600_000_000, 20_000);
+        public static final Settings USUAL =
+                new Settings(3, 200_000, 10_000_000, 600_000_000, 20_000);
 
         public Settings {
             if (free < 0 || first <= 0 || most < first || forget <= 0 || known < 1) {
@@ -31,12 +33,17 @@
         long last;
     }
 
-    /** Tries of one pair that may wait at once; more are refused unseen, or one guesser could hold many connections. */
+    /**
+     * Tries of one pair that may wait at once; more are refused unseen, or one guesser could hold
+     * many connections.
+     */
     private static final int MOST_PENDING = 2;
+
     private static final long NEVER = -1;
 
     private final Settings settings;
-    private final LinkedHashMap<String, Tries> pairs = new LinkedHashMap<>(); // tried longest ago first
+    private final LinkedHashMap<String, Tries> pairs =
+            new LinkedHashMap<>(); // tried longest ago first
 
     public Throttle(Settings settings) {
         this.settings = settings;
@@ -95,5 +102,4 @@
     int known() {
         return pairs.size();
     }
-
 }
--- a/decisions/src/main/java/thornferry/decisions/Words.java
+++ b/decisions/src/main/java/thornferry/decisions/Words.java
@@ -7,8 +7,7 @@
 
 /** Reasons in plain sentences, for people. */
 final class Words {
-    private Words() {
-    }
+    private Words() {}
 
     static String sentence(Reason r) {
         String end = r.ends().isEmpty() ? "" : ". It ends when " + r.ends();
--- a/decisions/src/main/java/thornferry/decisions/recovery/Recovery.java
+++ b/decisions/src/main/java/thornferry/decisions/recovery/Recovery.java
@@ -16,29 +16,34 @@
 import thornferry.decisions.Placement.Effect;
 
 /**
- * What former lives of this placer promised and may have started, and what becomes of it: from the journal, as far as
- * there is one, and from what machines remember when they register. An ask for a task in doubt is held until the
- * machines that may have run it prove that it did or did not; what nothing can prove any more is told as may have run.
+ * What former lives of this placer promised and may have started, and what becomes of it: from the
+ * journal, as far as there is one, and from what machines remember when they register. An ask for a
+ * task in doubt is held until the machines that may have run it prove that it did or did not; what
+ * nothing can prove any more is told as may have run.
  *
  * <p><b>What proves what</b>, for an attempt of a former life that was offered to a machine:
+ *
  * <ul>
- * <li>its inventory holds it: it is there, and taken over (by {@code Attempts} and {@code Intake}, not here);
- * <li>it remembers its end: it was placed, and is over;
- * <li>it remembers having turned it down or dropped it unstarted: it never ran;
- * <li>the same life of the machine neither holds nor remembers it, and remembers all since before the offer: the offer
- *     never reached it, for it registers only when the former connection is closed for it;
- * <li>another life of the machine, or one that had to forget: nothing, now or later.
+ *   <li>its inventory holds it: it is there, and taken over (by {@code Attempts} and {@code
+ *       Intake}, not here);
+ *   <li>it remembers its end: it was placed, and is over;
+ *   <li>it remembers having turned it down or dropped it unstarted: it never ran;
+ *   <li>the same life of the machine neither holds nor remembers it, and remembers all since before
+ *       the offer: the offer never reached it, for it registers only when the former connection is
+ *       closed for it;
+ *   <li>another life of the machine, or one that had to forget: nothing, now or later.
  * </ul>
  *
- * <p>The same state is kept of this life's tasks, as what a compacted journal must hold. No I/O and no clock; times are
- * microseconds since 1970.
+ * <p>The same state is kept of this life's tasks, as what a compacted journal must hold. No I/O and
+ * no clock; times are microseconds since 1970.
  */
 public final class Recovery {
     /**
-     * @param keepFor  a result is kept so long after the task has failed or is over
+     * @param keepFor a result is kept so long after the task has failed or is over
      * @param askedFor an owner may ask again for so long after an offer: the longest patience
-     * @param goneAfter a machine that has not registered so long after the start is gone, and what it ran is lost
-     * @param most     tasks remembered at once; beyond it the oldest that are over are forgotten
+     * @param goneAfter a machine that has not registered so long after the start is gone, and what
+     *     it ran is lost
+     * @param most tasks remembered at once; beyond it the oldest that are over are forgotten
      * @param journaled whether a whole journal tells what former lives promised
      */
     public record Limits(long keepFor, long askedFor, long goneAfter, int most, boolean journaled) {
@@ -65,47 +70,70 @@
     }
 
     /** What a machine remembers of an attempt that is over there since {@code endedAt}. */
-    public record Recalled(String attempt, String owner, Wish wish, Effect effect, Word word, boolean ran, long endedAt) { }
+    public record Recalled(
+            String attempt,
+            String owner,
+            Wish wish,
+            Effect effect,
+            Word word,
+            boolean ran,
+            long endedAt) {}
 
     /**
-     * What a machine says when it registers: what it holds, what it remembers, and since when it remembers all that it
-     * accepted of an effect, {@link #ITS_WHOLE_LIFE} where it forgot nothing in this life; absent where it does not say.
+     * What a machine says when it registers: what it holds, what it remembers, and since when it
+     * remembers all that it accepted of an effect, {@link #ITS_WHOLE_LIFE} where it forgot nothing
+     * in this life; absent where it does not say.
      */
-    public record Testimony(String machine, long incarnation, Set<String> held, List<Recalled> recalled,
-                            Map<Effect, Long> since) {
+    public record Testimony(
+            String machine,
+            long incarnation,
+            Set<String> held,
+            List<Recalled> recalled,
+            Map<Effect, Long> since) {
         public static final long ITS_WHOLE_LIFE = Long.MIN_VALUE;
     }
 
-    public sealed interface Action { }
+    public sealed interface Action {}
 
     /** A former life gave this result; {@code fate} null while it is not known to be over. */
-    public record Restored(String owner, String tenant, Wish wish, Result result, String machine, String reason,
-                           Fate fate) implements Action { }
+    public record Restored(
+            String owner,
+            String tenant,
+            Wish wish,
+            Result result,
+            String machine,
+            String reason,
+            Fate fate)
+            implements Action {}
 
     /**
      * The task was placed in a former life, on this machine, and is over.
      *
-     * @param told its owner may have been told so already: where nobody asks, it is kept and not told again
+     * @param told its owner may have been told so already: where nobody asks, it is kept and not
+     *     told again
      */
-    public record Ran(String owner, String tenant, Wish wish, String machine, Fate fate, boolean told) implements Action { }
+    public record Ran(
+            String owner, String tenant, Wish wish, String machine, Fate fate, boolean told)
+            implements Action {}
 
     /** The task started in a former life and did not run to its end: its result is a failure. */
-    public record Failed(String owner, String tenant, Wish wish, String reason) implements Action { }
+    public record Failed(String owner, String tenant, Wish wish, String reason) implements Action {}
 
     /** No attempt of the task ever ran: an ask that is held may go on. */
-    public record Proven(String owner, String task) implements Action { }
+    public record Proven(String owner, String task) implements Action {}
 
     /** No proof can come any more: an ask that is held fails. */
-    public record Unprovable(String owner, String task, String machine) implements Action { }
+    public record Unprovable(String owner, String task, String machine) implements Action {}
 
-    private record Out(String machine, long incarnation, long at) { }
+    private record Out(String machine, long incarnation, long at) {}
 
     private static final class Known {
         final String owner;
         final String tenant;
         final Wish wish;
         final Effect effect;
-        final Map<String, Out> open = new LinkedHashMap<>(); // attempts not proven never to have run
+        final Map<String, Out> open =
+                new LinkedHashMap<>(); // attempts not proven never to have run
         Promise.Answered answered;
         Promise.Finished finished;
         boolean former; // of a former life and not settled by this one
@@ -126,12 +154,15 @@
 
     /** Entries looked at for one to forget early: enough, as the oldest are nearly all over. */
     private static final int LOOKED_AT = 64;
+
     private static final String STOPPED_BY_PLACER = "it had started and was withdrawn";
 
     private final Limits limits;
     private final Map<String, Known> known = new LinkedHashMap<>(); // by owner and task
-    private final Map<String, Set<String>> doubts = new HashMap<>(); // machine -> keys of former ones with attempts there
-    private final LinkedHashSet<String> forgettable = new LinkedHashSet<>(); // in about the order of forgetAt
+    private final Map<String, Set<String>> doubts =
+            new HashMap<>(); // machine -> keys of former ones with attempts there
+    private final LinkedHashSet<String> forgettable =
+            new LinkedHashSet<>(); // in about the order of forgetAt
     private long goneAt = Long.MAX_VALUE;
 
     public Recovery(Limits limits) {
@@ -163,8 +194,10 @@
                 }
             }
         } else if (p instanceof Promise.Answered a) {
-            Known k = known.computeIfAbsent(key(a.owner(), a.wish().id()),
-                x -> new Known(a.owner(), a.tenant(), a.wish(), a.effect()));
+            Known k =
+                    known.computeIfAbsent(
+                            key(a.owner(), a.wish().id()),
+                            x -> new Known(a.owner(), a.tenant(), a.wish(), a.effect()));
             k.answered = a;
             k.finished = null;
             k.former = false;
@@ -191,8 +224,12 @@
         forgettable.remove(key);
         forgettable.add(key);
         if (known.size() > limits.most()) {
-            forgettable.stream().limit(LOOKED_AT).map(known::get).filter(x -> x != null && x.answered != null).findFirst()
-                .ifPresent(this::remove);
+            forgettable.stream()
+                    .limit(LOOKED_AT)
+                    .map(known::get)
+                    .filter(x -> x != null && x.answered != null)
+                    .findFirst()
+                    .ifPresent(this::remove);
         }
     }
 
@@ -206,8 +243,18 @@
     public List<Promise> snapshot() {
         List<Promise> all = new ArrayList<>();
         for (Known k : known.values()) {
-            k.open.forEach((attempt, o) -> all.add(new Promise.Offered(o.at(), attempt, k.owner, k.tenant, k.wish, k.effect,
-                o.machine(), o.incarnation())));
+            k.open.forEach(
+                    (attempt, o) ->
+                            all.add(
+                                    new Promise.Offered(
+                                            o.at(),
+                                            attempt,
+                                            k.owner,
+                                            k.tenant,
+                                            k.wish,
+                                            k.effect,
+                                            o.machine(),
+                                            o.incarnation())));
             if (k.answered != null) {
                 all.add(k.answered);
             }
@@ -219,7 +266,10 @@
     }
 
     // ---- the start ----
-    /** The journal is read: from here on, what it left open is in doubt, and what it placed waits for its machines. */
+    /**
+     * The journal is read: from here on, what it left open is in doubt, and what it placed waits
+     * for its machines.
+     */
     public void begin(long now, Consumer<Action> actions) {
         goneAt = now + limits.goneAfter();
         for (Known k : List.copyOf(known.values())) {
@@ -227,7 +277,8 @@
                 remove(k);
                 continue;
             }
-            // guards against a journal from a clock ahead of ours: what lies in the future is as old as this moment
+            // guards against a journal from a clock ahead of ours: what lies in the future is as
+            // old as this moment
             if (k.forgetAt != Long.MAX_VALUE) {
                 k.forgetAt = Math.min(k.forgetAt, now + limits.remember());
             }
@@ -237,8 +288,15 @@
                 k.former = k.answered == null;
             }
             if (k.answered != null) {
-                actions.accept(new Restored(k.owner, k.tenant, k.wish, k.answered.result(), k.answered.machine(),
-                    k.answered.reason(), k.finished == null ? null : k.finished.fate()));
+                actions.accept(
+                        new Restored(
+                                k.owner,
+                                k.tenant,
+                                k.wish,
+                                k.answered.result(),
+                                k.answered.machine(),
+                                k.answered.reason(),
+                                k.finished == null ? null : k.finished.fate()));
             }
             if (k.former) {
                 String key = key(k.owner, k.wish.id());
@@ -248,7 +306,8 @@
                 } else {
                     k.open.values().forEach(o -> machines.add(o.machine()));
                 }
-                machines.forEach(m -> doubts.computeIfAbsent(m, x -> new LinkedHashSet<>()).add(key));
+                machines.forEach(
+                        m -> doubts.computeIfAbsent(m, x -> new LinkedHashSet<>()).add(key));
             }
         }
     }
@@ -265,8 +324,11 @@
     /** The machine whose word is lacking, or can never come, of a task in doubt; empty for none. */
     public String suspect(String owner, String task) {
         Known k = known.get(key(owner, task));
-        return k == null || !k.former ? "" : !k.unprovable.isEmpty() ? k.unprovable
-            : k.open.values().stream().map(Out::machine).findFirst().orElse("");
+        return k == null || !k.former
+                ? ""
+                : !k.unprovable.isEmpty()
+                        ? k.unprovable
+                        : k.open.values().stream().map(Out::machine).findFirst().orElse("");
     }
 
     // ---- machines ----
@@ -289,7 +351,8 @@
                 continue;
             }
             if (k.placed()) {
-                // what it holds was taken over before, so this it has no more, and does not know how it ended
+                // what it holds was taken over before, so this it has no more, and does not know
+                // how it ended
                 actions.accept(new Ran(k.owner, k.tenant, k.wish, t.machine(), Fate.LOST, false));
                 continue;
             }
@@ -308,18 +371,21 @@
         if (settled) {
             return; // this life has its own result of it
         }
-        Fate fate = switch (r.word()) {
-            case ENDED -> Fate.ENDED;
-            case EVICTED, SENT_AWAY -> Fate.EVICTED;
-            default -> null;
-        };
+        Fate fate =
+                switch (r.word()) {
+                    case ENDED -> Fate.ENDED;
+                    case EVICTED, SENT_AWAY -> Fate.EVICTED;
+                    default -> null;
+                };
         String tenant = k == null ? "" : k.tenant;
         if (fate != null) {
             if (k != null) {
                 k.open.remove(r.attempt());
             }
-            // without a line of ours, only its age tells whether its result is still to be told or long forgotten
-            boolean told = k == null && (limits.journaled() || r.endedAt() < now - limits.keepFor());
+            // without a line of ours, only its age tells whether its result is still to be told or
+            // long forgotten
+            boolean told =
+                    k == null && (limits.journaled() || r.endedAt() < now - limits.keepFor());
             actions.accept(new Ran(r.owner(), tenant, r.wish(), machine, fate, told));
         } else if (r.word() == Word.WITHDRAWN && r.ran()) {
             if (k != null && k.placed()) {
@@ -333,9 +399,11 @@
     }
 
     /** An attempt in doubt on a machine that has come back without a word of it. */
-    private void judge(long now, Known k, String attempt, Out o, Testimony t, Consumer<Action> actions) {
+    private void judge(
+            long now, Known k, String attempt, Out o, Testimony t, Consumer<Action> actions) {
         long since = t.since().getOrDefault(k.effect, Long.MAX_VALUE);
-        // guards against a clock set back between two lives: an offer that seems to lie ahead cannot be compared
+        // guards against a clock set back between two lives: an offer that seems to lie ahead
+        // cannot be compared
         boolean remembers = since == Testimony.ITS_WHOLE_LIFE || o.at() > since && o.at() <= now;
         if (o.incarnation() == t.incarnation() && remembers) {
             never(k, attempt, actions);
@@ -354,13 +422,23 @@
     }
 
     // ---- time ----
-    /** Time passes: what is kept long enough is forgotten, and what runs on machines that never came is lost. */
+    /**
+     * Time passes: what is kept long enough is forgotten, and what runs on machines that never came
+     * is lost.
+     */
     public void tick(long now, Consumer<Action> actions) {
         if (now >= goneAt) {
             goneAt = Long.MAX_VALUE;
             for (Known k : List.copyOf(known.values())) {
                 if (k.former && k.placed()) {
-                    actions.accept(new Ran(k.owner, k.tenant, k.wish, k.answered.machine(), Fate.LOST, false));
+                    actions.accept(
+                            new Ran(
+                                    k.owner,
+                                    k.tenant,
+                                    k.wish,
+                                    k.answered.machine(),
+                                    Fate.LOST,
+                                    false));
                 }
             }
         }
--- a/decisions/src/test/java/thornferry/decisions/AttemptsTest.java
+++ b/decisions/src/test/java/thornferry/decisions/AttemptsTest.java
@@ -35,7 +35,17 @@
     }
 
     private List<Action> says(String attempt, Word word) {
-        return did(() -> attempts.said(now, "n", attempt, word, Reason.NO_CORES, false, null, actions::add));
+        return did(
+                () ->
+                        attempts.said(
+                                now,
+                                "n",
+                                attempt,
+                                word,
+                                Reason.NO_CORES,
+                                false,
+                                null,
+                                actions::add));
     }
 
     private List<Action> did(Runnable what) {
@@ -46,14 +56,22 @@
 
     /** The one outcome that the module was told, or null. */
     private static Outcome outcome(List<Action> actions) {
-        List<Outcome> all = actions.stream().filter(Tell.class::isInstance).map(a -> ((Tell) a).event())
-            .filter(Ended.class::isInstance).map(e -> ((Ended) e).outcome()).toList();
+        List<Outcome> all =
+                actions.stream()
+                        .filter(Tell.class::isInstance)
+                        .map(a -> ((Tell) a).event())
+                        .filter(Ended.class::isInstance)
+                        .map(e -> ((Ended) e).outcome())
+                        .toList();
         assertThat(all).hasSizeLessThanOrEqualTo(1);
         return all.isEmpty() ? null : all.get(0);
     }
 
     private List<Action> inventory(long incarnation, Set<String> held) {
-        return did(() -> attempts.inventory(now, "n", incarnation, held, Set.of(), Map.of(), actions::add));
+        return did(
+                () ->
+                        attempts.inventory(
+                                now, "n", incarnation, held, Set.of(), Map.of(), actions::add));
     }
 
     @Test
@@ -81,8 +99,10 @@
     @Test
     void whatMayBeRepeatedFreelyIsGivenUpWithTheConnection() {
         String a = offered(Effect.SAFE);
-        assertThat(outcome(did(() -> attempts.linkBroken(now, "n", actions::add)))).isEqualTo(Outcome.LOST);
-        assertThat(inventory(5, Set.of(a))).containsExactly(new Withdraw("n", a)); // a copy that nobody looks after
+        assertThat(outcome(did(() -> attempts.linkBroken(now, "n", actions::add))))
+                .isEqualTo(Outcome.LOST);
+        assertThat(inventory(5, Set.of(a)))
+                .containsExactly(new Withdraw("n", a)); // a copy that nobody looks after
     }
 
     @Test
@@ -96,7 +116,8 @@
     void theInventoryOfALaterLifeProvesNothing() {
         offered(Effect.UNSAFE);
         assertThat(inventory(6, Set.of())).isEmpty();
-        assertThat(outcome(did(() -> attempts.lifeOver(now, "n", 5, actions::add)))).isEqualTo(Outcome.LOST);
+        assertThat(outcome(did(() -> attempts.lifeOver(now, "n", 5, actions::add))))
+                .isEqualTo(Outcome.LOST);
     }
 
     @Test
@@ -113,7 +134,8 @@
     @Test
     void aPlacedTaskOutlastsItsTimeOutAndEndsOnce() {
         String a = offered(Effect.SAFE);
-        assertThat(says(a, Word.ACCEPTED)).anyMatch(x -> x instanceof Tell t && t.event() instanceof Placed);
+        assertThat(says(a, Word.ACCEPTED))
+                .anyMatch(x -> x instanceof Tell t && t.event() instanceof Placed);
         now += 10 * SECOND;
         assertThat(did(() -> attempts.tick(now, actions::add))).isEmpty();
         assertThat(says(a, Word.ENDED)).contains(new Over("q1", "n", Fate.ENDED));
@@ -139,18 +161,42 @@
     void aStopIsNamedByWhoAskedForIt() {
         String a = offered(Effect.SAFE);
         says(a, Word.ACCEPTED);
-        assertThat(did(() -> attempts.unwanted("q1", Fate.MOVED, actions::add))).containsExactly(new Withdraw("n", a));
+        assertThat(did(() -> attempts.unwanted("q1", Fate.MOVED, actions::add)))
+                .containsExactly(new Withdraw("n", a));
         assertThat(says(a, Word.WITHDRAWN)).contains(new Over("q1", "n", Fate.MOVED));
     }
 
     @Test
     void aNodeThatAnswersWhatItNeverGotIsGuilty() {
         String a = offered(Effect.SAFE);
-        List<Action> led = did(() -> attempts.said(now, "m", a, Word.ACCEPTED, Reason.NONE, false, null, actions::add));
+        List<Action> led =
+                did(
+                        () ->
+                                attempts.said(
+                                        now,
+                                        "m",
+                                        a,
+                                        Word.ACCEPTED,
+                                        Reason.NONE,
+                                        false,
+                                        null,
+                                        actions::add));
         assertThat(led).singleElement().isInstanceOf(Guilty.class);
-        led = did(() -> attempts.said(now, "n", "p.1-999", Word.ENDED, Reason.NONE, false, null, actions::add));
+        led =
+                did(
+                        () ->
+                                attempts.said(
+                                        now,
+                                        "n",
+                                        "p.1-999",
+                                        Word.ENDED,
+                                        Reason.NONE,
+                                        false,
+                                        null,
+                                        actions::add));
         assertThat(led).singleElement().isInstanceOf(Guilty.class);
-        assertThat(says(a, Word.ACCEPTED)).contains(new IsPlaced("q1", "n")); // nothing lost for the honest one
+        assertThat(says(a, Word.ACCEPTED))
+                .contains(new IsPlaced("q1", "n")); // nothing lost for the honest one
     }
 
     @Test
@@ -172,19 +218,39 @@
                 long at = step * 200;
                 switch (random.nextInt(6)) {
                     case 0 -> all.linkBroken(at, "n", seen::add);
-                    case 1 -> all.inventory(at, "n", 5, random.nextBoolean() ? Set.of(a) : Set.of(), Set.of(), Map.of(),
-                        seen::add);
-                    case 2 -> all.said(at, "n", a, Word.values()[random.nextInt(Word.values().length)], Reason.NONE,
-                        random.nextBoolean(), null, seen::add);
+                    case 1 ->
+                            all.inventory(
+                                    at,
+                                    "n",
+                                    5,
+                                    random.nextBoolean() ? Set.of(a) : Set.of(),
+                                    Set.of(),
+                                    Map.of(),
+                                    seen::add);
+                    case 2 ->
+                            all.said(
+                                    at,
+                                    "n",
+                                    a,
+                                    Word.values()[random.nextInt(Word.values().length)],
+                                    Reason.NONE,
+                                    random.nextBoolean(),
+                                    null,
+                                    seen::add);
                     case 3 -> all.tick(at, seen::add);
                     case 4 -> all.notWritten(at, a, seen::add);
                     default -> all.unwanted("q", Fate.STOPPED, seen::add);
                 }
             }
             all.lifeOver(5_000, "n", 5, seen::add);
-            assertThat(seen.stream().filter(x -> x instanceof Tell t && t.event() instanceof Ended).count())
-                .as("run " + run + ": " + seen).isEqualTo(1);
-            assertThat(seen.stream().filter(IsPlaced.class::isInstance).count()).isLessThanOrEqualTo(1);
+            assertThat(
+                            seen.stream()
+                                    .filter(x -> x instanceof Tell t && t.event() instanceof Ended)
+                                    .count())
+                    .as("run " + run + ": " + seen)
+                    .isEqualTo(1);
+            assertThat(seen.stream().filter(IsPlaced.class::isInstance).count())
+                    .isLessThanOrEqualTo(1);
         }
     }
 }
--- a/decisions/src/test/java/thornferry/decisions/BoundaryTest.java
+++ b/decisions/src/test/java/thornferry/decisions/BoundaryTest.java
@@ -7,20 +7,44 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 
-/** What makes a decision module replayable: it reads no clock, does no I/O, draws only from its seed. */
-@AnalyzeClasses(packages = "thornferry.decisions", importOptions = ImportOption.DoNotIncludeTests.class)
+/**
+ * What makes a decision module replayable: it reads no clock, does no I/O, draws only from its
+ * seed.
+ */
+@AnalyzeClasses(
+        packages = "thornferry.decisions",
+        importOptions = ImportOption.DoNotIncludeTests.class)
 class BoundaryTest {
     @ArchTest
-    static final ArchRule DECISIONS_DO_NO_INPUT_OR_OUTPUT = noClasses().should().dependOnClassesThat()
-        .resideInAnyPackage("java.io..", "java.nio..", "java.net..", "java.util.concurrent..", "java.util.logging..");
+    static final ArchRule DECISIONS_DO_NO_INPUT_OR_OUTPUT =
+            noClasses()
+                    .should()
+                    .dependOnClassesThat()
+                    .resideInAnyPackage(
+                            "java.io..",
+                            "java.nio..",
+                            "java.net..",
+                            "java.util.concurrent..",
+                            "java.util.logging..");
 
     @ArchTest
-    static final ArchRule DECISIONS_READ_NO_CLOCK = noClasses().should()
-        .callMethod(System.class, "currentTimeMillis").orShould().callMethod(System.class, "nanoTime")
-        .orShould().dependOnClassesThat().resideInAnyPackage("java.time..");
+    static final ArchRule DECISIONS_READ_NO_CLOCK =
+            noClasses()
+                    .should()
+                    .callMethod(System.class, "currentTimeMillis")
+                    .orShould()
+                    .callMethod(System.class, "nanoTime")
+                    .orShould()
+                    .dependOnClassesThat()
+                    .resideInAnyPackage("java.time..");
 
     @ArchTest
-    static final ArchRule DECISIONS_DRAW_FROM_THEIR_SEED = noClasses().should()
-        .callMethod(Math.class, "random").orShould().callConstructor(java.util.Random.class)
-        .orShould().callConstructor(java.util.SplittableRandom.class);
+    static final ArchRule DECISIONS_DRAW_FROM_THEIR_SEED =
+            noClasses()
+                    .should()
+                    .callMethod(Math.class, "random")
+                    .orShould()
+                    .callConstructor(java.util.Random.class)
+                    .orShould()
+                    .callConstructor(java.util.SplittableRandom.class);
 }
--- a/decisions/src/test/java/thornferry/decisions/EmbeddingTest.java
+++ b/decisions/src/test/java/thornferry/decisions/EmbeddingTest.java
@@ -18,13 +18,16 @@
     void theReadmesExampleOffersATask() {
         Placement.Settings settings = new Fixtures().settings();
         List<Placement.MachineEntry> machines = List.of(Fixtures.ready("m1", "a", 10));
-        Placement.Ask ask = new Placement.Ask("r1", "safe", null, "t1", 5_000_000, 0, "service", 1, 1, false);
+        Placement.Ask ask =
+                new Placement.Ask("r1", "safe", null, "t1", 5_000_000, 0, "service", 1, 1, false);
         long now = 0;
 
         Placement module = new Policy(settings);
         module.on(now, new Placement.MachineList(1, Placement.ListKind.FULL, machines), this::act);
         module.on(now, new Placement.Asked(ask), this::act);
 
-        assertTrue(done.stream().anyMatch(a -> a instanceof Placement.Offer o && o.machine().equals("m1")));
+        assertTrue(
+                done.stream()
+                        .anyMatch(a -> a instanceof Placement.Offer o && o.machine().equals("m1")));
     }
 }
--- a/decisions/src/test/java/thornferry/decisions/FilterTest.java
+++ b/decisions/src/test/java/thornferry/decisions/FilterTest.java
@@ -14,7 +14,9 @@
     void risesWithTheFastHalf() {
         filter.read(1); // fast: P 4, gain 0.8
         assertEquals(0.8, filter.value(), 1e-9);
-        filter.read(1); // fast: P 3.8, gain 0.791667; the slow half, reset to 0.8 with error 4, stands at 0.96
+        filter.read(
+                1); // fast: P 3.8, gain 0.791667; the slow half, reset to 0.8 with error 4, stands
+        // at 0.96
         assertEquals(0.8 + 0.2 * 3.8 / 4.8, filter.value(), 1e-9);
     }
 
--- a/decisions/src/test/java/thornferry/decisions/Fixtures.java
+++ b/decisions/src/test/java/thornferry/decisions/Fixtures.java
@@ -23,28 +23,75 @@
     int attempts = 4;
     boolean probes = true;
     double probePrice = 0.003;
-    List<TaskClass> classes = new ArrayList<>(List.of(
-        taskClass("safe", Effect.SAFE, Scope.ALL, 5, Scope.NONE, 0),
-        taskClass("keyed", Effect.KEYED, Scope.ZONE, 5, Scope.NONE, 0),
-        taskClass("keyedAll", Effect.KEYED, Scope.ALL, 5, Scope.NONE, 0),
-        taskClass("unsafe", Effect.UNSAFE, Scope.ALL, 5, Scope.NONE, 0),
-        taskClass("spread", Effect.SAFE, Scope.ALL, 5, Scope.ZONE, 2),
-        taskClass("cheap", Effect.SAFE, Scope.ALL, 1, Scope.NONE, 0)));
-
-    static TaskClass taskClass(String name, Effect effect, Scope key, double worth, Scope spread, int most) {
-        return new TaskClass(name, effect, key, 5 * SECOND, SECOND, 8 * SECOND, worth, 0.1, 12, 1.0, 1.0, 0, -1,
-            spread, most);
+    List<TaskClass> classes =
+            new ArrayList<>(
+                    List.of(
+                            taskClass("safe", Effect.SAFE, Scope.ALL, 5, Scope.NONE, 0),
+                            taskClass("keyed", Effect.KEYED, Scope.ZONE, 5, Scope.NONE, 0),
+                            taskClass("keyedAll", Effect.KEYED, Scope.ALL, 5, Scope.NONE, 0),
+                            taskClass("unsafe", Effect.UNSAFE, Scope.ALL, 5, Scope.NONE, 0),
+                            taskClass("spread", Effect.SAFE, Scope.ALL, 5, Scope.ZONE, 2),
+                            taskClass("cheap", Effect.SAFE, Scope.ALL, 1, Scope.NONE, 0)));
+
+    static TaskClass taskClass(
+            String name, Effect effect, Scope key, double worth, Scope spread, int most) {
+        return new TaskClass(
+                name,
+                effect,
+                key,
+                5 * SECOND,
+                SECOND,
+                8 * SECOND,
+                worth,
+                0.1,
+                12,
+                1.0,
+                1.0,
+                0,
+                -1,
+                spread,
+                most);
     }
 
     Settings settings() {
-        return new Settings(seed, number, instances, "a", classes, List.of(new MachineKind("std", 20, 40)), List.of(),
-            reports, reportNames, countsUsed, listsRoom, mustAsk, running, false, false, false, 1, 1, 1, 2, 0.1,
-            3 * SECOND, new Prices(fleetPrice, 0.08, 0.03, 0, probePrice, 0.004, 0.02, 2),
-            new Rules(8 * MS, 500 * MS, 10 * SECOND, 0.25, 16 * SECOND, 2, 3 * SECOND, coldOffers),
-            new Limits(probes, true, true, false, attempts, 3 * SECOND));
+        return new Settings(
+                seed,
+                number,
+                instances,
+                "a",
+                classes,
+                List.of(new MachineKind("std", 20, 40)),
+                List.of(),
+                reports,
+                reportNames,
+                countsUsed,
+                listsRoom,
+                mustAsk,
+                running,
+                false,
+                false,
+                false,
+                1,
+                1,
+                1,
+                2,
+                0.1,
+                3 * SECOND,
+                new Prices(fleetPrice, 0.08, 0.03, 0, probePrice, 0.004, 0.02, 2),
+                new Rules(
+                        8 * MS,
+                        500 * MS,
+                        10 * SECOND,
+                        0.25,
+                        16 * SECOND,
+                        2,
+                        3 * SECOND,
+                        coldOffers),
+                new Limits(probes, true, true, false, attempts, 3 * SECOND));
     }
 
-    static MachineEntry machine(String id, String zone, MachineState state, double coresFree, long started) {
+    static MachineEntry machine(
+            String id, String zone, MachineState state, double coresFree, long started) {
         return new MachineEntry(id, zone, "std", 1, state, coresFree, coresFree * 2, 1, started);
     }
 
@@ -65,11 +112,15 @@
     }
 
     static Asked ask(String id, String taskClass, double cores, long patience) {
-        return new Asked(new Ask(id, taskClass, null, "t-" + id, patience, 0, "service", cores, cores, false));
+        return new Asked(
+                new Ask(
+                        id, taskClass, null, "t-" + id, patience, 0, "service", cores, cores,
+                        false));
     }
 
     static Ended ended(Offer offer, int attempt, Outcome outcome, Reason reason) {
-        return new Ended(offer.id(), attempt, offer.machine(), outcome, 50 * MS, false, reason, null);
+        return new Ended(
+                offer.id(), attempt, offer.machine(), outcome, 50 * MS, false, reason, null);
     }
 
     /** One instance with its clock; timers fire when the test moves the clock past them. */
@@ -87,20 +138,26 @@
         /** Sends one event; returns what it led to, timers left out. */
         List<Action> send(Event event) {
             List<Action> led = new ArrayList<>();
-            module.on(now, event, action -> {
-                if (action instanceof SetTimer timer) {
-                    timers.add(timer.at());
-                } else {
-                    led.add(action);
-                }
-            });
+            module.on(
+                    now,
+                    event,
+                    action -> {
+                        if (action instanceof SetTimer timer) {
+                            timers.add(timer.at());
+                        } else {
+                            led.add(action);
+                        }
+                    });
             actions.addAll(led);
             return led;
         }
 
         Offer offer(Event event) {
-            return send(event).stream().filter(Offer.class::isInstance).map(Offer.class::cast).findFirst()
-                .orElse(null);
+            return send(event).stream()
+                    .filter(Offer.class::isInstance)
+                    .map(Offer.class::cast)
+                    .findFirst()
+                    .orElse(null);
         }
 
         /** Lets time pass, firing timers as they fall due. */
--- a/decisions/src/test/java/thornferry/decisions/FleetColdTest.java
+++ b/decisions/src/test/java/thornferry/decisions/FleetColdTest.java
@@ -16,9 +16,10 @@
 import thornferry.decisions.Placement.*;
 
 /**
- * Rule 4 is the fleet's: what reaches a cold machine from all placers together, over every window, whatever bursts
- * come, whoever has just restarted and remembers nothing, and whenever each was told of the start. All other machines
- * are lost, so that whatever is asked presses on the cold ones.
+ * Rule 4 is the fleet's: what reaches a cold machine from all placers together, over every window,
+ * whatever bursts come, whoever has just restarted and remembers nothing, and whenever each was
+ * told of the start. All other machines are lost, so that whatever is asked presses on the cold
+ * ones.
  */
 class FleetColdTest {
     private static final long WINDOW = 3 * SECOND;
@@ -44,8 +45,11 @@
         }
         for (long at = START; at < START + 40 * SECOND; at += STEP) {
             for (int i = 0; i < placers; i++) {
-                // half of the time most restart again and again, some between two offers to the same machine
-                if (at % (20 * SECOND) >= 10 * SECOND && at % (1_500 * MS) < STEP && random.nextInt(10) < 7) {
+                // half of the time most restart again and again, some between two offers to the
+                // same machine
+                if (at % (20 * SECOND) >= 10 * SECOND
+                        && at % (1_500 * MS) < STEP
+                        && random.nextInt(10) < 7) {
                     fleet.set(i, starts(i, at));
                 }
                 lives(fleet.get(i), at);
@@ -53,18 +57,24 @@
         }
         assertEquals(COLD, arrivals.size(), "all are used");
         double most = budget + 2 * Math.sqrt(budget) + 2;
-        arrivals.forEach((machine, all) -> {
-            all.sort(null);
-            for (int i = 0, from = 0; i < all.size(); i++) {
-                while (all.get(from) <= all.get(i) - WINDOW) {
-                    from++;
-                }
-                assertTrue(i - from + 1 <= most, (i - from + 1) + " in a window of " + machine);
-            }
-        });
+        arrivals.forEach(
+                (machine, all) -> {
+                    all.sort(null);
+                    for (int i = 0, from = 0; i < all.size(); i++) {
+                        while (all.get(from) <= all.get(i) - WINDOW) {
+                            from++;
+                        }
+                        assertTrue(
+                                i - from + 1 <= most,
+                                (i - from + 1) + " in a window of " + machine);
+                    }
+                });
     }
 
-    /** A placer that starts knows the list as it stands, and nothing of what an earlier one of its name sent. */
+    /**
+     * A placer that starts knows the list as it stands, and nothing of what an earlier one of its
+     * name sent.
+     */
     private Script starts(int number, long at) {
         fixtures.number = number;
         fixtures.seed = random.nextLong();
@@ -90,13 +100,14 @@
 
     private boolean isCold(String machine, long at) {
         return machine.startsWith("cold")
-            && at < started(machine.charAt(4) - '0') + fixtures.settings().rules().rampTime();
+                && at < started(machine.charAt(4) - '0') + fixtures.settings().rules().rampTime();
     }
 
     private void lives(Script s, long at) {
         List<Action> led = new ArrayList<>(s.pass(at + STEP - s.now));
         for (int m = 0; m < COLD; m++) {
-            if (at >= started(m) && random.nextInt(10) == 0) { // lists tell at different times, and again
+            if (at >= started(m)
+                    && random.nextInt(10) == 0) { // lists tell at different times, and again
                 led.addAll(s.send(Fixtures.delta(cold(m))));
             }
         }
@@ -108,12 +119,17 @@
             if (action instanceof Offer offer) {
                 if (isCold(offer.machine(), s.now)) {
                     arrivals.computeIfAbsent(offer.machine(), m -> new ArrayList<>())
-                        .add(s.now + random.nextInt((int) (250 * MS))); // as late as a connection may come up
+                            .add(s.now + random.nextInt((int) (250 * MS))); // as late as a
+                    // connection may come
+                    // up
                 }
                 int attempt = attempts.merge(offer.id(), 1, Integer::sum) - 1;
                 Outcome outcome = Outcome.values()[random.nextInt(Outcome.values().length)];
-                led.addAll(random.nextInt(3) == 0 ? s.send(Fixtures.ended(offer, attempt, outcome, Reason.NONE))
-                    : s.send(new Placed(offer.id(), attempt, offer.machine(), 50 * MS)));
+                led.addAll(
+                        random.nextInt(3) == 0
+                                ? s.send(Fixtures.ended(offer, attempt, outcome, Reason.NONE))
+                                : s.send(
+                                        new Placed(offer.id(), attempt, offer.machine(), 50 * MS)));
             }
         }
     }
--- a/decisions/src/test/java/thornferry/decisions/IntakeTest.java
+++ b/decisions/src/test/java/thornferry/decisions/IntakeTest.java
@@ -22,13 +22,16 @@
 
     private final List<Action> actions = new ArrayList<>();
     private long now = 1_000 * SECOND;
-    private Intake intake = intake(new Intake.Limits(3, 5, 60 * SECOND, 20 * SECOND, 3 * SECOND, SECOND, 8 * SECOND));
+    private Intake intake =
+            intake(
+                    new Intake.Limits(
+                            3, 5, 60 * SECOND, 20 * SECOND, 3 * SECOND, SECOND, 8 * SECOND));
 
     private Intake intake(Intake.Limits limits) {
         Intake made = new Intake(limits, new Fixtures().classes, 7, now);
         now += 10 * SECOND; // well after the start, when nothing settles any more
         for (long at = now - 10 * SECOND; at <= now; at += 100_000) {
-            made.tick(at, action -> { });
+            made.tick(at, action -> {});
         }
         return made;
     }
@@ -50,15 +53,26 @@
     }
 
     private static String handed(List<Action> led) {
-        return led.stream().filter(Hand.class::isInstance).map(a -> ((Hand) a).ask().id()).findFirst().orElse(null);
+        return led.stream()
+                .filter(Hand.class::isInstance)
+                .map(a -> ((Hand) a).ask().id())
+                .findFirst()
+                .orElse(null);
     }
 
     private static Hand hand(List<Action> led) {
-        return led.stream().filter(Hand.class::isInstance).map(Hand.class::cast).findFirst().orElseThrow();
+        return led.stream()
+                .filter(Hand.class::isInstance)
+                .map(Hand.class::cast)
+                .findFirst()
+                .orElseThrow();
     }
 
     private static List<News> told(List<Action> led) {
-        return led.stream().filter(Deliver.class::isInstance).map(a -> ((Deliver) a).news()).toList();
+        return led.stream()
+                .filter(Deliver.class::isInstance)
+                .map(a -> ((Deliver) a).news())
+                .toList();
     }
 
     private static News only(List<Action> led) {
@@ -102,7 +116,8 @@
     void anotherShapeUnderTheSameNameIsAnError() throws Unacceptable {
         asks("o", wish("t", "safe"));
         assertThatThrownBy(() -> asks("o", new Wish("t", "safe", "service", "", 9, 2, null, 0)))
-            .isInstanceOf(Unacceptable.class).hasMessageContaining("another shape");
+                .isInstanceOf(Unacceptable.class)
+                .hasMessageContaining("another shape");
         assertThat(asks("o", new Wish("t", "safe", "service", "", 1, 2, 5 * SECOND, 3))).isEmpty();
     }
 
@@ -111,8 +126,10 @@
         String mine = handed(asks("o", wish("t", "safe")));
         String theirs = handed(asks("p", wish("t", "safe")));
         assertThat(mine).isNotNull().isNotEqualTo(theirs);
-        assertThat(only(did(() -> intake.placed(now, theirs, "n", actions::add))).owner()).isEqualTo("p");
-        assertThatThrownBy(() -> intake.stop(now, "q", "t", actions::add)).isInstanceOf(Unacceptable.class);
+        assertThat(only(did(() -> intake.placed(now, theirs, "n", actions::add))).owner())
+                .isEqualTo("p");
+        assertThatThrownBy(() -> intake.stop(now, "q", "t", actions::add))
+                .isInstanceOf(Unacceptable.class);
     }
 
     @Test
@@ -158,7 +175,8 @@
         List<Action> led = did(() -> intake.tick(now, actions::add));
         assertThat(led.get(0)).isEqualTo(new Abandon(q, Fate.STOPPED));
         assertThat(only(led).result()).isEqualTo(Result.FAILED);
-        assertThat(did(() -> intake.placed(now, q, "n", actions::add))).isEmpty(); // too late: one result only
+        assertThat(did(() -> intake.placed(now, q, "n", actions::add)))
+                .isEmpty(); // too late: one result only
         assertThat(intake.inHand()).isZero();
     }
 
@@ -171,7 +189,8 @@
         Hand missing = hand(asks("o", wish("c", "safe")));
         assertThat(missing.ask().patience()).isEqualTo(8 * SECOND);
         assertThatThrownBy(() -> asks("o", new Wish("d", "safe", "s", "", 1, 1, -1L, 0)))
-            .isInstanceOf(Unacceptable.class).hasMessageContaining("patienceMs");
+                .isInstanceOf(Unacceptable.class)
+                .hasMessageContaining("patienceMs");
     }
 
     @Test
@@ -179,9 +198,9 @@
         assertThatThrownBy(() -> asks("o", wish("t", "odd"))).hasMessageContaining("taskClass odd");
         assertThatThrownBy(() -> asks("o", wish("", "safe"))).hasMessageContaining("id");
         assertThatThrownBy(() -> asks("o", new Wish("t", "safe", "s", "", Double.NaN, 1, null, 0)))
-            .hasMessageContaining("cores");
+                .hasMessageContaining("cores");
         assertThatThrownBy(() -> asks("o", new Wish("t", "keyed", "s", "", 1, 1, null, 0)))
-            .hasMessageContaining("needs a key");
+                .hasMessageContaining("needs a key");
         assertThat(intake.known()).isZero();
     }
 
@@ -210,7 +229,7 @@
         intake.stop(now, "o", "u", actions::add);
         assertThat(actions).containsExactly(new Abandon(r, Fate.STOPPED));
         assertThat(only(did(() -> intake.over(now, r, "n", Fate.STOPPED, actions::add))).fate())
-            .isEqualTo(Fate.STOPPED);
+                .isEqualTo(Fate.STOPPED);
     }
 
     @Test
@@ -222,7 +241,9 @@
             List<Action> led = asks("o", wish(cls, cls));
             assertThat(handed(led) != null).as(cls).isEqualTo(cls.equals("safe"));
         }
-        assertThat(told(actions)).extracting(News::repeat).containsExactly(true, true); // placed, and then lost
+        assertThat(told(actions))
+                .extracting(News::repeat)
+                .containsExactly(true, true); // placed, and then lost
     }
 
     @Test
@@ -242,13 +263,19 @@
         now += 61 * SECOND;
         intake.tick(now, actions::add);
         assertThat(intake.known()).isZero();
-        assertThat(handed(asks("o", wish("t0", "unsafe")))).isNotNull(); // its time is over: a new task
+        assertThat(handed(asks("o", wish("t0", "unsafe"))))
+                .isNotNull(); // its time is over: a new task
     }
 
     @Test
     void afterAStartUnsafeAsksWaitAndWhatRunsAlreadyIsTheirResult() throws Unacceptable {
-        Intake fresh = new Intake(new Intake.Limits(3, 5, 60 * SECOND, 20 * SECOND, 3 * SECOND, SECOND, 8 * SECOND),
-            new Fixtures().classes, 7, now);
+        Intake fresh =
+                new Intake(
+                        new Intake.Limits(
+                                3, 5, 60 * SECOND, 20 * SECOND, 3 * SECOND, SECOND, 8 * SECOND),
+                        new Fixtures().classes,
+                        7,
+                        now);
         intake = fresh;
         assertThat(handed(asks("o", wish("t", "unsafe")))).isNull();
         assertThat(handed(asks("o", wish("u", "unsafe")))).isNull();
@@ -285,8 +312,10 @@
         assertThat(only(actions).machine()).isEqualTo("m");
         assertThat(intake.inHand()).isZero();
         assertThat(did(() -> intake.refused(now, q, 0, "", actions::add))).isEmpty();
-        assertThat(only(did(() -> intake.over(now, ask.id(), "m", Fate.ENDED, actions::add))).fate())
-            .isEqualTo(Fate.ENDED);
+        assertThat(
+                        only(did(() -> intake.over(now, ask.id(), "m", Fate.ENDED, actions::add)))
+                                .fate())
+                .isEqualTo(Fate.ENDED);
     }
 
     @Test
@@ -294,6 +323,6 @@
         String q = handed(asks("o", wish("t", "safe")));
         intake.turnedDown(q, "n", Placement.Reason.NO_MEMORY);
         assertThat(only(did(() -> intake.refused(now, q, 0, "", actions::add))).reason())
-            .isEqualTo("node n refused last: not enough memory");
+                .isEqualTo("node n refused last: not enough memory");
     }
 }
--- a/decisions/src/test/java/thornferry/decisions/LineTest.java
+++ b/decisions/src/test/java/thornferry/decisions/LineTest.java
@@ -29,14 +29,36 @@
     private Line line;
 
     private Line line(LineSettings settings) {
-        fleet.listed(List.of(new MachineEntry("m1", "a", "std", 1, MachineState.READY, 100, 100, 1, 1)));
+        fleet.listed(
+                List.of(new MachineEntry("m1", "a", "std", 1, MachineState.READY, 100, 100, 1, 1)));
         line = new Line(settings, fleet, 7);
         return line;
     }
 
     private static LineSettings settings(int window, int oldestTurn, long gatherFor) {
-        return new LineSettings(true, 10_000, window, 200 * MS, 250 * MS, 0.3, SECOND, oldestTurn, 0.3, SECOND, gatherFor,
-            0.5, 2, 500 * MS, 30 * SECOND, Limit.NONE, Limit.NONE, Limit.NONE, Map.of(), Map.of(), Map.of(), Set.of());
+        return new LineSettings(
+                true,
+                10_000,
+                window,
+                200 * MS,
+                250 * MS,
+                0.3,
+                SECOND,
+                oldestTurn,
+                0.3,
+                SECOND,
+                gatherFor,
+                0.5,
+                2,
+                500 * MS,
+                30 * SECOND,
+                Limit.NONE,
+                Limit.NONE,
+                Limit.NONE,
+                Map.of(),
+                Map.of(),
+                Map.of(),
+                Set.of());
     }
 
     private void did(Line.Action action) {
@@ -53,11 +75,31 @@
         return ask(owner, tenant, "c", worth, cores, patience, false, "");
     }
 
-    private String ask(String owner, String tenant, String cls, double worth, double cores, long patience, boolean again,
-                       String turnedBy) {
+    private String ask(
+            String owner,
+            String tenant,
+            String cls,
+            double worth,
+            double cores,
+            long patience,
+            boolean again,
+            String turnedBy) {
         String request = owner + "-" + ++numbers;
-        line.arrived(now, new Line.Item(request, owner, tenant, cls, worth, cores, cores, now + patience, 0, again, turnedBy),
-            this::did);
+        line.arrived(
+                now,
+                new Line.Item(
+                        request,
+                        owner,
+                        tenant,
+                        cls,
+                        worth,
+                        cores,
+                        cores,
+                        now + patience,
+                        0,
+                        again,
+                        turnedBy),
+                this::did);
         return request;
     }
 
@@ -71,7 +113,7 @@
     }
 
     private void pass(long time) {
-        for (long end = now + time; now < end;) {
+        for (long end = now + time; now < end; ) {
             now += 20 * MS;
             line.tick(now, this::did);
         }
@@ -117,13 +159,37 @@
     @Test
     void whatCouldNeverPassItsLimitIsRefusedAtOnceAndWhatItsClassRefusesToo() {
         LineSettings s = LineSettings.usual().with(limit(1, INF, 4), null, null, null);
-        line(new LineSettings(true, s.length(), s.window(), s.takeBack(), s.lookAgain(), s.target(), s.interval(),
-            s.oldestTurn(), s.large(), s.gatherAfter(), s.gatherFor(), s.retryShare(), s.retryPerSecond(), s.retryLeast(),
-            s.retryMost(), s.owner(), s.tenant(), s.all(), Map.of(), Map.of(), Map.of(), Set.of("hasty")));
-        assertThat(turned.get(ask("o", "t", 1, 5, SECOND)).why()).contains("more than your limit of 4 cores");
+        line(
+                new LineSettings(
+                        true,
+                        s.length(),
+                        s.window(),
+                        s.takeBack(),
+                        s.lookAgain(),
+                        s.target(),
+                        s.interval(),
+                        s.oldestTurn(),
+                        s.large(),
+                        s.gatherAfter(),
+                        s.gatherFor(),
+                        s.retryShare(),
+                        s.retryPerSecond(),
+                        s.retryLeast(),
+                        s.retryMost(),
+                        s.owner(),
+                        s.tenant(),
+                        s.all(),
+                        Map.of(),
+                        Map.of(),
+                        Map.of(),
+                        Set.of("hasty")));
+        assertThat(turned.get(ask("o", "t", 1, 5, SECOND)).why())
+                .contains("more than your limit of 4 cores");
         place(ask("o", "t", 1, 1, SECOND));
         String hasty = ask("o", "t", "hasty", 1, 1, SECOND, false, "");
-        assertThat(turned.get(hasty).why()).contains("your limit of 1 tasks is reached").contains("do not wait");
+        assertThat(turned.get(hasty).why())
+                .contains("your limit of 1 tasks is reached")
+                .contains("do not wait");
     }
 
     @Test
@@ -133,9 +199,11 @@
             ask("o", "t", 1, 1, 60 * SECOND);
         }
         assertThat(line.waiting()).isEqualTo(49);
-        line.reload(now, LineSettings.usual().with(limit(20, INF, INF), null, null, null), this::did);
+        line.reload(
+                now, LineSettings.usual().with(limit(20, INF, INF), null, null, null), this::did);
         assertThat(released).hasSize(20);
-        line.reload(now, LineSettings.usual().with(limit(5, INF, INF), null, null, null), this::did);
+        line.reload(
+                now, LineSettings.usual().with(limit(5, INF, INF), null, null, null), this::did);
         assertThat(line.waiting()).isEqualTo(30);
         assertThat(turned).isEmpty();
     }
@@ -188,7 +256,10 @@
         String blocker = ask("o", "rich", 9, 1, 3_600 * SECOND);
         String poor = ask("p", "poor", 0.1, 1, 3_600 * SECOND);
         SplittableRandom random = new SplittableRandom(3);
-        line.reload(now, settings(1, turn, 0).with(null, null, null, Map.of("rich", 1_000.0, "poor", 0.001)), this::did);
+        line.reload(
+                now,
+                settings(1, turn, 0).with(null, null, null, Map.of("rich", 1_000.0, "poor", 0.001)),
+                this::did);
         int others = 0;
         // the poor tenant already holds a lot, so that its share never brings it the turn
         line.adopted(now, new Line.Item("x", "p", "poor", "c", 1, 50, 50, 0, 0, false, ""));
@@ -234,7 +305,9 @@
             while (!released.contains(r)) {
                 pass(20 * MS);
             }
-            assertThat(now - begin).as("waited behind what fits nowhere").isLessThanOrEqualTo(250 * MS);
+            assertThat(now - begin)
+                    .as("waited behind what fits nowhere")
+                    .isLessThanOrEqualTo(250 * MS);
             place(r);
             over(r);
             pass(20 * MS);
@@ -268,9 +341,30 @@
     @Test
     void aFullLineRefusesTheLastInOrderNotTheNewest() {
         LineSettings s = settings(1, 8, 0);
-        line(new LineSettings(true, 2, 1, s.takeBack(), s.lookAgain(), s.target(), s.interval(), 8, 1, s.gatherAfter(), 0,
-            0.5, 2, s.retryLeast(), s.retryMost(), Limit.NONE, Limit.NONE, Limit.NONE, Map.of(), Map.of(), Map.of(),
-            Set.of()));
+        line(
+                new LineSettings(
+                        true,
+                        2,
+                        1,
+                        s.takeBack(),
+                        s.lookAgain(),
+                        s.target(),
+                        s.interval(),
+                        8,
+                        1,
+                        s.gatherAfter(),
+                        0,
+                        0.5,
+                        2,
+                        s.retryLeast(),
+                        s.retryMost(),
+                        Limit.NONE,
+                        Limit.NONE,
+                        Limit.NONE,
+                        Map.of(),
+                        Map.of(),
+                        Map.of(),
+                        Set.of()));
         ask("o", "t", 1, 1, 60 * SECOND);
         String cheap = ask("o", "t", 1, 1, 60 * SECOND);
         String dear = ask("o", "t", 5, 1, 60 * SECOND);
@@ -291,8 +385,10 @@
             since.put(r, now);
             now += 10 * MS;
             if (i % 5 == 0) {
-                released.stream().filter(q -> line.standing(now, q).where() == Line.Where.ASKED).findFirst()
-                    .ifPresent(this::place);
+                released.stream()
+                        .filter(q -> line.standing(now, q).where() == Line.Where.ASKED)
+                        .findFirst()
+                        .ifPresent(this::place);
             }
             if (i % 2 == 0) {
                 line.tick(now, this::did);
@@ -301,7 +397,8 @@
         }
         assertThat(line.overload()).isTrue();
         assertThat(early).as("refused at once, of 1,000").isGreaterThan(200);
-        long late = turned.values().stream().filter(t -> t.why().startsWith("no room came")).count();
+        long late =
+                turned.values().stream().filter(t -> t.why().startsWith("no room came")).count();
         assertThat(late).as("refused only at the end of patience").isLessThan(turned.size() / 20);
         assertThat(line.waiting()).as("a line that can be served within patience").isLessThan(120);
         pass(5 * SECOND);
@@ -318,7 +415,9 @@
         times.sort(null);
         assertThat(times.get(499)).isLessThanOrEqualTo(30 * SECOND);
         for (int i = 0; i + 60 < 500; i++) {
-            assertThat(times.get(i + 60) - times.get(i)).as("60 of 500 within a moment").isGreaterThan(300 * MS);
+            assertThat(times.get(i + 60) - times.get(i))
+                    .as("60 of 500 within a moment")
+                    .isGreaterThan(300 * MS);
         }
     }
 
@@ -366,24 +465,51 @@
         assertThat(released).contains(ask("o", "t", 1, 1, 60 * SECOND)); // and not again at once
     }
 
-    /** Whatever happens, sums agree with a plain count, nothing is lost, and each ask has one end. */
+    /**
+     * Whatever happens, sums agree with a plain count, nothing is lost, and each ask has one end.
+     */
     @Test
     void underRandomEventsNothingIsLostOrCountedTwice() {
         for (int seed = 0; seed < 30; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             released.clear();
             turned.clear();
-            line(settings(3 + random.nextInt(10), 2 + random.nextInt(8), random.nextInt(2) * SECOND).with(
-                new Limit(20, 1 + random.nextInt(30), 5 + random.nextInt(100), 3, 40, 400), null, null, null));
+            line(
+                    settings(
+                                    3 + random.nextInt(10),
+                                    2 + random.nextInt(8),
+                                    random.nextInt(2) * SECOND)
+                            .with(
+                                    new Limit(
+                                            20,
+                                            1 + random.nextInt(30),
+                                            5 + random.nextInt(100),
+                                            3,
+                                            40,
+                                            400),
+                                    null,
+                                    null,
+                                    null));
             Map<String, Double> alive = new HashMap<>();
             for (int i = 0; i < 600; i++) {
                 now += random.nextInt(30) * MS;
-                String some = alive.isEmpty() ? "" : List.copyOf(alive.keySet()).get(random.nextInt(alive.size()));
+                String some =
+                        alive.isEmpty()
+                                ? ""
+                                : List.copyOf(alive.keySet()).get(random.nextInt(alive.size()));
                 switch (random.nextInt(8)) {
                     case 0, 1, 2 -> {
                         double cores = 1 + random.nextInt(6);
-                        String r = ask("o" + random.nextInt(4), "t" + random.nextInt(2), "c", 1 + random.nextInt(3), cores,
-                            (1 + random.nextInt(40)) * SECOND / 10, random.nextInt(5) == 0, "");
+                        String r =
+                                ask(
+                                        "o" + random.nextInt(4),
+                                        "t" + random.nextInt(2),
+                                        "c",
+                                        1 + random.nextInt(3),
+                                        cores,
+                                        (1 + random.nextInt(40)) * SECOND / 10,
+                                        random.nextInt(5) == 0,
+                                        "");
                         alive.put(r, cores);
                     }
                     case 3 -> line.offered(now, some, "m1", false);
@@ -394,7 +520,8 @@
                         }
                     }
                     case 6 -> {
-                        if (random.nextBoolean() && line.standing(now, some).where() != Line.Where.LINE) {
+                        if (random.nextBoolean()
+                                && line.standing(now, some).where() != Line.Where.LINE) {
                             over(some);
                             alive.remove(some);
                         }
--- a/decisions/src/test/java/thornferry/decisions/MembershipTest.java
+++ b/decisions/src/test/java/thornferry/decisions/MembershipTest.java
@@ -18,8 +18,10 @@
     private static final long MS = 1_000;
     private static final long SECOND = 1_000_000;
 
-    private final Membership membership = new Membership(new Membership.Limits(10 * SECOND, 2, 30 * SECOND,
-        5 * SECOND, 3), List.of(new Placement.MachineKind("std", 20, 40)));
+    private final Membership membership =
+            new Membership(
+                    new Membership.Limits(10 * SECOND, 2, 30 * SECOND, 5 * SECOND, 3),
+                    List.of(new Placement.MachineKind("std", 20, 40)));
     private final List<Action> actions = new ArrayList<>();
     private long now = 1_000 * SECOND;
 
@@ -28,7 +30,10 @@
     }
 
     private List<Action> registers(long link, String name, long incarnation) {
-        return did(() -> membership.registered(now, link, node(name, incarnation, 3_600 * SECOND), actions::add));
+        return did(
+                () ->
+                        membership.registered(
+                                now, link, node(name, incarnation, 3_600 * SECOND), actions::add));
     }
 
     private List<Action> breaks(long link) {
@@ -37,12 +42,13 @@
 
     /** Ticks as the host does, every 100 ms. */
     private List<Action> passes(long time) {
-        return did(() -> {
-            for (long end = now + time; now < end;) {
-                now = Math.min(end, now + 100 * MS);
-                membership.tick(now, actions::add);
-            }
-        });
+        return did(
+                () -> {
+                    for (long end = now + time; now < end; ) {
+                        now = Math.min(end, now + 100 * MS);
+                        membership.tick(now, actions::add);
+                    }
+                });
     }
 
     private List<Action> did(Runnable what) {
@@ -52,12 +58,19 @@
     }
 
     private static MachineState state(List<Action> actions) {
-        return actions.stream().filter(Changed.class::isInstance).map(a -> ((Changed) a).lines().get(0).state())
-            .reduce((a, b) -> b).orElse(null);
+        return actions.stream()
+                .filter(Changed.class::isInstance)
+                .map(a -> ((Changed) a).lines().get(0).state())
+                .reduce((a, b) -> b)
+                .orElse(null);
     }
 
     private String view(String name) {
-        return membership.view(now).stream().filter(v -> v.machine().equals(name)).findFirst().orElseThrow().state();
+        return membership.view(now).stream()
+                .filter(v -> v.machine().equals(name))
+                .findFirst()
+                .orElseThrow()
+                .state();
     }
 
     @Test
@@ -83,9 +96,14 @@
         Changed first = (Changed) registers(1, "n", 5).get(1);
         breaks(1);
         now += SECOND;
-        // its uptime is rounded and delayed on the way: a start that moved would look like a restart
-        Changed again = (Changed) did(() -> membership.registered(now, 2, node("n", 5, 3_600 * SECOND), actions::add))
-            .get(1);
+        // its uptime is rounded and delayed on the way: a start that moved would look like a
+        // restart
+        Changed again =
+                (Changed)
+                        did(() ->
+                                        membership.registered(
+                                                now, 2, node("n", 5, 3_600 * SECOND), actions::add))
+                                .get(1);
         assertThat(again.lines().get(0).started()).isEqualTo(first.lines().get(0).started());
     }
 
@@ -102,8 +120,10 @@
         passes(SECOND);
         breaks(1);
         passes(9 * SECOND);
-        now += 2 * SECOND; // nobody looked meanwhile: over ten seconds since the break, but only nine of ours
-        assertThat(did(() -> membership.tick(now, actions::add))).noneMatch(LifeOver.class::isInstance);
+        now += 2 * SECOND; // nobody looked meanwhile: over ten seconds since the break, but
+        // only nine of ours
+        assertThat(did(() -> membership.tick(now, actions::add)))
+                .noneMatch(LifeOver.class::isInstance);
         assertThat(passes(2 * SECOND)).anyMatch(LifeOver.class::isInstance);
     }
 
@@ -111,8 +131,11 @@
     void aLaterIncarnationEndsTheEarlierLifeBeforeItIsDeclaredGone() {
         registers(1, "n", 5);
         List<Action> led = registers(2, "n", 6);
-        assertThat(led).containsSubsequence(new CloseLink(1, "registered again on another connection"),
-            new LifeOver("n", 5, "it has started anew"), new Admitted("n", 6, 2));
+        assertThat(led)
+                .containsSubsequence(
+                        new CloseLink(1, "registered again on another connection"),
+                        new LifeOver("n", 5, "it has started anew"),
+                        new Admitted("n", 6, 2));
         assertThat(breaks(1)).isEmpty(); // the old connection's end says nothing of the new life
         assertThat(membership.link("n")).isEqualTo(2);
     }
@@ -173,18 +196,50 @@
         List<Action> back = registers(2, "n", 6);
         assertThat(state(back)).isEqualTo(MachineState.DRAINING);
         assertThat(back).contains(new TellDrain("n", 2, true));
-        assertThat(state(did(() -> membership.drain(now, "n", false, actions::add)))).isEqualTo(MachineState.READY);
+        assertThat(state(did(() -> membership.drain(now, "n", false, actions::add))))
+                .isEqualTo(MachineState.READY);
         assertThat(membership.drain(now, "nobody", true, actions::add)).isFalse();
     }
 
     @Test
     void wrongRegistrationsAreTurnedAwayWithAReason() {
-        assertThat(did(() -> membership.registered(now, 1, new Registration("n", 1, "odd", "a", 1, 20, 40, 0, 1, 1),
-            actions::add))).singleElement().extracting(a -> ((CloseLink) a).why()).asString().contains("kind odd");
-        assertThat(did(() -> membership.registered(now, 1, new Registration("n", 1, "std", "a", 1, 10, 40, 0, 1, 1),
-            actions::add))).singleElement().extracting(a -> ((CloseLink) a).why()).asString().contains("20.0 cores");
-        assertThat(did(() -> membership.registered(now, 1, new Registration("n", 1, "std", "", 1, 20, 40, 0, 1, 1),
-            actions::add))).singleElement().isInstanceOf(CloseLink.class);
+        assertThat(
+                        did(
+                                () ->
+                                        membership.registered(
+                                                now,
+                                                1,
+                                                new Registration(
+                                                        "n", 1, "odd", "a", 1, 20, 40, 0, 1, 1),
+                                                actions::add)))
+                .singleElement()
+                .extracting(a -> ((CloseLink) a).why())
+                .asString()
+                .contains("kind odd");
+        assertThat(
+                        did(
+                                () ->
+                                        membership.registered(
+                                                now,
+                                                1,
+                                                new Registration(
+                                                        "n", 1, "std", "a", 1, 10, 40, 0, 1, 1),
+                                                actions::add)))
+                .singleElement()
+                .extracting(a -> ((CloseLink) a).why())
+                .asString()
+                .contains("20.0 cores");
+        assertThat(
+                        did(
+                                () ->
+                                        membership.registered(
+                                                now,
+                                                1,
+                                                new Registration(
+                                                        "n", 1, "std", "", 1, 20, 40, 0, 1, 1),
+                                                actions::add)))
+                .singleElement()
+                .isInstanceOf(CloseLink.class);
         assertThat(membership.view(now)).isEmpty();
     }
 
