--- a/decisions/src/test/java/thornferry/decisions/PolicyTest.java
+++ b/decisions/src/test/java/thornferry/decisions/PolicyTest.java
@@ -56,16 +56,34 @@
     @Test
     void aMachineNeverHeardFromScoresAsTheMean() {
         f.reports = Reports.ON_PROBE;
-        Script s = with(ready("m1", "a", Double.NaN), ready("m2", "a", Double.NaN),
-            ready("m3", "a", Double.NaN)); // a list that shows no room
+        Script s =
+                with(
+                        ready("m1", "a", Double.NaN),
+                        ready("m2", "a", Double.NaN),
+                        ready("m3", "a", Double.NaN)); // a list that shows no room
         s.send(new Probed("m1", true, MS, new double[] {2, 40}));
         s.send(new Probed("m2", true, MS, new double[] {18, 40}));
         Set<String> chosen = new HashSet<>();
         for (int i = 0; i < 3; i++) {
-            chosen.add(s.offer(new Asked(new Ask("r" + i, "safe", null, "t", 8 * SECOND, 0, "s" + i, 5, 1, false)))
-                .machine());
+            chosen.add(
+                    s.offer(
+                                    new Asked(
+                                            new Ask(
+                                                    "r" + i,
+                                                    "safe",
+                                                    null,
+                                                    "t",
+                                                    8 * SECOND,
+                                                    0,
+                                                    "s" + i,
+                                                    5,
+                                                    1,
+                                                    false)))
+                            .machine());
         }
-        assertTrue(chosen.contains("m2") && !chosen.contains("m1"), "emptier than the mean, never the full one");
+        assertTrue(
+                chosen.contains("m2") && !chosen.contains("m1"),
+                "emptier than the mean, never the full one");
     }
 
     @Test
@@ -79,7 +97,12 @@
     void sameEventsSameActions() {
         List<List<Action>> runs = new java.util.ArrayList<>();
         for (int run = 0; run < 2; run++) {
-            Script s = with(ready("m1", "a", 9), ready("m2", "b", 9), ready("m3", "a", 9), ready("m4", "b", 9));
+            Script s =
+                    with(
+                            ready("m1", "a", 9),
+                            ready("m2", "b", 9),
+                            ready("m3", "a", 9),
+                            ready("m4", "b", 9));
             for (int i = 0; i < 40; i++) {
                 s.send(ask("r" + i, i % 2 == 0 ? "safe" : "keyed", 0.5));
                 s.pass(30 * MS);
@@ -94,8 +117,11 @@
     @Test
     void aHeldAskIsRefusedBeforeItsOwnerLeaves() {
         Script s = with(ready("m1", "a", 0.5));
-        assertTrue(s.send(ask("r1", "safe", 3)).stream().allMatch(Held.class::isInstance), "held while nothing fits");
-        assertEquals(List.of(), s.pass(7 * SECOND).stream().filter(a -> !(a instanceof Probe)).toList());
+        assertTrue(
+                s.send(ask("r1", "safe", 3)).stream().allMatch(Held.class::isInstance),
+                "held while nothing fits");
+        assertEquals(
+                List.of(), s.pass(7 * SECOND).stream().filter(a -> !(a instanceof Probe)).toList());
         assertTrue(s.pass(SECOND).contains(new Refuse("r1", 0)));
     }
 
@@ -120,7 +146,9 @@
         Offer first = s.offer(ask("r1", "safe", 1));
         Offer second = s.offer(ended(first, 0, Outcome.REFUSED, Reason.NO_CORES));
         assertNotEquals(first.machine(), second.machine());
-        assertEquals(List.of(new Refuse("r1", 0)), s.send(ended(second, 1, Outcome.REFUSED, Reason.NO_CORES)));
+        assertEquals(
+                List.of(new Refuse("r1", 0)),
+                s.send(ended(second, 1, Outcome.REFUSED, Reason.NO_CORES)));
     }
 
     @Test
@@ -138,12 +166,18 @@
         Script s = with(ready("m1", "a", 18), ready("m2", "a", 18));
         Offer first = s.offer(ask("r1", "unsafe", 1));
         s.pass(2 * SECOND);
-        assertTrue(s.send(ended(first, 0, Outcome.TIMED_OUT, Reason.NONE)).contains(new Fail("r1")));
+        assertTrue(
+                s.send(ended(first, 0, Outcome.TIMED_OUT, Reason.NONE)).contains(new Fail("r1")));
     }
 
     @Test
     void aKeyedTaskThatMayHaveRunStaysInItsGroup() {
-        Script s = with(ready("m1", "a", 18), ready("m2", "b", 18), ready("m3", "a", 18), ready("m4", "b", 18));
+        Script s =
+                with(
+                        ready("m1", "a", 18),
+                        ready("m2", "b", 18),
+                        ready("m3", "a", 18),
+                        ready("m4", "b", 18));
         Offer first = s.offer(ask("r1", "keyed", 1));
         s.pass(SECOND);
         Offer second = s.offer(ended(first, 0, Outcome.TIMED_OUT, Reason.NONE));
@@ -159,7 +193,9 @@
         Offer all = s.offer(ask("r2", "keyedAll", 1));
         s.pass(5 * SECOND);
         assertTrue(s.send(ended(zone, 0, Outcome.TIMED_OUT, Reason.NONE)).contains(new Fail("r1")));
-        assertTrue(s.send(ended(all, 0, Outcome.TIMED_OUT, Reason.NONE)).contains(new Refuse("r2", 0)));
+        assertTrue(
+                s.send(ended(all, 0, Outcome.TIMED_OUT, Reason.NONE))
+                        .contains(new Refuse("r2", 0)));
     }
 
     @Test
@@ -221,7 +257,8 @@
         Script s = with(ready("m1", "a", 18));
         s.send(new Probed("m1", true, MS, new double[] {18, 36}));
         s.send(delta(ready("m1", "a", 1)));
-        assertNotNull(s.offer(ask("r1", "safe", 5)), "the report is newer than what the list tells");
+        assertNotNull(
+                s.offer(ask("r1", "safe", 5)), "the report is newer than what the list tells");
         s.pass(3 * SECOND);
         s.send(delta(ready("m1", "a", 1)));
         assertNull(s.offer(ask("r2", "safe", 5)));
@@ -280,7 +317,16 @@
         f.reports = Reports.WITH_ANSWERS;
         Script s = with(ready("m1", "a", 18));
         Offer first = s.offer(ask("r1", "safe", 1));
-        s.send(new Ended("r1", 0, "m1", Outcome.REFUSED, MS, true, Reason.NO_CORES, new double[] {0, 0}));
+        s.send(
+                new Ended(
+                        "r1",
+                        0,
+                        "m1",
+                        Outcome.REFUSED,
+                        MS,
+                        true,
+                        Reason.NO_CORES,
+                        new double[] {0, 0}));
         assertNotNull(first);
         s.pass(3 * SECOND);
         assertNull(s.offer(ask("r2", "safe", 1)), "full when last heard");
@@ -346,7 +392,14 @@
         f.reports = Reports.ON_PROBE;
         f.countsUsed = true;
         Script s = with(ready("m1", "a", Double.NaN));
-        s.send(new Probed("m1", true, MS, new double[] {6, 40})); // 14 in use: 18.7 asked at the usual use, 16.2 guessed
+        s.send(
+                new Probed(
+                        "m1",
+                        true,
+                        MS,
+                        new double[] {
+                            6, 40
+                        })); // 14 in use: 18.7 asked at the usual use, 16.2 guessed
         assertNotNull(s.offer(ask("r1", "safe", 3)));
     }
 
@@ -393,8 +446,9 @@
     }
 
     private MachineEntry[] fleet(int size) {
-        return java.util.stream.IntStream.range(0, size).mapToObj(i -> ready("m" + i, "a", 15))
-            .toArray(MachineEntry[]::new);
+        return java.util.stream.IntStream.range(0, size)
+                .mapToObj(i -> ready("m" + i, "a", 15))
+                .toArray(MachineEntry[]::new);
     }
 
     @Test
@@ -443,7 +497,9 @@
         assertNotNull(offer, "bound once all have answered");
         Script silent = with(fleet(40));
         silent.send(ofService("r1", "one"));
-        assertTrue(silent.pass(200 * MS).stream().anyMatch(Offer.class::isInstance), "not held by silence");
+        assertTrue(
+                silent.pass(200 * MS).stream().anyMatch(Offer.class::isInstance),
+                "not held by silence");
     }
 
     @Test
@@ -463,7 +519,9 @@
         s.send(ended(first, 0, Outcome.REFUSED, Reason.NONE));
         assertNull(s.offer(ask("r2", "safe", 1)), "held for the same class");
         assertNotNull(s.offer(ask("r3", "keyed", 1)), "another class is served");
-        assertTrue(s.pass(3 * SECOND).stream().anyMatch(Offer.class::isInstance), "tried again in time");
+        assertTrue(
+                s.pass(3 * SECOND).stream().anyMatch(Offer.class::isInstance),
+                "tried again in time");
     }
 
     @Test
@@ -522,19 +580,26 @@
     @Test
     void invalidSettingsAreNamed() {
         f.instances = 0;
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> new Policy(f.settings())).getMessage()
-            .contains("instances"));
+        assertTrue(
+                assertThrows(IllegalArgumentException.class, () -> new Policy(f.settings()))
+                        .getMessage()
+                        .contains("instances"));
         f.instances = 1;
         f.classes.clear();
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> new Policy(f.settings())).getMessage()
-            .contains("classes"));
+        assertTrue(
+                assertThrows(IllegalArgumentException.class, () -> new Policy(f.settings()))
+                        .getMessage()
+                        .contains("classes"));
     }
 
     @Test
     void emptyListsZeroSizesAndReadingsThatAreNoNumbersNeverOffer() {
         Script s = with();
         assertNull(s.offer(ask("r1", "safe", 1)));
-        s.send(full(new MachineEntry("m1", "a", "unknown kind", 1, MachineState.READY, 5, 5, 1, 0)));
+        s.send(
+                full(
+                        new MachineEntry(
+                                "m1", "a", "unknown kind", 1, MachineState.READY, 5, 5, 1, 0)));
         assertNull(s.offer(ask("r2", "safe", 1)));
         s.send(full(machine("m1", "a", MachineState.READY, Double.NaN, 0)));
         s.send(new Probed("m1", true, MS, new double[] {Double.NaN}));
@@ -553,10 +618,27 @@
         Script s = new Script(f);
         MachineEntry[] many = new MachineEntry[400];
         for (int i = 0; i < many.length; i++) {
-            many[i] = machine("m" + i, i % 2 == 0 ? "a" : "b", MachineState.READY, 18, i % 3 == 0 ? s.now : 0);
+            many[i] =
+                    machine(
+                            "m" + i,
+                            i % 2 == 0 ? "a" : "b",
+                            MachineState.READY,
+                            18,
+                            i % 3 == 0 ? s.now : 0);
         }
         s.send(full(many));
-        s.send(delta(new MachineEntry("odd", "a", "a kind never listed", 9, MachineState.READY, 5, 5, 1, 0)));
+        s.send(
+                delta(
+                        new MachineEntry(
+                                "odd",
+                                "a",
+                                "a kind never listed",
+                                9,
+                                MachineState.READY,
+                                5,
+                                5,
+                                1,
+                                0)));
         Offer offer = s.offer(ask("r1", "keyed", 1));
         assertNotNull(offer);
         assertNotEquals("odd", offer.machine(), "its size is not known");
@@ -566,12 +648,16 @@
                 left.add(e);
             }
         }
-        s.send(new MachineList(9, ListKind.FULL, left)); // zone a vanishes, and the machine asked with it
+        s.send(
+                new MachineList(
+                        9, ListKind.FULL, left)); // zone a vanishes, and the machine asked with it
         s.pass(SECOND);
         s.send(ended(offer, 0, Outcome.TIMED_OUT, Reason.NONE)); // no longer listed
         for (int i = 10; i < 60; i++) {
             Offer next = s.offer(ask("r" + i, "safe", 1));
-            assertTrue(next == null || left.stream().anyMatch(e -> e.machine().equals(next.machine())));
+            assertTrue(
+                    next == null
+                            || left.stream().anyMatch(e -> e.machine().equals(next.machine())));
             if (next != null) {
                 s.send(ended(next, 0, Outcome.REFUSED, Reason.NONE));
             }
@@ -586,7 +672,8 @@
         assertEquals(2, first.causes().get(Cause.NO_CORES.ordinal()));
         assertEquals("m1", first.closest());
         assertEquals(2, first.cores(), 0.01);
-        assertTrue(s.pass(200 * MS).stream().noneMatch(Held.class::isInstance), "nothing has changed");
+        assertTrue(
+                s.pass(200 * MS).stream().noneMatch(Held.class::isInstance), "nothing has changed");
         s.send(delta(machine("m1", "a", MachineState.DRAINING, 4, 0)));
         Held second = held(s.pass(200 * MS));
         assertEquals(1, second.causes().get(Cause.NO_CORES.ordinal()));
@@ -596,7 +683,8 @@
     @Test
     void aTaskLargerThanAnyMachineIsToldApartFromOneThatLacksRoom() {
         Script s = with(ready("m1", "a", 20));
-        assertEquals(1, held(s.send(ask("r1", "safe", 21))).causes().get(Cause.TOO_SMALL.ordinal()));
+        assertEquals(
+                1, held(s.send(ask("r1", "safe", 21))).causes().get(Cause.TOO_SMALL.ordinal()));
     }
 
     @Test
@@ -608,7 +696,11 @@
     }
 
     private static Held held(List<Action> led) {
-        return led.stream().filter(Held.class::isInstance).map(Held.class::cast).reduce((a, b) -> b).orElseThrow();
+        return led.stream()
+                .filter(Held.class::isInstance)
+                .map(Held.class::cast)
+                .reduce((a, b) -> b)
+                .orElseThrow();
     }
 
     // ---- a machine that leaves before the list says so ----
@@ -668,7 +760,8 @@
 
     /** Each of a service of its own, so that no program draws it. */
     private static Asked alone(String id, String taskClass) {
-        return new Asked(new Ask(id, taskClass, null, "t-" + id, 8 * SECOND, 0, "s-" + id, 0.5, 0.5, false));
+        return new Asked(
+                new Ask(id, taskClass, null, "t-" + id, 8 * SECOND, 0, "s-" + id, 0.5, 0.5, false));
     }
 
     @Test
@@ -710,8 +803,20 @@
         for (int i = 0; i < 500; i++) {
             Offer offer = s.offer(alone("r" + i, "safe"));
             s.send(new Placed("r" + i, 0, offer.machine(), MS));
-            s.send(delta(machine("m" + i, "a", MachineState.DRAINING, 18, 0), ready("m" + (i + 1), "a", 18)));
-            s.send(new Ended("r" + i, 0, offer.machine(), Outcome.ENDED, 0, true, Reason.NONE, null));
+            s.send(
+                    delta(
+                            machine("m" + i, "a", MachineState.DRAINING, 18, 0),
+                            ready("m" + (i + 1), "a", 18)));
+            s.send(
+                    new Ended(
+                            "r" + i,
+                            0,
+                            offer.machine(),
+                            Outcome.ENDED,
+                            0,
+                            true,
+                            Reason.NONE,
+                            null));
             s.send(delta(machine("m" + i, "a", MachineState.GONE, 18, 0)));
             // a task handed over at a machine that no list ever names
             s.send(new Running(alone("h" + i, "safe").ask(), "nowhere" + i));
@@ -727,7 +832,10 @@
             java.lang.reflect.Field field = Policy.class.getDeclaredField(name);
             field.setAccessible(true);
             Object kept = field.get(s.module);
-            int size = kept instanceof java.util.Map<?, ?> map ? map.size() : ((java.util.Collection<?>) kept).size();
+            int size =
+                    kept instanceof java.util.Map<?, ?> map
+                            ? map.size()
+                            : ((java.util.Collection<?>) kept).size();
             assertTrue(size <= 2, name + " keeps " + size);
         }
     }
--- a/decisions/src/test/java/thornferry/decisions/RuleChecker.java
+++ b/decisions/src/test/java/thornferry/decisions/RuleChecker.java
@@ -6,7 +6,10 @@
 import java.util.Map;
 import thornferry.decisions.Placement.*;
 
-/** Watches events and actions of one instance and notes every broken rule; knows nothing of how it decides. */
+/**
+ * Watches events and actions of one instance and notes every broken rule; knows nothing of how it
+ * decides.
+ */
 final class RuleChecker {
     final List<String> broken = new ArrayList<>();
     int offers;
@@ -86,7 +89,11 @@
         Owed t = new Owed();
         t.ask = ask;
         t.asked = now;
-        t.cls = settings.classes().stream().filter(c -> c.name().equals(ask.taskClass())).findFirst().orElseThrow();
+        t.cls =
+                settings.classes().stream()
+                        .filter(c -> c.name().equals(ask.taskClass()))
+                        .findFirst()
+                        .orElseThrow();
         tasks.put(ask.id(), t);
         return t;
     }
@@ -111,8 +118,10 @@
             offered(now, offer, tasks.get(offer.id()));
         } else if (action instanceof Refuse refuse) {
             Owed t = tasks.get(refuse.id());
-            boolean harmless = t.cls.effect() == Effect.SAFE || t.mayHaveRunAt == null && !t.out
-                || t.cls.effect() == Effect.KEYED && t.cls.keyScope() == Scope.ALL;
+            boolean harmless =
+                    t.cls.effect() == Effect.SAFE
+                            || t.mayHaveRunAt == null && !t.out
+                            || t.cls.effect() == Effect.KEYED && t.cls.keyScope() == Scope.ALL;
             if (!harmless) {
                 breaks(2, now, t.ask.id() + " is refused though it may have run");
             }
@@ -141,8 +150,9 @@
         }
         MachineEntry m = machines.get(offer.machine());
         if (t.mayHaveRunAt != null && t.cls.effect() == Effect.KEYED) {
-            boolean inside = t.cls.keyScope() == Scope.ALL
-                || machines.get(t.mayHaveRunAt).zone().equals(m.zone());
+            boolean inside =
+                    t.cls.keyScope() == Scope.ALL
+                            || machines.get(t.mayHaveRunAt).zone().equals(m.zone());
             if (!inside || now > t.mayHaveRunFrom + t.cls.keyWindow()) {
                 breaks(2, now, offer.id() + " is sent again outside its group or window");
             }
@@ -174,8 +184,15 @@
         if (sent.cls.spread() != Scope.ZONE) {
             return;
         }
-        long there = tasks.values().stream().filter(t -> t.out && t.ask.service().equals(sent.ask.service())
-            && machines.containsKey(t.at) && machines.get(t.at).zone().equals(m.zone())).count();
+        long there =
+                tasks.values().stream()
+                        .filter(
+                                t ->
+                                        t.out
+                                                && t.ask.service().equals(sent.ask.service())
+                                                && machines.containsKey(t.at)
+                                                && machines.get(t.at).zone().equals(m.zone()))
+                        .count();
         if (there > sent.cls.spreadMost()) {
             breaks(5, now, sent.ask.service() + " has " + there + " in zone " + m.zone());
         }
--- a/decisions/src/test/java/thornferry/decisions/RulesTest.java
+++ b/decisions/src/test/java/thornferry/decisions/RulesTest.java
@@ -15,13 +15,23 @@
 import thornferry.decisions.Fixtures.Script;
 import thornferry.decisions.Placement.*;
 
-/** Random but fixed streams of events, checked by RuleChecker; and the checker itself on bad actions. */
+/**
+ * Random but fixed streams of events, checked by RuleChecker; and the checker itself on bad
+ * actions.
+ */
 class RulesTest {
-    private static final List<String> CLASSES = List.of("safe", "keyed", "keyedAll", "unsafe", "spread", "cheap");
-    private static final Outcome[] UNPLACED = {Outcome.REFUSED, Outcome.TIMED_OUT, Outcome.UNREACHABLE, Outcome.LOST,
-        Outcome.ERROR, Outcome.CANCELLED};
+    private static final List<String> CLASSES =
+            List.of("safe", "keyed", "keyedAll", "unsafe", "spread", "cheap");
+    private static final Outcome[] UNPLACED = {
+        Outcome.REFUSED,
+        Outcome.TIMED_OUT,
+        Outcome.UNREACHABLE,
+        Outcome.LOST,
+        Outcome.ERROR,
+        Outcome.CANCELLED
+    };
 
-    private record Out(Offer offer, int attempt, long sent) { }
+    private record Out(Offer offer, int attempt, long sent) {}
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
@@ -43,14 +53,33 @@
             int what = random.nextInt(10);
             if (what < 5) {
                 String cls = CLASSES.get(random.nextInt(CLASSES.size()));
-                Ask ask = new Ask("r" + ids++, cls, null, "t", (20 + random.nextInt(6000)) * MS, 0,
-                    cls + random.nextInt(3), random.nextInt(4), random.nextInt(6), false);
-                feed(s, checker, out, random.nextInt(12) == 0 ? new Running(ask, "m" + random.nextInt(9))
-                    : new Asked(ask));
+                Ask ask =
+                        new Ask(
+                                "r" + ids++,
+                                cls,
+                                null,
+                                "t",
+                                (20 + random.nextInt(6000)) * MS,
+                                0,
+                                cls + random.nextInt(3),
+                                random.nextInt(4),
+                                random.nextInt(6),
+                                false);
+                feed(
+                        s,
+                        checker,
+                        out,
+                        random.nextInt(12) == 0
+                                ? new Running(ask, "m" + random.nextInt(9))
+                                : new Asked(ask));
             } else if (what < 6) {
-                MachineList list = random.nextInt(8) == 0 ? new MachineList(1, ListKind.FAILED, List.of())
-                    : new MachineList(1, random.nextBoolean() ? ListKind.FULL : ListKind.DELTA,
-                        randomList(random, s.now));
+                MachineList list =
+                        random.nextInt(8) == 0
+                                ? new MachineList(1, ListKind.FAILED, List.of())
+                                : new MachineList(
+                                        1,
+                                        random.nextBoolean() ? ListKind.FULL : ListKind.DELTA,
+                                        randomList(random, s.now));
                 feed(s, checker, out, list);
             } else if (!out.isEmpty()) {
                 answer(s, checker, out, random, out.remove(random.nextInt(out.size())));
@@ -69,28 +98,53 @@
         List<MachineEntry> entries = new ArrayList<>();
         for (int i = 0; i < 9; i++) {
             if (random.nextInt(5) > 0) {
-                MachineState state = random.nextInt(5) == 0 ? MachineState.DRAINING : MachineState.READY;
+                MachineState state =
+                        random.nextInt(5) == 0 ? MachineState.DRAINING : MachineState.READY;
                 long started = random.nextInt(6) == 0 ? now - random.nextInt(8) * SECOND : 0;
-                entries.add(machine("m" + i, i % 2 == 0 ? "a" : "b", state, random.nextInt(21), started));
+                entries.add(
+                        machine(
+                                "m" + i,
+                                i % 2 == 0 ? "a" : "b",
+                                state,
+                                random.nextInt(21),
+                                started));
             }
         }
         return entries;
     }
 
-    private static void answer(Script s, RuleChecker checker, List<Out> out, Random random, Out attempt) {
+    private static void answer(
+            Script s, RuleChecker checker, List<Out> out, Random random, Out attempt) {
         String id = attempt.offer().id();
         String on = attempt.offer().machine();
         if (s.now - attempt.sent() < attempt.offer().timeout() && random.nextBoolean()) {
             feed(s, checker, out, new Placed(id, attempt.attempt(), on, 10 * MS));
-            feed(s, checker, out, new Ended(id, attempt.attempt(), on,
-                random.nextInt(4) == 0 ? Outcome.LOST : Outcome.ENDED, SECOND, true, Reason.NONE,
-                new double[] {random.nextInt(20), random.nextInt(40)}));
+            feed(
+                    s,
+                    checker,
+                    out,
+                    new Ended(
+                            id,
+                            attempt.attempt(),
+                            on,
+                            random.nextInt(4) == 0 ? Outcome.LOST : Outcome.ENDED,
+                            SECOND,
+                            true,
+                            Reason.NONE,
+                            new double[] {random.nextInt(20), random.nextInt(40)}));
             return;
         }
-        Outcome outcome = s.now - attempt.sent() >= attempt.offer().timeout() ? Outcome.TIMED_OUT
-            : UNPLACED[random.nextInt(UNPLACED.length)];
-        Reason reason = outcome == Outcome.REFUSED ? Reason.values()[random.nextInt(5)] : Reason.NONE;
-        feed(s, checker, out, new Ended(id, attempt.attempt(), on, outcome, 10 * MS, false, reason, null));
+        Outcome outcome =
+                s.now - attempt.sent() >= attempt.offer().timeout()
+                        ? Outcome.TIMED_OUT
+                        : UNPLACED[random.nextInt(UNPLACED.length)];
+        Reason reason =
+                outcome == Outcome.REFUSED ? Reason.values()[random.nextInt(5)] : Reason.NONE;
+        feed(
+                s,
+                checker,
+                out,
+                new Ended(id, attempt.attempt(), on, outcome, 10 * MS, false, reason, null));
     }
 
     private static void feed(Script s, RuleChecker checker, List<Out> out, Event event) {
@@ -100,7 +154,9 @@
             if (action instanceof Offer offer) {
                 out.add(new Out(offer, checker.attempts(offer.id()) - 1, s.now));
             } else if (action instanceof Probe) {
-                assertTrue(checker.known(((Probe) action).machine()), "probes only machines it was told of");
+                assertTrue(
+                        checker.known(((Probe) action).machine()),
+                        "probes only machines it was told of");
             }
         }
     }
@@ -110,16 +166,35 @@
         long end = s.now + time;
         while (true) {
             long timer = s.timers.stream().mapToLong(Long::longValue).min().orElse(Long.MAX_VALUE);
-            long late = out.stream().mapToLong(o -> o.sent() + o.offer().timeout()).min().orElse(Long.MAX_VALUE);
+            long late =
+                    out.stream()
+                            .mapToLong(o -> o.sent() + o.offer().timeout())
+                            .min()
+                            .orElse(Long.MAX_VALUE);
             if (Math.min(timer, late) > end) {
                 break;
             }
             s.now = Math.max(s.now, Math.min(timer, late));
             if (late <= timer) {
-                Out gone = out.stream().filter(o -> o.sent() + o.offer().timeout() == late).findFirst().orElseThrow();
+                Out gone =
+                        out.stream()
+                                .filter(o -> o.sent() + o.offer().timeout() == late)
+                                .findFirst()
+                                .orElseThrow();
                 out.remove(gone);
-                feed(s, checker, out, new Ended(gone.offer().id(), gone.attempt(), gone.offer().machine(),
-                    Outcome.TIMED_OUT, s.now - gone.sent(), false, Reason.NONE, null));
+                feed(
+                        s,
+                        checker,
+                        out,
+                        new Ended(
+                                gone.offer().id(),
+                                gone.attempt(),
+                                gone.offer().machine(),
+                                Outcome.TIMED_OUT,
+                                s.now - gone.sent(),
+                                false,
+                                Reason.NONE,
+                                null));
             } else {
                 s.timers.remove(timer);
                 feed(s, checker, out, new Timer(0));
@@ -128,7 +203,10 @@
         s.now = end;
     }
 
-    /** Rule 4 over all placers: hundreds of instances, each with asks enough, and machines that just came up. */
+    /**
+     * Rule 4 over all placers: hundreds of instances, each with asks enough, and machines that just
+     * came up.
+     */
     @ParameterizedTest
     @ValueSource(ints = {60, 200, 400})
     void manyPlacersTogetherKeepTheColdBudget(int placers) {
@@ -180,7 +258,9 @@
     }
 
     private static void caught(RuleChecker checker, String rule) {
-        assertTrue(checker.broken.stream().anyMatch(b -> b.startsWith(rule)), rule + " in " + checker.broken);
+        assertTrue(
+                checker.broken.stream().anyMatch(b -> b.startsWith(rule)),
+                rule + " in " + checker.broken);
     }
 
     @Test
--- a/decisions/src/test/java/thornferry/decisions/ThrottleTest.java
+++ b/decisions/src/test/java/thornferry/decisions/ThrottleTest.java
@@ -7,7 +7,8 @@
 class ThrottleTest {
     private static final long SECOND = 1_000_000;
 
-    private final Throttle throttle = new Throttle(new Throttle.Settings(3, SECOND / 5, 10 * SECOND, 600 * SECOND, 100));
+    private final Throttle throttle =
+            new Throttle(new Throttle.Settings(3, SECOND / 5, 10 * SECOND, 600 * SECOND, 100));
     private long now = 1_000 * SECOND;
 
     private void fail(String address, String login, int times) {
@@ -21,8 +22,12 @@
     void onlyTheGuiltyAddressWithTheGuiltyLoginWaits() {
         fail("10.0.0.1", "depot1", 20);
         assertThat(throttle.begins(now, "10.0.0.1", "depot1")).isEqualTo(now + 10 * SECOND);
-        assertThat(throttle.begins(now, "10.0.0.2", "depot1")).as("the owner elsewhere").isEqualTo(now);
-        assertThat(throttle.begins(now, "10.0.0.1", "depot2")).as("another at the same address").isEqualTo(now);
+        assertThat(throttle.begins(now, "10.0.0.2", "depot1"))
+                .as("the owner elsewhere")
+                .isEqualTo(now);
+        assertThat(throttle.begins(now, "10.0.0.1", "depot2"))
+                .as("another at the same address")
+                .isEqualTo(now);
     }
 
     @Test
--- a/decisions/src/test/java/thornferry/decisions/recovery/RecoveryTest.java
+++ b/decisions/src/test/java/thornferry/decisions/recovery/RecoveryTest.java
@@ -26,7 +26,8 @@
     private static final long SECOND = 1_000_000;
     private static final Wish WISH = new Wish("t", "levy-run", "s", "", 1, 1, null, 0);
 
-    private final Recovery recovery = new Recovery(new Recovery.Limits(60 * SECOND, 600 * SECOND, 10 * SECOND, 100, false));
+    private final Recovery recovery =
+            new Recovery(new Recovery.Limits(60 * SECOND, 600 * SECOND, 10 * SECOND, 100, false));
     private final List<Action> actions = new ArrayList<>();
     private static final long NOW = 1_000 * SECOND;
     private final long now = NOW;
@@ -48,8 +49,16 @@
 
     private List<Action> registers(long incarnation, long since, Recalled... recalled) {
         actions.clear();
-        recovery.testifies(now, new Testimony("n", incarnation, Set.of(), List.of(recalled), Map.of(Effect.UNSAFE, since)),
-            attempt -> attempt.startsWith("new"), actions::add);
+        recovery.testifies(
+                now,
+                new Testimony(
+                        "n",
+                        incarnation,
+                        Set.of(),
+                        List.of(recalled),
+                        Map.of(Effect.UNSAFE, since)),
+                attempt -> attempt.startsWith("new"),
+                actions::add);
         return actions;
     }
 
@@ -89,50 +98,74 @@
     @Test
     void anotherLifeOfTheNodeProvesNothingHoweverMuchItRemembers() {
         begin(offered(now - SECOND));
-        assertThat(registers(8, Testimony.ITS_WHOLE_LIFE)).containsExactly(new Unprovable("o", "t", "n"));
+        assertThat(registers(8, Testimony.ITS_WHOLE_LIFE))
+                .containsExactly(new Unprovable("o", "t", "n"));
     }
 
     @Test
     void anEndThatTheNodeRemembersIsTheTasksResult() {
         begin(offered(now - SECOND));
         assertThat(registers(7, Testimony.ITS_WHOLE_LIFE, recalled(Word.ENDED, true)))
-            .contains(new Ran("o", "x", WISH, "n", Fate.ENDED, false)).doesNotHaveAnyElementsOfTypes(Proven.class);
+                .contains(new Ran("o", "x", WISH, "n", Fate.ENDED, false))
+                .doesNotHaveAnyElementsOfTypes(Proven.class);
         recovery.note(answered(now, Result.PLACED)); // as the placer does then
         recovery.note(new Promise.Finished(now, "o", "t", Fate.ENDED));
-        assertThat(registers(7, Testimony.ITS_WHOLE_LIFE, recalled(Word.ENDED, true))).isEmpty(); // told once
+        assertThat(registers(7, Testimony.ITS_WHOLE_LIFE, recalled(Word.ENDED, true)))
+                .isEmpty(); // told once
     }
 
     @Test
     void whatWasDroppedUnstartedNeverRanAndWhatWasDroppedLaterDidNotEnd() {
         begin(offered(now - SECOND));
-        assertThat(registers(7, now, recalled(Word.WITHDRAWN, false))).containsExactly(new Proven("o", "t"));
+        assertThat(registers(7, now, recalled(Word.WITHDRAWN, false)))
+                .containsExactly(new Proven("o", "t"));
         recovery.note(offered(now));
         begin();
-        assertThat(registers(7, now, recalled(Word.WITHDRAWN, true))).first().isInstanceOf(Failed.class);
+        assertThat(registers(7, now, recalled(Word.WITHDRAWN, true)))
+                .first()
+                .isInstanceOf(Failed.class);
     }
 
     @Test
     void withoutAJournalTheNodesMemoryAloneTellsWhatRan() {
         begin();
         assertThat(registers(7, Testimony.ITS_WHOLE_LIFE, recalled(Word.EVICTED, true)))
-            .containsExactly(new Ran("o", "", WISH, "n", Fate.EVICTED, false));
-        assertThat(registers(7, Testimony.ITS_WHOLE_LIFE, new Recalled("new-1", "o", WISH, Effect.UNSAFE, Word.ENDED, true,
-            now))).isEmpty(); // of this life: that is known otherwise
+                .containsExactly(new Ran("o", "", WISH, "n", Fate.EVICTED, false));
+        assertThat(
+                        registers(
+                                7,
+                                Testimony.ITS_WHOLE_LIFE,
+                                new Recalled(
+                                        "new-1", "o", WISH, Effect.UNSAFE, Word.ENDED, true, now)))
+                .isEmpty(); // of this life: that is known otherwise
     }
 
     @Test
     void whatEndedLongAgoIsKeptForOneWhoAsksAndToldToNobodyElse() {
         begin();
-        assertThat(registers(7, Testimony.ITS_WHOLE_LIFE, new Recalled("old-1", "o", WISH, Effect.UNSAFE, Word.ENDED, true,
-            now - 61 * SECOND))).containsExactly(new Ran("o", "", WISH, "n", Fate.ENDED, true));
+        assertThat(
+                        registers(
+                                7,
+                                Testimony.ITS_WHOLE_LIFE,
+                                new Recalled(
+                                        "old-1",
+                                        "o",
+                                        WISH,
+                                        Effect.UNSAFE,
+                                        Word.ENDED,
+                                        true,
+                                        now - 61 * SECOND)))
+                .containsExactly(new Ran("o", "", WISH, "n", Fate.ENDED, true));
     }
 
     @Test
     void resultsOfAFormerLifeAreRestoredAndAPlacedTaskThatIsNowhereIsLost() {
         begin(offered(now - SECOND), answered(now - SECOND, Result.PLACED));
-        assertThat(actions).containsExactly(new Restored("o", "x", WISH, Result.PLACED, "n", "why", null));
+        assertThat(actions)
+                .containsExactly(new Restored("o", "x", WISH, Result.PLACED, "n", "why", null));
         assertThat(recovery.doubt("o", "t")).isEqualTo(Doubt.NONE);
-        assertThat(registers(7, Testimony.ITS_WHOLE_LIFE)).containsExactly(new Ran("o", "x", WISH, "n", Fate.LOST, false));
+        assertThat(registers(7, Testimony.ITS_WHOLE_LIFE))
+                .containsExactly(new Ran("o", "x", WISH, "n", Fate.LOST, false));
     }
 
     @Test
@@ -148,7 +181,8 @@
     @Test
     void aFailureIsRestoredAndWhatIsKeptLongEnoughIsForgotten() {
         begin(offered(now - 30 * SECOND), answered(now - 20 * SECOND, Result.FAILED));
-        assertThat(actions).containsExactly(new Restored("o", "x", WISH, Result.FAILED, "n", "why", null));
+        assertThat(actions)
+                .containsExactly(new Restored("o", "x", WISH, Result.FAILED, "n", "why", null));
         recovery.tick(now + 39 * SECOND, actions::add);
         assertThat(recovery.size()).isOne();
         recovery.tick(now + 40 * SECOND, actions::add);
@@ -168,8 +202,18 @@
 
     @Test
     void aSnapshotReadAgainSaysTheSame() {
-        begin(offered(now), answered(now, Result.PLACED), new Promise.Offered(now, "old-2", "o", "x",
-            new Wish("u", "levy-run", "s", "", 1, 1, null, 0), Effect.UNSAFE, "m", 3));
+        begin(
+                offered(now),
+                answered(now, Result.PLACED),
+                new Promise.Offered(
+                        now,
+                        "old-2",
+                        "o",
+                        "x",
+                        new Wish("u", "levy-run", "s", "", 1, 1, null, 0),
+                        Effect.UNSAFE,
+                        "m",
+                        3));
         Recovery again = new Recovery(recovery.limits());
         recovery.snapshot().forEach(again::note);
         assertThat(again.snapshot()).isEqualTo(recovery.snapshot()).hasSize(3);
--- a/placer/src/main/java/thornferry/placer/Core.java
+++ b/placer/src/main/java/thornferry/placer/Core.java
@@ -26,14 +26,17 @@
 import thornferry.state.Journal;
 
 /**
- * The decision modules of one placer, wired to each other: what one of them decides is an event of the next. It knows
- * neither frames nor sockets and decides nothing; docs/design/placer.md and waiting.md say what means what. Everything
- * runs on one event loop.
+ * The decision modules of one placer, wired to each other: what one of them decides is an event of
+ * the next. It knows neither frames nor sockets and decides nothing; docs/design/placer.md and
+ * waiting.md say what means what. Everything runs on one event loop.
  */
 final class Core {
     /** What leads out of the modules. */
     interface Out {
-        /** Sends an offer; false where nothing was written. A write that fails later is told by {@link #notWritten}. */
+        /**
+         * Sends an offer; false where nothing was written. A write that fails later is told by
+         * {@link #notWritten}.
+         */
         boolean offer(String machine, String attempt, Intake.Offered of);
 
         void withdraw(String machine, String attempt);
@@ -55,12 +58,12 @@
     }
 
     /** An attempt that a machine says it holds. */
-    record Held(String attempt, String owner, Intake.Wish wish, boolean runs) { }
+    record Held(String attempt, String owner, Intake.Wish wish, boolean runs) {}
 
     /** What a machine says of an attempt; {@code report} may be null. */
-    record Said(String attempt, Attempts.Word word, Fleet.Said why, boolean ran, double[] report) { }
+    record Said(String attempt, Attempts.Word word, Fleet.Said why, boolean ran, double[] report) {}
 
-    private record Probing(long number, long sentAt) { }
+    private record Probing(long number, long sentAt) {}
 
     private static final Logger LOG = LoggerFactory.getLogger(Core.class);
     private static final int SLOW_TICK = 5; // membership is looked after every so many ticks
@@ -77,15 +80,18 @@
     private final Intake intake;
     private final Recovery recovery;
     private final Journal journal;
-    private final Set<String> unwritten = new HashSet<>(); // attempts whose promise is not durable yet: nothing was sent
-    private final Map<String, List<Intake.News>> untold = new HashMap<>(); // by owner and task, until it is durable
+    private final Set<String> unwritten =
+            new HashSet<>(); // attempts whose promise is not durable yet: nothing was sent
+    private final Map<String, List<Intake.News>> untold =
+            new HashMap<>(); // by owner and task, until it is durable
     private final Fleet fleet;
     private final Line line;
     private final Reasons reasons;
     private final Function<String, String> tenants;
     private final Map<String, Placement.Effect> effects = new HashMap<>();
     private final Map<String, Double> worths = new HashMap<>();
-    private final Map<String, Placement.Ask> asks = new HashMap<>(); // by request, until it is placed or answered
+    private final Map<String, Placement.Ask> asks =
+            new HashMap<>(); // by request, until it is placed or answered
     private final Map<String, Probing> probing = new LinkedHashMap<>();
     private final Map<String, Held> adoptable = new HashMap<>(); // during one registration
     private List<Said> recent = List.of(); // likewise
@@ -100,17 +106,27 @@
     /**
      * What former lives left.
      *
-     * @param journal  where this life writes
+     * @param journal where this life writes
      * @param promises what stood in it
-     * @param whole    whether all that former lives offered stands in it
+     * @param whole whether all that former lives offered stands in it
      */
     record Kept(Journal journal, List<Promise> promises, boolean whole) {
         static final Kept NOTHING = new Kept(Journal.NONE, List.of(), false);
     }
 
-    /** @param tenants gives an owner's tenant, empty for none */
-    Core(Site site, int number, String name, EventLoop loop, Clock clock, Function<Placement.Settings, Placement> maker,
-         Function<String, String> tenants, Kept kept, Out out) {
+    /**
+     * @param tenants gives an owner's tenant, empty for none
+     */
+    Core(
+            Site site,
+            int number,
+            String name,
+            EventLoop loop,
+            Clock clock,
+            Function<Placement.Settings, Placement> maker,
+            Function<String, String> tenants,
+            Kept kept,
+            Out out) {
         this.name = name;
         this.loop = loop;
         this.clock = clock;
@@ -120,25 +136,54 @@
         long now = clock.now();
         settings.classes().forEach(c -> effects.put(c.name(), c.effect()));
         settings.classes().forEach(c -> worths.put(c.name(), c.worth()));
-        module = new ModuleHost(maker.apply(settings), loop, clock, this::act, this::moduleFailed, LOG, name);
+        module =
+                new ModuleHost(
+                        maker.apply(settings),
+                        loop,
+                        clock,
+                        this::act,
+                        this::moduleFailed,
+                        LOG,
+                        name);
         membership = new Membership(site.membership(), settings.kinds());
         attempts = new Attempts(name + "." + Long.toString(now, 36));
-        intake = new Intake(kept.whole() ? site.intake().withoutSettling() : site.intake(), settings.classes(),
-            settings.seed(), now);
-        recovery = new Recovery(new Recovery.Limits(site.intake().keepFor(), site.intake().mostPatience(),
-            site.membership().goneAfter(), site.intake().kept(), kept.whole()));
+        intake =
+                new Intake(
+                        kept.whole() ? site.intake().withoutSettling() : site.intake(),
+                        settings.classes(),
+                        settings.seed(),
+                        now);
+        recovery =
+                new Recovery(
+                        new Recovery.Limits(
+                                site.intake().keepFor(),
+                                site.intake().mostPatience(),
+                                site.membership().goneAfter(),
+                                site.intake().kept(),
+                                kept.whole()));
         journal = kept.journal();
         fleet = new Fleet(settings.kinds());
         line = new Line(site.line(), fleet, settings.seed());
         Map<String, String> needs = new HashMap<>();
-        settings.classes().stream().filter(c -> c.needsKind() >= 0)
-            .forEach(c -> needs.put(c.name(), settings.kinds().get(c.needsKind()).name()));
-        reasons = new Reasons(new Reasons.Limits(site.line().on(), site.intake().kept(), HISTORY, site.intake().keepFor()),
-            fleet, line, needs, membership::link);
+        settings.classes().stream()
+                .filter(c -> c.needsKind() >= 0)
+                .forEach(c -> needs.put(c.name(), settings.kinds().get(c.needsKind()).name()));
+        reasons =
+                new Reasons(
+                        new Reasons.Limits(
+                                site.line().on(),
+                                site.intake().kept(),
+                                HISTORY,
+                                site.intake().keepFor()),
+                        fleet,
+                        line,
+                        needs,
+                        membership::link);
         kept.promises().forEach(recovery::note);
         recovery.begin(now, this::carryOut);
         intake.unable(journal.trouble());
-        loop.execute(() -> module.on(new Placement.MachineList(0, Placement.ListKind.FULL, List.of())));
+        loop.execute(
+                () -> module.on(new Placement.MachineList(0, Placement.ListKind.FULL, List.of())));
     }
 
     /** What still counts of what was promised: the beginning of a journal. */
@@ -164,7 +209,13 @@
     }
 
     Placer.Totals totals(long askCount) {
-        return new Placer.Totals(askCount, resultCount, offerCount, module.failures(), intake.inHand(), attempts.size());
+        return new Placer.Totals(
+                askCount,
+                resultCount,
+                offerCount,
+                module.failures(),
+                intake.inHand(),
+                attempts.size());
     }
 
     // ---- time ----
@@ -179,13 +230,20 @@
             recovery.tick(now, this::carryOut);
             journal.compact(recovery::snapshot);
             intake.unable(journal.trouble());
-            probing.entrySet().removeIf(e -> {
-                boolean late = e.getValue().sentAt() < now - PROBE_GIVEN_UP;
-                if (late) {
-                    module.on(new Placement.Probed(e.getKey(), false, now - e.getValue().sentAt(), null));
-                }
-                return late;
-            });
+            probing.entrySet()
+                    .removeIf(
+                            e -> {
+                                boolean late = e.getValue().sentAt() < now - PROBE_GIVEN_UP;
+                                if (late) {
+                                    module.on(
+                                            new Placement.Probed(
+                                                    e.getKey(),
+                                                    false,
+                                                    now - e.getValue().sentAt(),
+                                                    null));
+                                }
+                                return late;
+                            });
         }
     }
 
@@ -195,7 +253,13 @@
 
     // ---- owners and operators ----
     void ask(String owner, Intake.Wish wish) throws Intake.Unacceptable {
-        intake.ask(clock.now(), owner, tenants.apply(owner), wish, recovery.doubt(owner, wish.id()), this::carryOut);
+        intake.ask(
+                clock.now(),
+                owner,
+                tenants.apply(owner),
+                wish,
+                recovery.doubt(owner, wish.id()),
+                this::carryOut);
     }
 
     void stop(String owner, String task) throws Intake.Unacceptable {
@@ -204,7 +268,9 @@
 
     List<Intake.News> undelivered(String owner) {
         // what waits for its promise is told when that is durable
-        return intake.undelivered(owner).stream().filter(n -> !untold.containsKey(owner + "/" + n.task())).toList();
+        return intake.undelivered(owner).stream()
+                .filter(n -> !untold.containsKey(owner + "/" + n.task()))
+                .toList();
     }
 
     void delivered(String owner, long number) {
@@ -220,12 +286,17 @@
     /**
      * A machine registers.
      *
-     * @param lately   its last final answers
+     * @param lately its last final answers
      * @param remembers what of those it says of attempts that must not run twice
-     * @param since     see {@link Recovery.Testimony}
+     * @param since see {@link Recovery.Testimony}
      */
-    void registered(long link, Membership.Registration registration, List<Held> held, List<Said> lately,
-                    List<Recovery.Recalled> remembers, Map<Placement.Effect, Long> since) {
+    void registered(
+            long link,
+            Membership.Registration registration,
+            List<Held> held,
+            List<Said> lately,
+            List<Recovery.Recalled> remembers,
+            Map<Placement.Effect, Long> since) {
         adoptable.clear();
         held.forEach(h -> adoptable.put(h.attempt(), h));
         recent = lately;
@@ -252,7 +323,15 @@
             fleet.reported(machine, s.report()[0], s.report()[1]);
         }
         saying = s.why();
-        attempts.said(clock.now(), machine, s.attempt(), s.word(), reason(s.why()), s.ran(), s.report(), this::carryOut);
+        attempts.said(
+                clock.now(),
+                machine,
+                s.attempt(),
+                s.word(),
+                reason(s.why()),
+                s.ran(),
+                s.report(),
+                this::carryOut);
         saying = Fleet.Said.NONE;
     }
 
@@ -299,7 +378,8 @@
         } else if (action instanceof Placement.Refuse refuse) {
             refuse(refuse);
         } else if (action instanceof Placement.Fail fail) {
-            intake.failed(clock.now(), fail.id(), "an earlier attempt may have run", this::carryOut);
+            intake.failed(
+                    clock.now(), fail.id(), "an earlier attempt may have run", this::carryOut);
         } else if (action instanceof Placement.Probe probe) {
             probe(probe.machine());
         } else if (action instanceof Placement.Move move) {
@@ -315,7 +395,10 @@
     private void refuse(Placement.Refuse refuse) {
         long now = clock.now();
         Reasons.Reason reason = reasons.of(now, refuse.id());
-        boolean holds = reason != null && reason.kind() != Reasons.Kind.TURN && reason.kind() != Reasons.Kind.ANSWER;
+        boolean holds =
+                reason != null
+                        && reason.kind() != Reasons.Kind.TURN
+                        && reason.kind() != Reasons.Kind.ANSWER;
         String why = holds ? reason.sentence() : "";
         long after = Math.max(refuse.retryAfter(), line.overload() ? line.retryAfter(now) : 0);
         intake.refused(now, refuse.id(), after, why, this::carryOut);
@@ -324,26 +407,48 @@
     private void offer(Placement.Offer offer) {
         Intake.Offered of = intake.offered(offer.id());
         if (of == null) {
-            LOG.atError().addKeyValue("instance", name).addKeyValue("task", offer.id())
-                .log("the module offered a task that is not in hand; nothing was sent");
+            LOG.atError()
+                    .addKeyValue("instance", name)
+                    .addKeyValue("task", offer.id())
+                    .log("the module offered a task that is not in hand; nothing was sent");
             return;
         }
         offerCount++;
         long now = clock.now();
         String machine = offer.machine();
-        String attempt = attempts.offered(now, offer.id(), of.number(), machine, membership.incarnation(machine),
-            of.effect(), offer.timeout());
+        String attempt =
+                attempts.offered(
+                        now,
+                        offer.id(),
+                        of.number(),
+                        machine,
+                        membership.incarnation(machine),
+                        of.effect(),
+                        offer.timeout());
         line.offered(now, offer.id(), machine, of.number() > 0);
         reasons.offered(offer.id(), machine);
-        LOG.atDebug().addKeyValue("instance", name).addKeyValue("task", of.wish().id()).addKeyValue("node", machine)
-            .addKeyValue("attempt", attempt).log("offered, attempt {} of this ask", of.number());
+        LOG.atDebug()
+                .addKeyValue("instance", name)
+                .addKeyValue("task", of.wish().id())
+                .addKeyValue("node", machine)
+                .addKeyValue("attempt", attempt)
+                .log("offered, attempt {} of this ask", of.number());
         if (of.effect() == Placement.Effect.SAFE) {
             send(machine, attempt, of);
             return;
         }
         unwritten.add(attempt);
-        promise(new Promise.Offered(now, attempt, of.owner(), tenants.apply(of.owner()), of.wish(), of.effect(), machine,
-            membership.incarnation(machine)), wrong -> durable(machine, attempt, of, wrong));
+        promise(
+                new Promise.Offered(
+                        now,
+                        attempt,
+                        of.owner(),
+                        tenants.apply(of.owner()),
+                        of.wish(),
+                        of.effect(),
+                        machine,
+                        membership.incarnation(machine)),
+                wrong -> durable(machine, attempt, of, wrong));
     }
 
     private void send(String machine, String attempt, Intake.Offered of) {
@@ -357,7 +462,8 @@
         if (!unwritten.remove(attempt)) {
             return; // given up meanwhile
         }
-        // guards against what changed while the disk was slow: a machine that drains now must get nothing new
+        // guards against what changed while the disk was slow: a machine that drains now must get
+        // nothing new
         if (wrong == null && attempts.isOpen(attempt) && membership.ready(machine)) {
             send(machine, attempt, of);
         } else {
@@ -371,32 +477,39 @@
         if (journal != Journal.NONE) {
             recovery.note(promise); // else nobody would ever read it
         }
-        journal.append(promise, wrong -> {
-            if (loop.inEventLoop()) {
-                then.accept(wrong);
-            } else {
-                loop.execute(() -> then.accept(wrong));
-            }
-        });
+        journal.append(
+                promise,
+                wrong -> {
+                    if (loop.inEventLoop()) {
+                        then.accept(wrong);
+                    } else {
+                        loop.execute(() -> then.accept(wrong));
+                    }
+                });
     }
 
     /** The same, and what is told of the task from now on waits for it. */
     private void promiseBeforeTelling(String owner, String task, Promise promise) {
         String key = owner + "/" + task;
         untold.putIfAbsent(key, new ArrayList<>());
-        promise(promise, wrong -> {
-            List<Intake.News> waited = untold.remove(key);
-            if (waited != null) {
-                waited.forEach(out::deliver); // also where it could not be written: a result there must be
-            }
-        });
+        promise(
+                promise,
+                wrong -> {
+                    List<Intake.News> waited = untold.remove(key);
+                    if (waited != null) {
+                        waited.forEach(
+                                out::deliver); // also where it could not be written: a result
+                        // there must be
+                    }
+                });
     }
 
     private void probe(String machine) {
         long number = ++probeNumber;
         probing.put(machine, new Probing(number, clock.now()));
         if (!out.probe(machine, number)) {
-            loop.execute(() -> probeOver(machine)); // told later, not from within the module's own call
+            loop.execute(
+                    () -> probeOver(machine)); // told later, not from within the module's own call
         }
     }
 
@@ -413,14 +526,26 @@
             Placement.Ask a = asks.get(release.request());
             reasons.moved(release.request());
             if (a != null) {
-                module.on(new Placement.Asked(new Placement.Ask(a.id(), a.taskClass(), a.tenant(), a.task(),
-                    release.patience(), a.runsFor(), a.service(), a.cores(), a.memory(), a.again())));
+                module.on(
+                        new Placement.Asked(
+                                new Placement.Ask(
+                                        a.id(),
+                                        a.taskClass(),
+                                        a.tenant(),
+                                        a.task(),
+                                        release.patience(),
+                                        a.runsFor(),
+                                        a.service(),
+                                        a.cores(),
+                                        a.memory(),
+                                        a.again())));
             }
         } else if (action instanceof Line.TakeBack back) {
             reasons.moved(back.request());
             module.on(new Placement.OwnerLeft(back.request()));
         } else if (action instanceof Line.Turn turn) {
-            intake.turnedAway(clock.now(), turn.request(), turn.why(), turn.retryAfter(), this::carryOut);
+            intake.turnedAway(
+                    clock.now(), turn.request(), turn.why(), turn.retryAfter(), this::carryOut);
         }
     }
 
@@ -431,11 +556,14 @@
         } else if (action instanceof Attempts.NeverRan never) {
             Intake.Offered of = intake.of(never.request());
             if (of != null) {
-                promise(new Promise.NeverRan(now, of.owner(), of.wish().id(), never.attempt()), wrong -> { });
+                promise(
+                        new Promise.NeverRan(now, of.owner(), of.wish().id(), never.attempt()),
+                        wrong -> {});
             }
         } else if (action instanceof Attempts.Withdraw w) {
             if (unwritten.remove(w.attempt())) {
-                // guards against an offer that leaves after its own withdrawal, and runs with nobody to look after it
+                // guards against an offer that leaves after its own withdrawal, and runs with
+                // nobody to look after it
                 attempts.notWritten(now, w.attempt(), this::carryOut);
             } else {
                 out.withdraw(w.machine(), w.attempt());
@@ -458,8 +586,10 @@
     /** To the module, after those that must know before it offers the task elsewhere. */
     private void tell(long now, Placement.Event event) {
         if (event instanceof Placement.Ended e) {
-            if (e.outcome() == Placement.Outcome.TIMED_OUT || e.outcome() == Placement.Outcome.UNREACHABLE
-                || e.outcome() == Placement.Outcome.LOST && e.reason() == Placement.Reason.NONE) {
+            if (e.outcome() == Placement.Outcome.TIMED_OUT
+                    || e.outcome() == Placement.Outcome.UNREACHABLE
+                    || e.outcome() == Placement.Outcome.LOST
+                            && e.reason() == Placement.Reason.NONE) {
                 fleet.silent(e.machine());
             }
             line.attemptOver(now, e.id());
@@ -474,29 +604,56 @@
         Held held = adoptable.get(a.attempt());
         Intake.Wish wish = held.wish();
         String tenant = tenants.apply(held.owner());
-        Placement.Ask ask = intake.adopt(clock.now(), held.owner(), tenant, wish, a.machine(), this::carryOut);
+        Placement.Ask ask =
+                intake.adopt(clock.now(), held.owner(), tenant, wish, a.machine(), this::carryOut);
         if (ask == null) {
             carryOut(new Attempts.Withdraw(a.machine(), a.attempt()));
             return;
         }
-        attempts.adopted(clock.now(), a.attempt(), ask.id(), a.machine(), membership.incarnation(a.machine()),
-            effects.getOrDefault(ask.taskClass(), Placement.Effect.UNSAFE), held.runs());
+        attempts.adopted(
+                clock.now(),
+                a.attempt(),
+                ask.id(),
+                a.machine(),
+                membership.incarnation(a.machine()),
+                effects.getOrDefault(ask.taskClass(), Placement.Effect.UNSAFE),
+                held.runs());
         line.adopted(clock.now(), item(ask, held.owner(), 0, ""));
         module.on(new Placement.Running(ask, a.machine()));
-        LOG.atInfo().addKeyValue("instance", name).addKeyValue("node", a.machine()).addKeyValue("task", wish.id())
-            .log("taken over from a former life of this placer");
+        LOG.atInfo()
+                .addKeyValue("instance", name)
+                .addKeyValue("node", a.machine())
+                .addKeyValue("task", wish.id())
+                .log("taken over from a former life of this placer");
     }
 
     private Line.Item item(Placement.Ask ask, String owner, long deadline, String turnedBy) {
-        return new Line.Item(ask.id(), owner, ask.tenant(), ask.taskClass(), worths.getOrDefault(ask.taskClass(), 0.0),
-            ask.cores(), ask.memory(), deadline, ask.runsFor(), ask.again(), turnedBy);
+        return new Line.Item(
+                ask.id(),
+                owner,
+                ask.tenant(),
+                ask.taskClass(),
+                worths.getOrDefault(ask.taskClass(), 0.0),
+                ask.cores(),
+                ask.memory(),
+                deadline,
+                ask.runsFor(),
+                ask.again(),
+                turnedBy);
     }
 
     private void carryOut(Intake.Action action) {
         long now = clock.now();
         if (action instanceof Intake.Waits w) {
-            reasons.asked(now, w.owner(), w.tenant(), w.wish().id(), w.wish().key(), w.keyed(), w.settling(),
-                w.doubted() ? recovery.suspect(w.owner(), w.wish().id()) : "");
+            reasons.asked(
+                    now,
+                    w.owner(),
+                    w.tenant(),
+                    w.wish().id(),
+                    w.wish().key(),
+                    w.keyed(),
+                    w.settling(),
+                    w.doubted() ? recovery.suspect(w.owner(), w.wish().id()) : "");
         } else if (action instanceof Intake.Hand hand) {
             Line.Item item = item(hand.ask(), hand.owner(), hand.deadline(), hand.turnedBy());
             asks.put(hand.ask().id(), hand.ask());
@@ -507,8 +664,18 @@
                 asks.remove(a.request());
             }
             if (a.effect() != Placement.Effect.SAFE && a.result() != Intake.Result.REFUSED) {
-                promiseBeforeTelling(a.owner(), a.wish().id(), new Promise.Answered(now, a.owner(), a.tenant(), a.wish(),
-                    a.effect(), a.result(), a.machine(), a.reason()));
+                promiseBeforeTelling(
+                        a.owner(),
+                        a.wish().id(),
+                        new Promise.Answered(
+                                now,
+                                a.owner(),
+                                a.tenant(),
+                                a.wish(),
+                                a.effect(),
+                                a.result(),
+                                a.machine(),
+                                a.reason()));
             }
             reasons.answered(now, a.owner(), a.wish().id(), state(a.result()), a.machine());
             if (a.request() == null) {
@@ -521,7 +688,10 @@
             }
         } else if (action instanceof Intake.Finished f) {
             if (f.effect() != Placement.Effect.SAFE) {
-                promiseBeforeTelling(f.owner(), f.task(), new Promise.Finished(now, f.owner(), f.task(), f.fate()));
+                promiseBeforeTelling(
+                        f.owner(),
+                        f.task(),
+                        new Promise.Finished(now, f.owner(), f.task(), f.fate()));
             }
             reasons.over(now, f.owner(), f.task());
             if (f.request() != null) {
@@ -531,9 +701,11 @@
             if (d.news().result() != null && !d.news().repeat()) {
                 resultCount++;
             }
-            LOG.atDebug().addKeyValue("instance", name).addKeyValue("task", d.news().task())
-                .addKeyValue("node", d.news().machine())
-                .log("{}", d.news().result() == null ? d.news().fate() : d.news().result());
+            LOG.atDebug()
+                    .addKeyValue("instance", name)
+                    .addKeyValue("task", d.news().task())
+                    .addKeyValue("node", d.news().machine())
+                    .log("{}", d.news().result() == null ? d.news().fate() : d.news().result());
             List<Intake.News> waiting = untold.get(d.news().owner() + "/" + d.news().task());
             if (waiting != null) {
                 waiting.add(d.news());
@@ -553,19 +725,43 @@
     private void carryOut(Recovery.Action action) {
         long now = clock.now();
         if (action instanceof Recovery.Restored r) {
-            intake.restore(now, r.owner(), r.tenant(), r.wish(), r.result(), r.machine(), r.reason(), r.fate());
+            intake.restore(
+                    now,
+                    r.owner(),
+                    r.tenant(),
+                    r.wish(),
+                    r.result(),
+                    r.machine(),
+                    r.reason(),
+                    r.fate());
         } else if (action instanceof Recovery.Ran r) {
-            LOG.atInfo().addKeyValue("instance", name).addKeyValue("node", r.machine())
-                .addKeyValue("task", r.wish().id()).log("placed by a former life of this placer: {}", r.fate());
-            intake.ran(now, r.owner(), tenants.apply(r.owner()), r.wish(), r.machine(), r.fate(), r.told(),
-                this::carryOut);
+            LOG.atInfo()
+                    .addKeyValue("instance", name)
+                    .addKeyValue("node", r.machine())
+                    .addKeyValue("task", r.wish().id())
+                    .log("placed by a former life of this placer: {}", r.fate());
+            intake.ran(
+                    now,
+                    r.owner(),
+                    tenants.apply(r.owner()),
+                    r.wish(),
+                    r.machine(),
+                    r.fate(),
+                    r.told(),
+                    this::carryOut);
         } else if (action instanceof Recovery.Failed f) {
-            intake.mayHaveRun(now, f.owner(), tenants.apply(f.owner()), f.wish(), f.reason(), this::carryOut);
+            intake.mayHaveRun(
+                    now, f.owner(), tenants.apply(f.owner()), f.wish(), f.reason(), this::carryOut);
         } else if (action instanceof Recovery.Proven p) {
             intake.proven(now, p.owner(), p.task(), this::carryOut);
         } else if (action instanceof Recovery.Unprovable u) {
-            LOG.atWarn().addKeyValue("instance", name).addKeyValue("node", u.machine()).addKeyValue("task", u.task())
-                .log("offered by a former life of this placer; whether it ran cannot be proven any more");
+            LOG.atWarn()
+                    .addKeyValue("instance", name)
+                    .addKeyValue("node", u.machine())
+                    .addKeyValue("task", u.task())
+                    .log(
+                            "offered by a former life of this placer; whether it ran cannot be"
+                                    + " proven any more");
             intake.unprovable(now, u.owner(), u.task(), u.machine(), this::carryOut);
         }
     }
@@ -586,24 +782,41 @@
         } else if (action instanceof Membership.CloseLink close) {
             out.closeLink(close.link(), close.why());
         } else if (action instanceof Membership.LifeOver life) {
-            LOG.atWarn().addKeyValue("instance", name).addKeyValue("node", life.machine())
-                .log("incarnation {} is over: {}", life.incarnation(), life.why());
+            LOG.atWarn()
+                    .addKeyValue("instance", name)
+                    .addKeyValue("node", life.machine())
+                    .log("incarnation {} is over: {}", life.incarnation(), life.why());
             attempts.lifeOver(now, life.machine(), life.incarnation(), this::carryOut);
         } else if (action instanceof Membership.Forgotten gone) {
             fleet.forgotten(gone.machine());
         } else if (action instanceof Membership.Admitted admitted) {
             recent.forEach(each -> said(admitted.machine(), each));
             Set<String> running = new HashSet<>();
-            adoptable.forEach((id, held) -> {
-                if (held.runs()) {
-                    running.add(id);
-                }
-            });
+            adoptable.forEach(
+                    (id, held) -> {
+                        if (held.runs()) {
+                            running.add(id);
+                        }
+                    });
             Set<String> held = new LinkedHashSet<>(adoptable.keySet());
-            attempts.inventory(now, admitted.machine(), admitted.incarnation(), held, running, remembersSince,
-                this::carryOut);
-            recovery.testifies(now, new Recovery.Testimony(admitted.machine(), admitted.incarnation(), held, recalled,
-                remembersSince), attempts::ours, this::carryOut);
+            attempts.inventory(
+                    now,
+                    admitted.machine(),
+                    admitted.incarnation(),
+                    held,
+                    running,
+                    remembersSince,
+                    this::carryOut);
+            recovery.testifies(
+                    now,
+                    new Recovery.Testimony(
+                            admitted.machine(),
+                            admitted.incarnation(),
+                            held,
+                            recalled,
+                            remembersSince),
+                    attempts::ours,
+                    this::carryOut);
             out.welcome(admitted.machine(), recovery.limits().remember());
         } else if (action instanceof Membership.TellDrain drain) {
             out.tellDrain(drain.machine(), drain.on());
--- a/placer/src/main/java/thornferry/placer/Gate.java
+++ b/placer/src/main/java/thornferry/placer/Gate.java
@@ -19,9 +19,10 @@
 import thornferry.security.Passcodes;
 
 /**
- * Checks logins for all instances of a placer: hashes off the event loops, on two threads with a bounded queue, and
- * {@link Throttle} decides who waits. A passcode found good is remembered as a keyed digest until accounts change, so that
- * a thousand nodes that dial again do not cost a thousand hashes. Safe for use by several threads.
+ * Checks logins for all instances of a placer: hashes off the event loops, on two threads with a
+ * bounded queue, and {@link Throttle} decides who waits. A passcode found good is remembered as a
+ * keyed digest until accounts change, so that a thousand nodes that dial again do not cost a
+ * thousand hashes. Safe for use by several threads.
  */
 final class Gate implements AutoCloseable {
     private static final int THREADS = 2;
@@ -31,14 +32,21 @@
 
     private final Clock clock = Clock.system();
     private final Throttle throttle = new Throttle(Throttle.Settings.USUAL);
-    private final ThreadPoolExecutor workers = new ThreadPoolExecutor(THREADS, THREADS, 1, TimeUnit.MINUTES,
-        new ArrayBlockingQueue<>(QUEUE), task -> {
-            Thread t = new Thread(task, "login");
-            t.setDaemon(true);
-            return t;
-        });
+    private final ThreadPoolExecutor workers =
+            new ThreadPoolExecutor(
+                    THREADS,
+                    THREADS,
+                    1,
+                    TimeUnit.MINUTES,
+                    new ArrayBlockingQueue<>(QUEUE),
+                    task -> {
+                        Thread t = new Thread(task, "login");
+                        t.setDaemon(true);
+                        return t;
+                    });
     private final byte[] secret = new byte[32];
-    private final Map<String, String> good = new ConcurrentHashMap<>(); // digest of login, passcode and stored secret
+    private final Map<String, String> good =
+            new ConcurrentHashMap<>(); // digest of login, passcode and stored secret
     private volatile Map<String, Account> accounts;
 
     Gate(List<Account> accounts) {
@@ -60,17 +68,22 @@
     }
 
     /**
-     * Checks a login. {@code answer} hears null where it is good, else what to tell the peer; on a thread of the gate's or
-     * before this returns. {@code later} runs something after so many microseconds.
+     * Checks a login. {@code answer} hears null where it is good, else what to tell the peer; on a
+     * thread of the gate's or before this returns. {@code later} runs something after so many
+     * microseconds.
      */
-    void check(String address, String login, String passcode, Later later, Consumer<String> answer) {
+    void check(
+            String address, String login, String passcode, Later later, Consumer<String> answer) {
         String name = login == null ? "" : login.length() > Passcodes.MOST_LENGTH ? "" : login;
         Account account = accounts.get(name);
-        String digest = account == null || account.secret() == null || passcode == null ? null
-            : digest(name, passcode, account.secret());
+        String digest =
+                account == null || account.secret() == null || passcode == null
+                        ? null
+                        : digest(name, passcode, account.secret());
         if (digest != null && good.containsKey(digest)) {
             synchronized (throttle) {
-                // a passcode known to be good is no guess, so it need not wait for what others guessed
+                // a passcode known to be good is no guess, so it need not wait for what others
+                // guessed
                 throttle.begins(clock.now(), address, name);
                 throttle.ended(clock.now(), address, name, true);
             }
@@ -86,7 +99,13 @@
             return;
         }
         long wait = at - clock.now();
-        Runnable look = () -> work(() -> look(address, name, account, passcode, digest, answer), address, name, answer);
+        Runnable look =
+                () ->
+                        work(
+                                () -> look(address, name, account, passcode, digest, answer),
+                                address,
+                                name,
+                                answer);
         if (wait <= 0) {
             look.run();
         } else {
@@ -110,10 +129,16 @@
         }
     }
 
-    private void look(String address, String name, Account account, String passcode, String digest,
-                      Consumer<String> answer) {
-        boolean matches = digest != null && good.containsKey(digest) || Passcodes.matches(passcode, account == null ? null
-            : account.secret());
+    private void look(
+            String address,
+            String name,
+            Account account,
+            String passcode,
+            String digest,
+            Consumer<String> answer) {
+        boolean matches =
+                digest != null && good.containsKey(digest)
+                        || Passcodes.matches(passcode, account == null ? null : account.secret());
         if (matches && digest != null && good.size() < REMEMBERED) {
             good.put(digest, name);
         }
@@ -140,8 +165,11 @@
 
     /** Whether a certificate's name and a login given beside it may go together. */
     static boolean fits(String login, String certified) {
-        return login == null || login.isEmpty() || MessageDigest.isEqual(login.getBytes(StandardCharsets.UTF_8),
-            certified.getBytes(StandardCharsets.UTF_8));
+        return login == null
+                || login.isEmpty()
+                || MessageDigest.isEqual(
+                        login.getBytes(StandardCharsets.UTF_8),
+                        certified.getBytes(StandardCharsets.UTF_8));
     }
 
     @Override
--- a/placer/src/main/java/thornferry/placer/ModuleHost.java
+++ b/placer/src/main/java/thornferry/placer/ModuleHost.java
@@ -8,11 +8,14 @@
 import thornferry.decisions.Placement;
 
 /**
- * Feeds one placement module: one event at a time, in order, with timers no earlier than asked for. It decides
- * nothing. Events that come up while the module is at work wait their turn, so that it is never entered twice.
+ * Feeds one placement module: one event at a time, in order, with timers no earlier than asked for.
+ * It decides nothing. Events that come up while the module is at work wait their turn, so that it
+ * is never entered twice.
  */
 public final class ModuleHost {
-    /** What to do when the module throws: the request of the event, or null where it was about none. */
+    /**
+     * What to do when the module throws: the request of the event, or null where it was about none.
+     */
     public interface Failed {
         void request(String id);
     }
@@ -28,8 +31,14 @@
     private boolean working;
     private long failures;
 
-    public ModuleHost(Placement module, EventLoop loop, Clock clock, Consumer<Placement.Action> actions,
-                      Failed failed, Logger log, String instance) {
+    public ModuleHost(
+            Placement module,
+            EventLoop loop,
+            Clock clock,
+            Consumer<Placement.Action> actions,
+            Failed failed,
+            Logger log,
+            String instance) {
         this.module = module;
         this.loop = loop;
         this.clock = clock;
@@ -58,10 +67,14 @@
         try {
             module.on(clock.now(), event, this::act);
         } catch (RuntimeException e) {
-            // guards against a fault in the module taking every task with it: only the one in hand fails
+            // guards against a fault in the module taking every task with it: only the one in hand
+            // fails
             failures++;
-            log.atError().addKeyValue("instance", instance).addKeyValue("task", request(event)).setCause(e)
-                .log("the module failed on {}", event.getClass().getSimpleName());
+            log.atError()
+                    .addKeyValue("instance", instance)
+                    .addKeyValue("task", request(event))
+                    .setCause(e)
+                    .log("the module failed on {}", event.getClass().getSimpleName());
             if (request(event) != null) {
                 failed.request(request(event));
             }
@@ -78,13 +91,16 @@
 
     private void set(Placement.SetTimer timer) {
         long delay = Math.max(1, timer.at() - clock.now());
-        loop.schedule(() -> {
-            if (clock.now() < timer.at()) {
-                set(timer);
-            } else {
-                on(new Placement.Timer(timer.ref()));
-            }
-        }, delay, TimeUnit.MICROSECONDS);
+        loop.schedule(
+                () -> {
+                    if (clock.now() < timer.at()) {
+                        set(timer);
+                    } else {
+                        on(new Placement.Timer(timer.ref()));
+                    }
+                },
+                delay,
+                TimeUnit.MICROSECONDS);
     }
 
     private static String request(Placement.Event event) {
--- a/placer/src/main/java/thornferry/placer/Placer.java
+++ b/placer/src/main/java/thornferry/placer/Placer.java
@@ -31,15 +31,16 @@
 import thornferry.state.JournalFile;
 
 /**
- * A running placer: one or more instances, each listening on a port of its own and sharing nothing with the others.
- * Each instance has one event loop; with many instances a loop serves several.
+ * A running placer: one or more instances, each listening on a port of its own and sharing nothing
+ * with the others. Each instance has one event loop; with many instances a loop serves several.
  */
 public final class Placer implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Placer.class);
 
     /**
-     * Octets read of one connection before the others and the ticks have their turn. Guards against a storm of asks on a few
-     * connections, as after a restart, that holds up every answer due meanwhile; by default Netty reads a megabyte.
+     * Octets read of one connection before the others and the ticks have their turn. Guards against
+     * a storm of asks on a few connections, as after a restart, that holds up every answer due
+     * meanwhile; by default Netty reads a megabyte.
      */
     private static final int READ_OCTETS = 8 << 10;
 
@@ -53,9 +54,10 @@
     private final Gate gate;
     private volatile SslContext tls; // null for plain text
     private volatile Site site;
-    private volatile Source source = () -> {
-        throw new IOException("this placer was started without a file");
-    };
+    private volatile Source source =
+            () -> {
+                throw new IOException("this placer was started without a file");
+            };
     private volatile String lastReload = "";
 
     /** Where the configuration is read anew from; whatever it throws keeps the former one. */
@@ -71,7 +73,8 @@
     }
 
     /**
-     * Listens on {@code port}, {@code port + 1} ... for {@code instances} instances; 0 takes any free ports.
+     * Listens on {@code port}, {@code port + 1} ... for {@code instances} instances; 0 takes any
+     * free ports.
      *
      * @throws IOException where a port cannot be listened on; nothing is left running
      */
@@ -80,9 +83,19 @@
     }
 
     /** The same with another maker of modules, for tests that make the module fail. */
-    static Placer start(Site site, String host, int port, int instances,
-                        Function<Placement.Settings, Placement> maker) throws IOException {
-        Placer placer = new Placer(site, Math.max(1, Math.min(instances, Runtime.getRuntime().availableProcessors())));
+    static Placer start(
+            Site site,
+            String host,
+            int port,
+            int instances,
+            Function<Placement.Settings, Placement> maker)
+            throws IOException {
+        Placer placer =
+                new Placer(
+                        site,
+                        Math.max(
+                                1,
+                                Math.min(instances, Runtime.getRuntime().availableProcessors())));
         try {
             for (int i = 0; i < instances; i++) {
                 placer.listen(site, host, port == 0 ? 0 : port + i, i, maker);
@@ -94,52 +107,86 @@
         return placer;
     }
 
-    private void listen(Site site, String host, int port, int number, Function<Placement.Settings, Placement> maker)
-        throws IOException {
+    private void listen(
+            Site site,
+            String host,
+            int port,
+            int number,
+            Function<Placement.Settings, Placement> maker)
+            throws IOException {
         EventLoop loop = loops.next();
         Core.Kept kept = kept(site, number);
-        PlacerInstance instance = new PlacerInstance(site, number, loop, Clock.system(), gate, reloading, maker, kept);
+        PlacerInstance instance =
+                new PlacerInstance(
+                        site, number, loop, Clock.system(), gate, reloading, maker, kept);
         if (kept.journal() instanceof JournalFile file) {
             file.begin(instance.promised());
         }
         ChannelGroup open = new DefaultChannelGroup(loop);
         Channel listener;
         try {
-            listener = new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, 1024).option(ChannelOption.SO_REUSEADDR, true)
-                .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(512, READ_OCTETS / 2,
-                    READ_OCTETS).maxMessagesPerRead(1))
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        if (open.size() >= site.connections()) {
-                            channel.close(); // a bound on what strangers can make us hold
-                            return;
-                        }
-                        open.add(channel);
-                        SslContext context = tls;
-                        if (context != null) {
-                            channel.pipeline().addLast(new TlsPort(context, site.handshakeMs()));
-                        }
-                        ServerSession.install(channel, instance, site.frames(), site.heartbeat(), instance.name(),
-                            site.handshakeMs());
-                    }
-                }).bind(new InetSocketAddress(host, port)).sync().channel();
+            listener =
+                    new ServerBootstrap()
+                            .group(loop, loop)
+                            .channel(NioServerSocketChannel.class)
+                            .option(ChannelOption.SO_BACKLOG, 1024)
+                            .option(ChannelOption.SO_REUSEADDR, true)
+                            .childOption(ChannelOption.TCP_NODELAY, true)
+                            .childOption(
+                                    ChannelOption.RECVBUF_ALLOCATOR,
+                                    new AdaptiveRecvByteBufAllocator(
+                                                    512, READ_OCTETS / 2, READ_OCTETS)
+                                            .maxMessagesPerRead(1))
+                            .childHandler(
+                                    new ChannelInitializer<Channel>() {
+                                        @Override
+                                        protected void initChannel(Channel channel) {
+                                            if (open.size() >= site.connections()) {
+                                                channel.close(); // a bound on what strangers can
+                                                // make us hold
+                                                return;
+                                            }
+                                            open.add(channel);
+                                            SslContext context = tls;
+                                            if (context != null) {
+                                                channel.pipeline()
+                                                        .addLast(
+                                                                new TlsPort(
+                                                                        context,
+                                                                        site.handshakeMs()));
+                                            }
+                                            ServerSession.install(
+                                                    channel,
+                                                    instance,
+                                                    site.frames(),
+                                                    site.heartbeat(),
+                                                    instance.name(),
+                                                    site.handshakeMs());
+                                        }
+                                    })
+                            .bind(new InetSocketAddress(host, port))
+                            .sync()
+                            .channel();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted while starting", e);
         } catch (Exception e) { // Netty throws the bind's IOException unchecked
-            throw new IOException("cannot listen on " + host + ":" + port + ": " + e.getMessage(), e);
+            throw new IOException(
+                    "cannot listen on " + host + ":" + port + ": " + e.getMessage(), e);
         }
         instances.add(instance);
         loopOf.add(loop);
         listeners.add(listener);
         accepted.add(open);
-        LOG.atInfo().addKeyValue("instance", instance.name()).log("listens on {}", listener.localAddress());
+        LOG.atInfo()
+                .addKeyValue("instance", instance.name())
+                .log("listens on {}", listener.localAddress());
     }
 
-    /** What former lives of an instance left. A folder that cannot be used costs what must be promised, and no more. */
+    /**
+     * What former lives of an instance left. A folder that cannot be used costs what must be
+     * promised, and no more.
+     */
     private Core.Kept kept(Site site, int number) throws IOException {
         if (site.state().durability() == Durability.NONE) {
             return Core.Kept.NOTHING;
@@ -149,14 +196,21 @@
         try {
             JournalFile file = JournalFile.open(folder, name, site.state().durability());
             journals.add(file);
-            LOG.atInfo().addKeyValue("instance", name).log("journal in {}: {} lines of former lives{}", folder,
-                file.promises().size(), file.lacking().isEmpty() ? "" : "; " + file.lacking());
+            LOG.atInfo()
+                    .addKeyValue("instance", name)
+                    .log(
+                            "journal in {}: {} lines of former lives{}",
+                            folder,
+                            file.promises().size(),
+                            file.lacking().isEmpty() ? "" : "; " + file.lacking());
             return new Core.Kept(file, file.promises(), file.lacking().isEmpty());
         } catch (JournalFile.InUse e) {
             throw e;
         } catch (IOException e) {
             String why = "the journal in " + folder + " cannot be used: " + e;
-            LOG.atError().addKeyValue("instance", name).log("{}; keyed and unsafe tasks are refused", why);
+            LOG.atError()
+                    .addKeyValue("instance", name)
+                    .log("{}; keyed and unsafe tasks are refused", why);
             return new Core.Kept(Journal.broken(why), List.of(), false);
         }
     }
@@ -165,17 +219,18 @@
         return site.tls() == null ? null : Tls.server(site.tls().files(), site.tls().clients());
     }
 
-    private final PlacerInstance.Reloading reloading = new PlacerInstance.Reloading() {
-        @Override
-        public String reload() {
-            return Placer.this.reload();
-        }
+    private final PlacerInstance.Reloading reloading =
+            new PlacerInstance.Reloading() {
+                @Override
+                public String reload() {
+                    return Placer.this.reload();
+                }
 
-        @Override
-        public String last() {
-            return lastReload;
-        }
-    };
+                @Override
+                public String last() {
+                    return lastReload;
+                }
+            };
 
     /** Sets where {@link #reload} reads from. */
     public void reloadFrom(Source from) {
@@ -183,8 +238,9 @@
     }
 
     /**
-     * Reads the configuration anew: limits and order of what waits, accounts and certificates are taken over at once, for
-     * connections to come; those that stand are kept, and so is all that waits or runs. All else needs a restart.
+     * Reads the configuration anew: limits and order of what waits, accounts and certificates are
+     * taken over at once, for connections to come; those that stand are kept, and so is all that
+     * waits or runs. All else needs a restart.
      *
      * @return null, or what is wrong: then nothing at all has changed
      */
@@ -192,13 +248,17 @@
         try {
             Site next = source.read();
             if ((next.tls() == null) != (site.tls() == null)) {
-                throw new IOException("tls: a port cannot change between plain text and TLS without a restart");
+                throw new IOException(
+                        "tls: a port cannot change between plain text and TLS without a restart");
             }
             SslContext context = context(next);
             tls = context;
             gate.set(next.accounts());
-            String left = next.module().equals(site.module()) ? "" : "; changes of classes, kinds, rules or prices wait"
-                + " for a restart";
+            String left =
+                    next.module().equals(site.module())
+                            ? ""
+                            : "; changes of classes, kinds, rules or prices wait"
+                                    + " for a restart";
             site = next;
             for (int i = 0; i < instances.size(); i++) {
                 PlacerInstance instance = instances.get(i);
@@ -208,7 +268,8 @@
             LOG.info("reloaded{}", left);
             return null;
         } catch (Exception e) {
-            lastReload = java.time.Instant.now() + ": not reloaded, the former stays: " + e.getMessage();
+            lastReload =
+                    java.time.Instant.now() + ": not reloaded, the former stays: " + e.getMessage();
             LOG.error("not reloaded, the former configuration stays: {}", e.getMessage());
             return String.valueOf(e.getMessage());
         }
@@ -229,10 +290,16 @@
     }
 
     /** Asks, results and offers since the start; tasks in hand and attempts held now. */
-    public record Totals(long asks, long results, long offers, long moduleFailures, int inHand, int attempts) {
+    public record Totals(
+            long asks, long results, long offers, long moduleFailures, int inHand, int attempts) {
         private Totals plus(Totals o) {
-            return new Totals(asks + o.asks, results + o.results, offers + o.offers,
-                moduleFailures + o.moduleFailures, inHand + o.inHand, attempts + o.attempts);
+            return new Totals(
+                    asks + o.asks,
+                    results + o.results,
+                    offers + o.offers,
+                    moduleFailures + o.moduleFailures,
+                    inHand + o.inHand,
+                    attempts + o.attempts);
         }
     }
 
@@ -240,10 +307,14 @@
         return loopOf.get(instance).submit(call).syncUninterruptibly().getNow();
     }
 
-    /** Stands all instances still for so long, as a long garbage collection would; for scripted days. */
+    /**
+     * Stands all instances still for so long, as a long garbage collection would; for scripted
+     * days.
+     */
     public void pause(long millis) {
         for (EventLoop loop : loopOf.stream().distinct().toList()) {
-            loop.execute(() -> java.util.concurrent.locks.LockSupport.parkNanos(millis * 1_000_000));
+            loop.execute(
+                    () -> java.util.concurrent.locks.LockSupport.parkNanos(millis * 1_000_000));
         }
     }
 
--- a/placer/src/main/java/thornferry/placer/PlacerInstance.java
+++ b/placer/src/main/java/thornferry/placer/PlacerInstance.java
@@ -54,15 +54,21 @@
 import thornferry.security.Tls;
 
 /**
- * One placer on its sockets: sessions, destinations and bodies around its {@link Core}. It carries events in and actions
- * out and decides nothing. Everything runs on the event loop.
+ * One placer on its sockets: sessions, destinations and bodies around its {@link Core}. It carries
+ * events in and actions out and decides nothing. Everything runs on the event loop.
  */
 final class PlacerInstance implements ServerSession.Front, Core.Out {
     private static final Logger LOG = LoggerFactory.getLogger(PlacerInstance.class);
     private static final long TICK_MS = 20;
-    private static final int SLOW_TICK = 5; // the operators' view is looked after every so many ticks
-    /** Waiting tasks told to one session in one tick; what is left is told in the next, as it then stands. */
+    private static final int SLOW_TICK =
+            5; // the operators' view is looked after every so many ticks
+
+    /**
+     * Waiting tasks told to one session in one tick; what is left is told in the next, as it then
+     * stands.
+     */
     private static final int TOLD_AT_ONCE = 256;
+
     private static final int WAITING_MOST = 10_000;
 
     /** What the instance keeps with a session. */
@@ -85,8 +91,10 @@
     private final Gate gate;
     private final Reloading reloading;
     private final Map<Long, ServerSession> links = new HashMap<>();
-    private final Map<String, Set<ServerSession>> owners = new HashMap<>(); // those who watch their results
-    private final Map<String, Set<ServerSession>> waiters = new LinkedHashMap<>(); // those who watch reasons
+    private final Map<String, Set<ServerSession>> owners =
+            new HashMap<>(); // those who watch their results
+    private final Map<String, Set<ServerSession>> waiters =
+            new LinkedHashMap<>(); // those who watch reasons
     private final Set<ServerSession> watchers = new LinkedHashSet<>(); // of the nodes
     private Nodes shown = Nodes.getDefaultInstance();
     private long linkNumber;
@@ -103,17 +111,34 @@
         String last();
     }
 
-    PlacerInstance(Site site, int number, EventLoop loop, Clock clock, Gate gate, Reloading reloading,
-                   Function<Placement.Settings, Placement> maker, Core.Kept kept) {
+    PlacerInstance(
+            Site site,
+            int number,
+            EventLoop loop,
+            Clock clock,
+            Gate gate,
+            Reloading reloading,
+            Function<Placement.Settings, Placement> maker,
+            Core.Kept kept) {
         this.name = name(site, number);
         this.loop = loop;
         this.clock = clock;
         this.gate = gate;
         this.reloading = reloading;
-        this.core = new Core(site, number, name, loop, clock, maker, owner -> {
-            Account account = gate.account(owner);
-            return account == null ? "" : account.tenant();
-        }, kept, this);
+        this.core =
+                new Core(
+                        site,
+                        number,
+                        name,
+                        loop,
+                        clock,
+                        maker,
+                        owner -> {
+                            Account account = gate.account(owner);
+                            return account == null ? "" : account.tenant();
+                        },
+                        kept,
+                        this);
         loop.scheduleWithFixedDelay(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -148,7 +173,10 @@
                 show();
             }
         } catch (RuntimeException e) {
-            LOG.atError().addKeyValue("instance", name).setCause(e).log("a tick failed"); // the next one goes on
+            LOG.atError()
+                    .addKeyValue("instance", name)
+                    .setCause(e)
+                    .log("a tick failed"); // the next one goes on
         }
     }
 
@@ -168,18 +196,26 @@
             return;
         }
         if (tls != null && login == null && passcode == null) {
-            // JDK clients hold back a certificate that the authorities named by the server did not sign
-            session.fail("no login, and no certificate that this site's authority has signed", null);
+            // JDK clients hold back a certificate that the authorities named by the server did not
+            // sign
+            session.fail(
+                    "no login, and no certificate that this site's authority has signed", null);
             return;
         }
-        gate.check(session.peerAddress(), login, passcode, (micros, what) -> loop.schedule(what, micros,
-            TimeUnit.MICROSECONDS), no -> onLoop(() -> {
-                if (no == null) {
-                    session.admit(login);
-                } else {
-                    session.fail(no, null);
-                }
-            }));
+        gate.check(
+                session.peerAddress(),
+                login,
+                passcode,
+                (micros, what) -> loop.schedule(what, micros, TimeUnit.MICROSECONDS),
+                no ->
+                        onLoop(
+                                () -> {
+                                    if (no == null) {
+                                        session.admit(login);
+                                    } else {
+                                        session.fail(no, null);
+                                    }
+                                }));
     }
 
     private void onLoop(Runnable what) {
@@ -197,7 +233,8 @@
         return (Peer) session.attachment();
     }
 
-    private void allow(ServerSession session, Access.To to, String destination) throws ProtocolException {
+    private void allow(ServerSession session, Access.To to, String destination)
+            throws ProtocolException {
         Account account = peer(session).account;
         if (account == null || !Access.allows(account.role(), to)) {
             throw new ProtocolException("login " + session.login() + " may not use " + destination);
@@ -205,7 +242,8 @@
     }
 
     @Override
-    public void sent(ServerSession session, String destination, Frame frame) throws ProtocolException {
+    public void sent(ServerSession session, String destination, Frame frame)
+            throws ProtocolException {
         Access.To to = Access.send(destination);
         if (to == null) {
             throw new ProtocolException("unknown destination " + destination);
@@ -223,7 +261,12 @@
             }
             case WHY -> {
                 WhyQuery q = Bodies.read(frame, WhyQuery.newBuilder());
-                reply(session, frame, Views.why(core.reasons().why(clock.now(), session.login(), q.getTask()), true));
+                reply(
+                        session,
+                        frame,
+                        Views.why(
+                                core.reasons().why(clock.now(), session.login(), q.getTask()),
+                                true));
             }
             case WAITING -> {
                 Bodies.<WaitingQuery>read(frame, WaitingQuery.newBuilder());
@@ -238,7 +281,8 @@
             case RELOAD -> {
                 String wrong = reloading.reload();
                 if (wrong != null) {
-                    throw new ProtocolException("not reloaded, the former configuration stays", wrong);
+                    throw new ProtocolException(
+                            "not reloaded, the former configuration stays", wrong);
                 }
             }
             case REGISTER -> {
@@ -251,7 +295,10 @@
             }
             case PROBES -> {
                 ProbeReply reply = Bodies.read(frame, ProbeReply.newBuilder());
-                core.probeReply(registered(session, reply.getNode()), reply.getNumber(), report(reply.getLoad()));
+                core.probeReply(
+                        registered(session, reply.getNode()),
+                        reply.getNumber(),
+                        report(reply.getLoad()));
             }
             case DRAIN -> drain(session, Bodies.read(frame, Drain.newBuilder()));
             default -> throw new ProtocolException(destination + " is to subscribe to");
@@ -260,13 +307,16 @@
 
     /** Answers a question on the connection that asked it, to the destination that it named. */
     private void reply(ServerSession session, Frame question, com.google.protobuf.Message answer)
-        throws ProtocolException {
+            throws ProtocolException {
         String to = question.header("reply-to", "");
         if (!to.startsWith(Destinations.REPLIES) || !session.subscribedTo(to)) {
-            throw new ProtocolException("reply-to must name a destination under " + Destinations.REPLIES
-                + " that this connection is subscribed to");
+            throw new ProtocolException(
+                    "reply-to must name a destination under "
+                            + Destinations.REPLIES
+                            + " that this connection is subscribed to");
         }
-        Frame frame = Frame.of(StompCommand.MESSAGE, "correlation-id", question.header("correlation-id"));
+        Frame frame =
+                Frame.of(StompCommand.MESSAGE, "correlation-id", question.header("correlation-id"));
         session.message(to, "a" + ++replyNumber, Bodies.write(frame, answer, false));
     }
 
@@ -289,8 +339,15 @@
 
     private static Intake.Wish wish(Task t) {
         Long patience = t.hasPatienceMs() ? (Long) micros(t.getPatienceMs()) : null;
-        return new Intake.Wish(t.getId(), t.getTaskClass(), t.getService(), t.getKey(), t.getCores(), t.getMemory(),
-            patience, micros(t.getRunsForMs()));
+        return new Intake.Wish(
+                t.getId(),
+                t.getTaskClass(),
+                t.getService(),
+                t.getKey(),
+                t.getCores(),
+                t.getMemory(),
+                patience,
+                micros(t.getRunsForMs()));
     }
 
     private static long micros(long ms) {
@@ -301,17 +358,21 @@
         Peer peer = peer(session);
         boolean itself = drain.getNode().equals(core.membership().machineOf(peer.link));
         if (peer.account.role() != Account.Role.OPERATOR && !itself) {
-            throw new ProtocolException("login " + session.login() + " may not drain " + drain.getNode());
+            throw new ProtocolException(
+                    "login " + session.login() + " may not drain " + drain.getNode());
         }
         if (!core.drain(drain.getNode(), drain.getOn())) {
             throw new ProtocolException("no node " + drain.getNode());
         }
-        LOG.atInfo().addKeyValue("instance", name).addKeyValue("node", drain.getNode())
-            .log(drain.getOn() ? "drains" : "no longer drains");
+        LOG.atInfo()
+                .addKeyValue("instance", name)
+                .addKeyValue("node", drain.getNode())
+                .log(drain.getOn() ? "drains" : "no longer drains");
     }
 
     @Override
-    public void subscribed(ServerSession session, String id, String destination) throws ProtocolException {
+    public void subscribed(ServerSession session, String id, String destination)
+            throws ProtocolException {
         Access.To to = Access.subscribe(destination);
         if (to == null) {
             throw new ProtocolException("unknown destination " + destination);
@@ -325,15 +386,16 @@
             }
             case WAITING -> {
                 waiters.computeIfAbsent(session.login(), o -> new LinkedHashSet<>()).add(session);
-                core.reasons().waiting(clock.now(), session.login(), WAITING_MOST)
-                    .forEach(why -> peer(session).dirty.add(why.task()));
+                core.reasons()
+                        .waiting(clock.now(), session.login(), WAITING_MOST)
+                        .forEach(why -> peer(session).dirty.add(why.task()));
             }
             case NODES -> {
                 watchers.add(session);
                 Nodes now = nodes();
                 loop.execute(() -> session.message(Destinations.NODES, "nodes", nodesFrame(now)));
             }
-            default -> { } // offers and replies: messages go to the subscription when there are any
+            default -> {} // offers and replies: messages go to the subscription when there are any
         }
     }
 
@@ -378,7 +440,10 @@
         String machine = core.membership().machineOf(peer.link);
         links.remove(peer.link);
         if (machine != null) {
-            LOG.atWarn().addKeyValue("instance", name).addKeyValue("node", machine).log("connection over: {}", why);
+            LOG.atWarn()
+                    .addKeyValue("instance", name)
+                    .addKeyValue("node", machine)
+                    .log("connection over: {}", why);
             core.linkClosed(peer.link);
         }
     }
@@ -386,7 +451,8 @@
     // ---- nodes ----
     private void register(ServerSession session, Register r) throws ProtocolException {
         if (!session.subscribedTo(Destinations.offers(r.getNode()))) {
-            throw new ProtocolException("subscribe to " + Destinations.offers(r.getNode()) + " before registering");
+            throw new ProtocolException(
+                    "subscribe to " + Destinations.offers(r.getNode()) + " before registering");
         }
         Peer peer = peer(session);
         links.put(peer.link, session);
@@ -401,8 +467,15 @@
                 recent.add(said(a));
             }
             if (a.hasTask() && !a.getOwner().isEmpty()) {
-                recalled.add(new Recovery.Recalled(a.getAttempt(), a.getOwner(), wish(a.getTask()), effect(a.getEffect()),
-                    said(a).word(), a.getRan(), clock.now() - micros(Math.max(0, a.getEndedMsAgo()))));
+                recalled.add(
+                        new Recovery.Recalled(
+                                a.getAttempt(),
+                                a.getOwner(),
+                                wish(a.getTask()),
+                                effect(a.getEffect()),
+                                said(a).word(),
+                                a.getRan(),
+                                clock.now() - micros(Math.max(0, a.getEndedMsAgo()))));
             }
         }
         Map<Placement.Effect, Long> since = new EnumMap<>(Placement.Effect.class);
@@ -412,15 +485,36 @@
         if (r.hasForgotKeyedMs()) {
             since.put(Placement.Effect.KEYED, since(r.getForgotKeyedMs()));
         }
-        Load load = r.hasLoad() ? r.getLoad() : Load.newBuilder().setCoresFree(r.getCores())
-            .setMemoryFree(r.getMemory()).build();
-        core.registered(peer.link, new Membership.Registration(r.getNode(), r.getIncarnation(),
-            r.getKind(), r.getZone(), r.getCell(), r.getCores(), r.getMemory(), micros(r.getUptimeMs()),
-            load.getCoresFree(), load.getMemoryFree()), held, recent, recalled, since);
+        Load load =
+                r.hasLoad()
+                        ? r.getLoad()
+                        : Load.newBuilder()
+                                .setCoresFree(r.getCores())
+                                .setMemoryFree(r.getMemory())
+                                .build();
+        core.registered(
+                peer.link,
+                new Membership.Registration(
+                        r.getNode(),
+                        r.getIncarnation(),
+                        r.getKind(),
+                        r.getZone(),
+                        r.getCell(),
+                        r.getCores(),
+                        r.getMemory(),
+                        micros(r.getUptimeMs()),
+                        load.getCoresFree(),
+                        load.getMemoryFree()),
+                held,
+                recent,
+                recalled,
+                since);
     }
 
     private long since(long forgotMsAgo) {
-        return forgotMsAgo <= 0 ? Recovery.Testimony.ITS_WHOLE_LIFE : clock.now() - micros(forgotMsAgo);
+        return forgotMsAgo <= 0
+                ? Recovery.Testimony.ITS_WHOLE_LIFE
+                : clock.now() - micros(forgotMsAgo);
     }
 
     private static Placement.Effect effect(Effect e) {
@@ -440,26 +534,29 @@
     }
 
     private static Core.Said said(Answer a) throws ProtocolException {
-        Attempts.Word word = switch (a.getKind()) {
-            case ACCEPTED -> Attempts.Word.ACCEPTED;
-            case REFUSED -> Attempts.Word.REFUSED;
-            case RUNS -> Attempts.Word.RUNS;
-            case ENDED -> Attempts.Word.ENDED;
-            case EVICTED -> Attempts.Word.EVICTED;
-            case SENT_AWAY -> Attempts.Word.SENT_AWAY;
-            case WITHDRAWN -> Attempts.Word.WITHDRAWN;
-            default -> throw new ProtocolException("an answer must have a known kind");
-        };
-        Fleet.Said why = switch (a.getReason()) {
-            case NO_CORES -> Fleet.Said.NO_CORES;
-            case NO_MEMORY -> Fleet.Said.NO_MEMORY;
-            case OFFERS_WAIT -> Fleet.Said.OFFERS_WAIT;
-            case NOT_HERE -> Fleet.Said.NOT_HERE;
-            case KEY_HELD -> Fleet.Said.KEY_HELD;
-            case DRAINING -> Fleet.Said.DRAINING;
-            default -> Fleet.Said.NONE;
-        };
-        return new Core.Said(a.getAttempt(), word, why, a.getRan(), a.hasLoad() ? report(a.getLoad()) : null);
+        Attempts.Word word =
+                switch (a.getKind()) {
+                    case ACCEPTED -> Attempts.Word.ACCEPTED;
+                    case REFUSED -> Attempts.Word.REFUSED;
+                    case RUNS -> Attempts.Word.RUNS;
+                    case ENDED -> Attempts.Word.ENDED;
+                    case EVICTED -> Attempts.Word.EVICTED;
+                    case SENT_AWAY -> Attempts.Word.SENT_AWAY;
+                    case WITHDRAWN -> Attempts.Word.WITHDRAWN;
+                    default -> throw new ProtocolException("an answer must have a known kind");
+                };
+        Fleet.Said why =
+                switch (a.getReason()) {
+                    case NO_CORES -> Fleet.Said.NO_CORES;
+                    case NO_MEMORY -> Fleet.Said.NO_MEMORY;
+                    case OFFERS_WAIT -> Fleet.Said.OFFERS_WAIT;
+                    case NOT_HERE -> Fleet.Said.NOT_HERE;
+                    case KEY_HELD -> Fleet.Said.KEY_HELD;
+                    case DRAINING -> Fleet.Said.DRAINING;
+                    default -> Fleet.Said.NONE;
+                };
+        return new Core.Said(
+                a.getAttempt(), word, why, a.getRan(), a.hasLoad() ? report(a.getLoad()) : null);
     }
 
     /** In the order of {@code reportNames} that the configuration gives the module. */
@@ -471,17 +568,33 @@
     @Override
     public boolean offer(String machine, String attempt, Intake.Offered of) {
         Intake.Wish w = of.wish();
-        Task.Builder task = Task.newBuilder().setId(w.id()).setTaskClass(w.taskClass()).setService(w.service())
-            .setKey(w.key()).setCores(w.cores()).setMemory(w.memory()).setRunsForMs(w.runsFor() / 1_000);
-        Order order = Order.newBuilder().setOffer(Offer.newBuilder().setAttempt(attempt).setTask(task)
-            .setOwner(of.owner()).setPlacer(name).setEffect(Effect.valueOf(of.effect().name()))).build();
+        Task.Builder task =
+                Task.newBuilder()
+                        .setId(w.id())
+                        .setTaskClass(w.taskClass())
+                        .setService(w.service())
+                        .setKey(w.key())
+                        .setCores(w.cores())
+                        .setMemory(w.memory())
+                        .setRunsForMs(w.runsFor() / 1_000);
+        Order order =
+                Order.newBuilder()
+                        .setOffer(
+                                Offer.newBuilder()
+                                        .setAttempt(attempt)
+                                        .setTask(task)
+                                        .setOwner(of.owner())
+                                        .setPlacer(name)
+                                        .setEffect(Effect.valueOf(of.effect().name())))
+                        .build();
         ChannelFuture written = send(machine, order, attempt);
         if (written != null) {
-            written.addListener(done -> {
-                if (!done.isSuccess()) {
-                    core.notWritten(attempt);
-                }
-            });
+            written.addListener(
+                    done -> {
+                        if (!done.isSuccess()) {
+                            core.notWritten(attempt);
+                        }
+                    });
         }
         return written != null;
     }
@@ -497,23 +610,40 @@
 
     @Override
     public void withdraw(String machine, String attempt) {
-        send(machine, Order.newBuilder().setWithdraw(Withdraw.newBuilder().setAttempt(attempt)).build(), "w" + attempt);
+        send(
+                machine,
+                Order.newBuilder().setWithdraw(Withdraw.newBuilder().setAttempt(attempt)).build(),
+                "w" + attempt);
     }
 
     @Override
     public boolean probe(String machine, long number) {
-        return send(machine, Order.newBuilder().setProbe(Probe.newBuilder().setNumber(number)).build(), "p" + number) != null;
+        return send(
+                        machine,
+                        Order.newBuilder().setProbe(Probe.newBuilder().setNumber(number)).build(),
+                        "p" + number)
+                != null;
     }
 
     @Override
     public void tellDrain(String machine, boolean on) {
-        send(machine, Order.newBuilder().setDrain(Drain.newBuilder().setNode(machine).setOn(on)).build(), "d" + machine);
+        send(
+                machine,
+                Order.newBuilder().setDrain(Drain.newBuilder().setNode(machine).setOn(on)).build(),
+                "d" + machine);
     }
 
     @Override
     public void welcome(String machine, long remember) {
-        send(machine, Order.newBuilder().setWelcome(Welcome.newBuilder().setPlacer(name).setRememberMs(remember / 1_000))
-            .build(), "welcome");
+        send(
+                machine,
+                Order.newBuilder()
+                        .setWelcome(
+                                Welcome.newBuilder()
+                                        .setPlacer(name)
+                                        .setRememberMs(remember / 1_000))
+                        .build(),
+                "welcome");
     }
 
     @Override
@@ -532,13 +662,15 @@
         }
         Frame frame = frame(news);
         for (ServerSession session : new ArrayList<>(watching)) {
-            ChannelFuture written = session.message(Destinations.RESULTS, "n" + news.number(), frame);
+            ChannelFuture written =
+                    session.message(Destinations.RESULTS, "n" + news.number(), frame);
             if (written != null && !session.acknowledges(Destinations.RESULTS)) {
-                written.addListener(done -> {
-                    if (done.isSuccess()) {
-                        core.delivered(news.owner(), news.number());
-                    }
-                });
+                written.addListener(
+                        done -> {
+                            if (done.isSuccess()) {
+                                core.delivered(news.owner(), news.number());
+                            }
+                        });
             }
         }
     }
@@ -547,16 +679,34 @@
         String result = n.result() == null ? null : n.result().name().toLowerCase(Locale.ROOT);
         String event = n.fate() == null ? null : n.fate().name().toLowerCase(Locale.ROOT);
         long retryMs = (n.retryAfter() + 999) / 1_000;
-        TaskNews.Builder body = TaskNews.newBuilder().setTask(n.task()).setNode(n.machine()).setReason(n.reason())
-            .setRetryAfterMs(retryMs);
+        TaskNews.Builder body =
+                TaskNews.newBuilder()
+                        .setTask(n.task())
+                        .setNode(n.machine())
+                        .setReason(n.reason())
+                        .setRetryAfterMs(retryMs);
         if (result != null) {
             body.setResult(result);
         } else {
             body.setEvent(event);
         }
-        Frame frame = Frame.of(StompCommand.MESSAGE, "task", n.task(), "result", result, "event", event,
-            "node", n.machine().isEmpty() ? null : n.machine(), "reason", n.reason().isEmpty() ? null : n.reason(),
-            "retry-after-ms", retryMs > 0 ? Long.toString(retryMs) : null, "repeat", n.repeat() ? "true" : null);
+        Frame frame =
+                Frame.of(
+                        StompCommand.MESSAGE,
+                        "task",
+                        n.task(),
+                        "result",
+                        result,
+                        "event",
+                        event,
+                        "node",
+                        n.machine().isEmpty() ? null : n.machine(),
+                        "reason",
+                        n.reason().isEmpty() ? null : n.reason(),
+                        "retry-after-ms",
+                        retryMs > 0 ? Long.toString(retryMs) : null,
+                        "repeat",
+                        n.repeat() ? "true" : null);
         return Bodies.write(frame, body.build(), false);
     }
 
@@ -570,8 +720,8 @@
     }
 
     /**
-     * Tells a session of its tasks whose reasons changed, as they stand at this moment: for a reader slower than they
-     * change, what lies between is left out, and nothing piles up for it.
+     * Tells a session of its tasks whose reasons changed, as they stand at this moment: for a
+     * reader slower than they change, what lies between is left out, and nothing piles up for it.
      */
     private void tellReasons(ServerSession session) {
         Iterator<String> dirty = peer(session).dirty.iterator();
@@ -579,8 +729,18 @@
             String task = dirty.next();
             dirty.remove();
             Reasons.Why why = core.reasons().why(clock.now(), session.login(), task);
-            session.message(Destinations.WAITING, "y" + ++replyNumber, Bodies.write(Frame.of(StompCommand.MESSAGE, "task",
-                task, "state", Views.word(why.state())), Views.why(why, false), false));
+            session.message(
+                    Destinations.WAITING,
+                    "y" + ++replyNumber,
+                    Bodies.write(
+                            Frame.of(
+                                    StompCommand.MESSAGE,
+                                    "task",
+                                    task,
+                                    "state",
+                                    Views.word(why.state())),
+                            Views.why(why, false),
+                            false));
         }
     }
 
@@ -588,9 +748,17 @@
     private Nodes nodes() {
         Nodes.Builder nodes = Nodes.newBuilder();
         for (Membership.View v : core.membership().view(clock.now())) {
-            nodes.addNodes(NodeView.newBuilder().setNode(v.machine()).setIncarnation(v.incarnation())
-                .setKind(v.kind()).setZone(v.zone()).setState(v.state()).setCores(v.cores()).setMemory(v.memory())
-                .setTasks(core.attemptsAt(v.machine())).setNote(v.note()));
+            nodes.addNodes(
+                    NodeView.newBuilder()
+                            .setNode(v.machine())
+                            .setIncarnation(v.incarnation())
+                            .setKind(v.kind())
+                            .setZone(v.zone())
+                            .setState(v.state())
+                            .setCores(v.cores())
+                            .setMemory(v.memory())
+                            .setTasks(core.attemptsAt(v.machine()))
+                            .setNote(v.note()));
         }
         return nodes.build();
     }
@@ -606,7 +774,8 @@
         Nodes now = nodes();
         if (!now.equals(shown)) {
             shown = now;
-            new ArrayList<>(watchers).forEach(w -> w.message(Destinations.NODES, "nodes", nodesFrame(now)));
+            new ArrayList<>(watchers)
+                    .forEach(w -> w.message(Destinations.NODES, "nodes", nodesFrame(now)));
         }
     }
 }
--- a/placer/src/main/java/thornferry/placer/Site.java
+++ b/placer/src/main/java/thornferry/placer/Site.java
@@ -12,43 +12,85 @@
 import thornferry.state.Durability;
 
 /**
- * Everything that a placer is configured with. Checked when it is read; see the configuration in app.
+ * Everything that a placer is configured with. Checked when it is read; see the configuration in
+ * app.
  *
- * @param name        of the placer; instance i of it is called NAME-i
- * @param module      settings of the placement module; seed and number are set for each instance
- * @param seed        from which the instances' seeds are drawn
+ * @param name of the placer; instance i of it is called NAME-i
+ * @param module settings of the placement module; seed and number are set for each instance
+ * @param seed from which the instances' seeds are drawn
  * @param handshakeMs a peer that has not sent CONNECT after so long is cut off
- * @param line        limits and order of what waits
- * @param tls         certificate, key and authorities; null for plain text
+ * @param line limits and order of what waits
+ * @param tls certificate, key and authorities; null for plain text
  * @param connections open at once, for each instance; more are closed as they come
- * @param state       what is kept over restarts
+ * @param state what is kept over restarts
  */
-public record Site(String name, Placement.Settings module, long seed, List<Account> accounts,
-                   Membership.Limits membership, Intake.Limits intake, LineSettings line, TlsFiles tls, FrameLimits frames, Heartbeat heartbeat,
-                   int handshakeMs, int connections, State state) {
-    /** What lasts over restarts, and where: a folder for each instance below {@code folder}, of no use with none. */
+public record Site(
+        String name,
+        Placement.Settings module,
+        long seed,
+        List<Account> accounts,
+        Membership.Limits membership,
+        Intake.Limits intake,
+        LineSettings line,
+        TlsFiles tls,
+        FrameLimits frames,
+        Heartbeat heartbeat,
+        int handshakeMs,
+        int connections,
+        State state) {
+    /**
+     * What lasts over restarts, and where: a folder for each instance below {@code folder}, of no
+     * use with none.
+     */
     public record State(Durability durability, Path folder) {
         public static final State NONE = new State(Durability.NONE, Path.of("state"));
     }
 
     /** Where a placer's certificate, its key and the authorities of its peers' certificates are. */
-    public record TlsFiles(Tls.Pem files, Tls.Clients clients) { }
+    public record TlsFiles(Tls.Pem files, Tls.Clients clients) {}
 
     /** The module's settings for one instance. */
     Placement.Settings moduleOf(int instance) {
         return settings(seed * 1_000_003 + instance, instance, module.instances());
     }
 
-    /** The same site as one of {@code placers} placers has it: under its own name, seed and number, for more accounts. */
+    /**
+     * The same site as one of {@code placers} placers has it: under its own name, seed and number,
+     * for more accounts.
+     */
     public Site asPlacer(String name, int number, int placers, long seed, List<Account> accounts) {
-        return new Site(name, settings(module.seed(), number, placers), seed, accounts, membership, intake, line, tls,
-            frames, heartbeat, handshakeMs, connections, state);
+        return new Site(
+                name,
+                settings(module.seed(), number, placers),
+                seed,
+                accounts,
+                membership,
+                intake,
+                line,
+                tls,
+                frames,
+                heartbeat,
+                handshakeMs,
+                connections,
+                state);
     }
 
     /** The same with other limits and order of what waits. */
     public Site withLine(LineSettings other) {
-        return new Site(name, module, seed, accounts, membership, intake, other, tls, frames, heartbeat, handshakeMs,
-            connections, state);
+        return new Site(
+                name,
+                module,
+                seed,
+                accounts,
+                membership,
+                intake,
+                other,
+                tls,
+                frames,
+                heartbeat,
+                handshakeMs,
+                connections,
+                state);
     }
 
     /** The same with neither line nor reasons, for measuring what they cost and bring. */
@@ -58,22 +100,67 @@
 
     /** The same over TLS. */
     public Site withTls(TlsFiles files) {
-        return new Site(name, module, seed, accounts, membership, intake, line, files, frames, heartbeat, handshakeMs,
-            connections, state);
+        return new Site(
+                name,
+                module,
+                seed,
+                accounts,
+                membership,
+                intake,
+                line,
+                files,
+                frames,
+                heartbeat,
+                handshakeMs,
+                connections,
+                state);
     }
 
     /** The same with other means to outlast restarts. */
     public Site withState(State other) {
-        return new Site(name, module, seed, accounts, membership, intake, line, tls, frames, heartbeat, handshakeMs,
-            connections, other);
+        return new Site(
+                name,
+                module,
+                seed,
+                accounts,
+                membership,
+                intake,
+                line,
+                tls,
+                frames,
+                heartbeat,
+                handshakeMs,
+                connections,
+                other);
     }
 
     private Placement.Settings settings(long moduleSeed, int number, int placers) {
         Placement.Settings s = module;
-        return new Placement.Settings(moduleSeed, number, placers, s.zone(), s.classes(),
-            s.kinds(), s.tenants(), s.reports(), s.reportNames(), s.countsUsed(), s.listShowsRoom(),
-            s.mustAskForList(), s.placedWhenRunning(), s.useNotes(), s.displaces(), s.oneHome(), s.acceptCores(),
-            s.acceptMemory(), s.meanCores(), s.meanMemory(), s.overShareWorth(), s.ownerWait(), s.prices(),
-            s.rules(), s.limits());
+        return new Placement.Settings(
+                moduleSeed,
+                number,
+                placers,
+                s.zone(),
+                s.classes(),
+                s.kinds(),
+                s.tenants(),
+                s.reports(),
+                s.reportNames(),
+                s.countsUsed(),
+                s.listShowsRoom(),
+                s.mustAskForList(),
+                s.placedWhenRunning(),
+                s.useNotes(),
+                s.displaces(),
+                s.oneHome(),
+                s.acceptCores(),
+                s.acceptMemory(),
+                s.meanCores(),
+                s.meanMemory(),
+                s.overShareWorth(),
+                s.ownerWait(),
+                s.prices(),
+                s.rules(),
+                s.limits());
     }
 }
--- a/placer/src/main/java/thornferry/placer/TlsPort.java
+++ b/placer/src/main/java/thornferry/placer/TlsPort.java
@@ -11,7 +11,10 @@
 import io.netty.util.ReferenceCountUtil;
 import java.nio.charset.StandardCharsets;
 
-/** The first handler of a port that speaks TLS. One who comes in plain text is told so, in plain text, and cut off. */
+/**
+ * The first handler of a port that speaks TLS. One who comes in plain text is told so, in plain
+ * text, and cut off.
+ */
 final class TlsPort extends OptionalSslHandler {
     private static final String TOLD = "ERROR\nmessage:this port speaks TLS 1.3 only\n\n\0\n";
 
@@ -35,7 +38,7 @@
             @Override
             public void handlerAdded(ChannelHandlerContext ctx) {
                 ctx.writeAndFlush(Unpooled.copiedBuffer(TOLD, StandardCharsets.UTF_8))
-                    .addListener(ChannelFutureListener.CLOSE);
+                        .addListener(ChannelFutureListener.CLOSE);
             }
 
             @Override
--- a/placer/src/test/java/thornferry/placer/LivesTest.java
+++ b/placer/src/test/java/thornferry/placer/LivesTest.java
@@ -15,7 +15,6 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import org.junit.jupiter.api.Test;
-import thornferry.decisions.Attempts;
 import thornferry.decisions.Attempts.Word;
 import thornferry.decisions.Fleet;
 import thornferry.decisions.Intake;
@@ -30,9 +29,10 @@
 import thornferry.state.Journal;
 
 /**
- * Many lives of a placer in virtual time: it and its nodes are killed at random, frames are late and lost with their
- * connections, owners ask again. No unsafe task may start twice, no result contradict one told before, and in the end
- * each ask must have its result. {@code -Dlives=N} plays about so many lives; {@code -Dseed=S} begins with that world.
+ * Many lives of a placer in virtual time: it and its nodes are killed at random, frames are late
+ * and lost with their connections, owners ask again. No unsafe task may start twice, no result
+ * contradict one told before, and in the end each ask must have its result. {@code -Dlives=N} plays
+ * about so many lives; {@code -Dseed=S} begins with that world.
  */
 class LivesTest {
     private static final long MS = 1_000;
@@ -40,11 +40,19 @@
     private static final int LIVES_OF_A_WORLD = 20;
 
     /** What is left out on purpose, to see that these worlds would find it. */
-    private enum Planted { NOTHING, ACKNOWLEDGED_BEFORE_DURABLE, NODES_CLAIM_TO_REMEMBER_ALL, NO_MEMORY }
+    private enum Planted {
+        NOTHING,
+        ACKNOWLEDGED_BEFORE_DURABLE,
+        NODES_CLAIM_TO_REMEMBER_ALL,
+        NO_MEMORY
+    }
 
-    private record Work(String attempt, String owner, Intake.Wish wish, Effect effect) { }
+    private record Work(String attempt, String owner, Intake.Wish wish, Effect effect) {}
 
-    /** One connection: frames in order each way; once broken, only the first few of those on their way arrive. */
+    /**
+     * One connection: frames in order each way; once broken, only the first few of those on their
+     * way arrive.
+     */
     private static final class Link {
         final long id;
         boolean open = true;
@@ -73,7 +81,7 @@
         }
     }
 
-    private record Event(long at, long order, Runnable what) { }
+    private record Event(long at, long order, Runnable what) {}
 
     private static final class Asked {
         final Intake.Wish wish;
@@ -94,8 +102,12 @@
         final Planted planted;
         final boolean journaled;
         final Site site;
-        final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at())
-            : Long.compare(a.order(), b.order()));
+        final PriorityQueue<Event> events =
+                new PriorityQueue<>(
+                        (a, b) ->
+                                a.at() != b.at()
+                                        ? Long.compare(a.at(), b.at())
+                                        : Long.compare(a.order(), b.order()));
         final List<Node> nodes = new ArrayList<>();
         final Map<Long, Link> opened = new HashMap<>();
         final Map<String, Asked> asked = new TreeMap<>();
@@ -117,10 +129,23 @@
             random = new SplittableRandom(seed);
             this.planted = planted;
             this.journaled = journaled;
-            site = Sites.of(seed, 16, List.of(Sites.cls("safe", Effect.SAFE, Placement.Scope.NONE), Sites.cls("keyed",
-                Effect.KEYED, Placement.Scope.NONE), Sites.cls("unsafe", Effect.UNSAFE, Placement.Scope.NONE)),
-                new Intake.Limits(1_000, 10_000, 60 * SECOND, 30 * SECOND, 3 * SECOND, SECOND, 8 * SECOND),
-                LineSettings.usual());
+            site =
+                    Sites.of(
+                            seed,
+                            16,
+                            List.of(
+                                    Sites.cls("safe", Effect.SAFE, Placement.Scope.NONE),
+                                    Sites.cls("keyed", Effect.KEYED, Placement.Scope.NONE),
+                                    Sites.cls("unsafe", Effect.UNSAFE, Placement.Scope.NONE)),
+                            new Intake.Limits(
+                                    1_000,
+                                    10_000,
+                                    60 * SECOND,
+                                    30 * SECOND,
+                                    3 * SECOND,
+                                    SECOND,
+                                    8 * SECOND),
+                            LineSettings.usual());
             for (int i = 0; i < 3; i++) {
                 nodes.add(new Node("n" + i));
             }
@@ -135,7 +160,7 @@
         }
 
         void pass(long time) {
-            for (long end = now + time; now < end;) {
+            for (long end = now + time; now < end; ) {
                 long step = now + 20 * MS;
                 while (!events.isEmpty() && events.peek().at() <= step) {
                     Event e = events.poll();
@@ -173,8 +198,19 @@
             channel = new EmbeddedChannel();
             channel.freezeTime();
             List<Promise> left = List.copyOf(durable);
-            core = new Core(site, 0, "p-0", channel.eventLoop(), () -> now, Policy::new, owner -> "", journaled
-                ? new Core.Kept(new Disk(life), left, true) : Core.Kept.NOTHING, this);
+            core =
+                    new Core(
+                            site,
+                            0,
+                            "p-0",
+                            channel.eventLoop(),
+                            () -> now,
+                            Policy::new,
+                            owner -> "",
+                            journaled
+                                    ? new Core.Kept(new Disk(life), left, true)
+                                    : Core.Kept.NOTHING,
+                            this);
             durable.clear();
             durable.addAll(core.promised());
             nodes.forEach(n -> at(between(0, 1_000 * MS), () -> dial(n)));
@@ -188,11 +224,12 @@
             durable.addAll(pending.subList(0, random.nextInt(pending.size() + 1)));
             pending.clear();
             unacknowledged.clear();
-            nodes.forEach(n -> {
-                if (n.link != null) {
-                    breakOff(n, n.link, false);
-                }
-            });
+            nodes.forEach(
+                    n -> {
+                        if (n.link != null) {
+                            breakOff(n, n.link, false);
+                        }
+                    });
         }
 
         /** A disk that takes its time, and forces together what came meanwhile. */
@@ -211,17 +248,19 @@
                     done.accept(null);
                 }
                 if (pending.size() == 1) {
-                    at(between(0, 30 * MS), () -> {
-                        if (life == of && core != null) {
-                            durable.addAll(pending);
-                            List<Consumer<String>> told = new ArrayList<>(unacknowledged);
-                            pending.clear();
-                            unacknowledged.clear();
-                            if (planted != Planted.ACKNOWLEDGED_BEFORE_DURABLE) {
-                                told.forEach(d -> d.accept(null));
-                            }
-                        }
-                    });
+                    at(
+                            between(0, 30 * MS),
+                            () -> {
+                                if (life == of && core != null) {
+                                    durable.addAll(pending);
+                                    List<Consumer<String>> told = new ArrayList<>(unacknowledged);
+                                    pending.clear();
+                                    unacknowledged.clear();
+                                    if (planted != Planted.ACKNOWLEDGED_BEFORE_DURABLE) {
+                                        told.forEach(d -> d.accept(null));
+                                    }
+                                }
+                            });
                 }
             }
 
@@ -247,21 +286,36 @@
         // ---- owners ----
         void newTask() {
             String id = "t" + ++tasks;
-            String c = List.of("safe", "keyed", "unsafe", "unsafe", "unsafe").get(random.nextInt(5));
-            Asked a = new Asked(new Intake.Wish(id, c, c, "k" + id, 1 + random.nextInt(4), 1, null, 0), now + 25 * SECOND);
+            String c =
+                    List.of("safe", "keyed", "unsafe", "unsafe", "unsafe").get(random.nextInt(5));
+            Asked a =
+                    new Asked(
+                            new Intake.Wish(id, c, c, "k" + id, 1 + random.nextInt(4), 1, null, 0),
+                            now + 25 * SECOND);
             asked.put(id, a);
             ask(a);
         }
 
         void ask(Asked a) {
-            if (core == null || now >= a.until || !a.told.isEmpty() && !a.told.equals("REFUSED") && random.nextInt(4) > 0) {
+            if (core == null
+                    || now >= a.until
+                    || !a.told.isEmpty() && !a.told.equals("REFUSED") && random.nextInt(4) > 0) {
                 return;
             }
             Intake.Wish w = a.wish;
             a.asks++;
             try {
-                core.ask("o", new Intake.Wish(w.id(), w.taskClass(), w.service(), w.key(), w.cores(), w.memory(),
-                    a.until - now, 0));
+                core.ask(
+                        "o",
+                        new Intake.Wish(
+                                w.id(),
+                                w.taskClass(),
+                                w.service(),
+                                w.key(),
+                                w.cores(),
+                                w.memory(),
+                                a.until - now,
+                                0));
             } catch (Intake.Unacceptable e) {
                 breaches.add(w.id() + " was not taken: " + e.getMessage());
             }
@@ -270,32 +324,47 @@
         @Override
         public void deliver(Intake.News news) {
             int of = life;
-            at(between(0, 20 * MS), () -> {
-                if (life == of && core != null) {
-                    told(news);
-                }
-            });
+            at(
+                    between(0, 20 * MS),
+                    () -> {
+                        if (life == of && core != null) {
+                            told(news);
+                        }
+                    });
         }
 
         void told(Intake.News news) {
             core.delivered("o", news.number());
             Asked a = asked.get(news.task());
             if (news.result() == null) {
-                if (journaled && a.wish.taskClass().equals("unsafe") && !news.repeat() && ++a.ends > 1) {
+                if (journaled
+                        && a.wish.taskClass().equals("unsafe")
+                        && !news.repeat()
+                        && ++a.ends > 1) {
                     breaches.add(news.task() + " is told a second time to be over");
                 }
                 return;
             }
             a.firstTold += news.repeat() ? 0 : 1;
             if (a.firstTold > a.asks) {
-                breaches.add(news.task() + " has " + a.firstTold + " results for " + a.asks + " asks");
+                breaches.add(
+                        news.task() + " has " + a.firstTold + " results for " + a.asks + " asks");
             }
             boolean unsafe = a.wish.taskClass().equals("unsafe");
             boolean lasting = journaled && (a.told.equals("PLACED") || a.told.equals("FAILED"));
             if (unsafe && lasting && !a.told.equals(news.result().name())) {
-                breaches.add(news.task() + " is " + news.result() + " after it was " + a.told + ": " + news.reason());
+                breaches.add(
+                        news.task()
+                                + " is "
+                                + news.result()
+                                + " after it was "
+                                + a.told
+                                + ": "
+                                + news.reason());
             }
-            if (unsafe && news.result() == Intake.Result.REFUSED && starts.containsKey(news.task())) {
+            if (unsafe
+                    && news.result() == Intake.Result.REFUSED
+                    && starts.containsKey(news.task())) {
                 breaches.add(news.task() + " is refused and ran as " + starts.get(news.task()));
             }
             a.told = news.result().name();
@@ -312,60 +381,122 @@
             Link link = new Link(++links);
             n.link = link;
             List<Core.Held> held = new ArrayList<>();
-            n.held.values().forEach(w -> held.add(new Core.Held(w.attempt(), w.owner(), w.wish(),
-                n.running.containsKey(w.attempt()))));
+            n.held.values()
+                    .forEach(
+                            w ->
+                                    held.add(
+                                            new Core.Held(
+                                                    w.attempt(),
+                                                    w.owner(),
+                                                    w.wish(),
+                                                    n.running.containsKey(w.attempt()))));
             boolean claims = planted == Planted.NODES_CLAIM_TO_REMEMBER_ALL;
-            Map<Effect, Long> since = Map.of(Effect.UNSAFE, claims ? Recovery.Testimony.ITS_WHOLE_LIFE : n.forgot,
-                Effect.KEYED, claims ? Recovery.Testimony.ITS_WHOLE_LIFE : n.forgot);
-            List<Recovery.Recalled> remembered = planted == Planted.NO_MEMORY ? List.of() : List.copyOf(n.memory.keySet());
+            Map<Effect, Long> since =
+                    Map.of(
+                            Effect.UNSAFE,
+                            claims ? Recovery.Testimony.ITS_WHOLE_LIFE : n.forgot,
+                            Effect.KEYED,
+                            claims ? Recovery.Testimony.ITS_WHOLE_LIFE : n.forgot);
+            List<Recovery.Recalled> remembered =
+                    planted == Planted.NO_MEMORY ? List.of() : List.copyOf(n.memory.keySet());
             Map<Effect, Long> told = planted == Planted.NO_MEMORY ? Map.of() : since;
             long incarnation = n.incarnation;
-            List<Core.Said> lately = remembered.stream().map(r -> new Core.Said(r.attempt(), r.word(), Fleet.Said.NONE,
-                r.ran(), null)).toList();
+            List<Core.Said> lately =
+                    remembered.stream()
+                            .map(
+                                    r ->
+                                            new Core.Said(
+                                                    r.attempt(),
+                                                    r.word(),
+                                                    Fleet.Said.NONE,
+                                                    r.ran(),
+                                                    null))
+                            .toList();
             opened.put(link.id, link);
-            up(n, link, () -> core.registered(link.id, new Membership.Registration(n.name, incarnation, "std", "a", 1, 16,
-                16, 3_600 * SECOND, 16, 16), held, lately, remembered, told));
+            up(
+                    n,
+                    link,
+                    () ->
+                            core.registered(
+                                    link.id,
+                                    new Membership.Registration(
+                                            n.name,
+                                            incarnation,
+                                            "std",
+                                            "a",
+                                            1,
+                                            16,
+                                            16,
+                                            3_600 * SECOND,
+                                            16,
+                                            16),
+                                    held,
+                                    lately,
+                                    remembered,
+                                    told));
         }
 
         void up(Node n, Link link, Runnable what) {
             link.upLast = Math.max(link.upLast, now + between(0, 20 * MS));
             int of = life;
-            events.add(new Event(link.upLast, ++order, () -> {
-                if (life == of && core != null && now < link.upEnd) {
-                    what.run();
-                }
-            }));
+            events.add(
+                    new Event(
+                            link.upLast,
+                            ++order,
+                            () -> {
+                                if (life == of && core != null && now < link.upEnd) {
+                                    what.run();
+                                }
+                            }));
         }
 
         void down(Node n, Link link, Runnable what) {
             link.downLast = Math.max(link.downLast, now + between(0, 20 * MS));
             long incarnation = n.incarnation;
-            events.add(new Event(link.downLast, ++order, () -> {
-                if (n.link == link && n.incarnation == incarnation && n.up && now < link.downEnd) {
-                    what.run();
-                }
-            }));
-        }
-
-        /** Ends a connection: what is on its way arrives up to some moment, and each side sees the end by itself. */
+            events.add(
+                    new Event(
+                            link.downLast,
+                            ++order,
+                            () -> {
+                                if (n.link == link
+                                        && n.incarnation == incarnation
+                                        && n.up
+                                        && now < link.downEnd) {
+                                    what.run();
+                                }
+                            }));
+        }
+
+        /**
+         * Ends a connection: what is on its way arrives up to some moment, and each side sees the
+         * end by itself.
+         */
         void breakOff(Node n, Link link, boolean placerSees) {
             link.open = false;
             link.downEnd = now + between(0, 30 * MS);
             link.upEnd = now + between(0, 30 * MS);
             int of = life;
             if (placerSees) {
-                events.add(new Event(link.upEnd + between(0, 2 * SECOND), ++order, () -> {
-                    if (life == of && core != null) {
-                        core.linkClosed(link.id);
-                    }
-                }));
+                events.add(
+                        new Event(
+                                link.upEnd + between(0, 2 * SECOND),
+                                ++order,
+                                () -> {
+                                    if (life == of && core != null) {
+                                        core.linkClosed(link.id);
+                                    }
+                                }));
             }
-            events.add(new Event(link.downEnd, ++order, () -> {
-                if (n.link == link) {
-                    n.link = null; // from now on nothing of it can reach the node
-                    at(between(0, 1_000 * MS), () -> dial(n));
-                }
-            }));
+            events.add(
+                    new Event(
+                            link.downEnd,
+                            ++order,
+                            () -> {
+                                if (n.link == link) {
+                                    n.link = null; // from now on nothing of it can reach the node
+                                    at(between(0, 1_000 * MS), () -> dial(n));
+                                }
+                            }));
         }
 
         // ---- nodes ----
@@ -377,11 +508,17 @@
             boolean lost = (word == Word.ACCEPTED || word == Word.RUNS) && random.nextInt(20) == 0;
             if (n.link != null && n.link.open && !lost) {
                 Link link = n.link;
-                up(n, link, () -> {
-                    if (n.name.equals(core.membership().machineOf(link.id))) {
-                        core.said(n.name, new Core.Said(w.attempt(), word, Fleet.Said.NONE, ran, null));
-                    }
-                });
+                up(
+                        n,
+                        link,
+                        () -> {
+                            if (n.name.equals(core.membership().machineOf(link.id))) {
+                                core.said(
+                                        n.name,
+                                        new Core.Said(
+                                                w.attempt(), word, Fleet.Said.NONE, ran, null));
+                            }
+                        });
             }
         }
 
@@ -389,8 +526,13 @@
             n.held.remove(w.attempt());
             n.running.remove(w.attempt());
             if (word != Word.REFUSED && w.effect() != Effect.SAFE) {
-                n.memory.put(new Recovery.Recalled(w.attempt(), w.owner(), w.wish(), w.effect(), word, ran, now), now);
-                if (journaled && random.nextInt(30) == 0) { // it must forget its oldest; without a journal none may
+                n.memory.put(
+                        new Recovery.Recalled(
+                                w.attempt(), w.owner(), w.wish(), w.effect(), word, ran, now),
+                        now);
+                if (journaled
+                        && random.nextInt(30)
+                                == 0) { // it must forget its oldest; without a journal none may
                     Recovery.Recalled oldest = n.memory.keySet().iterator().next();
                     n.forgot = n.memory.remove(oldest);
                 }
@@ -400,36 +542,61 @@
 
         void mine(Node n, Work w, long delay, Runnable what) {
             long incarnation = n.incarnation;
-            at(delay, () -> {
-                if (n.incarnation == incarnation && n.up && n.held.get(w.attempt()) == w) {
-                    what.run();
-                }
-            });
+            at(
+                    delay,
+                    () -> {
+                        if (n.incarnation == incarnation && n.up && n.held.get(w.attempt()) == w) {
+                            what.run();
+                        }
+                    });
         }
 
         void taken(Node n, Work w) {
             if (n.held.putIfAbsent(w.attempt(), w) != null) {
                 return;
             }
-            mine(n, w, between(0, 30 * MS), () -> {
-                if (random.nextInt(10) == 0) {
-                    over(n, w, Word.REFUSED, false);
-                    return;
-                }
-                say(n, w, Word.ACCEPTED, false);
-                mine(n, w, between(5 * MS, 60 * MS), () -> {
-                    n.running.put(w.attempt(), true);
-                    if (w.effect() == Effect.UNSAFE) {
-                        String before = starts.put(w.wish().id(), w.attempt());
-                        if (before != null) {
-                            breaches.add(w.wish().id() + " started twice: as " + before + " and as " + w.attempt());
+            mine(
+                    n,
+                    w,
+                    between(0, 30 * MS),
+                    () -> {
+                        if (random.nextInt(10) == 0) {
+                            over(n, w, Word.REFUSED, false);
+                            return;
                         }
-                    }
-                    say(n, w, Word.RUNS, true);
-                    mine(n, w, between(30 * MS, 1_500 * MS), () -> over(n, w,
-                        random.nextInt(8) == 0 ? Word.EVICTED : Word.ENDED, true));
-                });
-            });
+                        say(n, w, Word.ACCEPTED, false);
+                        mine(
+                                n,
+                                w,
+                                between(5 * MS, 60 * MS),
+                                () -> {
+                                    n.running.put(w.attempt(), true);
+                                    if (w.effect() == Effect.UNSAFE) {
+                                        String before = starts.put(w.wish().id(), w.attempt());
+                                        if (before != null) {
+                                            breaches.add(
+                                                    w.wish().id()
+                                                            + " started twice: as "
+                                                            + before
+                                                            + " and as "
+                                                            + w.attempt());
+                                        }
+                                    }
+                                    say(n, w, Word.RUNS, true);
+                                    mine(
+                                            n,
+                                            w,
+                                            between(30 * MS, 1_500 * MS),
+                                            () ->
+                                                    over(
+                                                            n,
+                                                            w,
+                                                            random.nextInt(8) == 0
+                                                                    ? Word.EVICTED
+                                                                    : Word.ENDED,
+                                                            true));
+                                });
+                    });
         }
 
         void killNode(Node n) {
@@ -447,10 +614,12 @@
                 breakOff(n, link, true);
                 n.link = null;
             }
-            at(between(50 * MS, calm ? 100 * MS : 3_000 * MS), () -> {
-                n.up = true;
-                dial(n);
-            });
+            at(
+                    between(50 * MS, calm ? 100 * MS : 3_000 * MS),
+                    () -> {
+                        n.up = true;
+                        dial(n);
+                    });
         }
 
         @Override
@@ -469,14 +638,21 @@
             Node n = node(machine);
             Link link = opened.get(core.membership().link(machine)); // as the placer believes
             if (link != null && link.open) {
-                down(n, link, () -> {
-                    Work w = n.held.get(attempt);
-                    if (w != null) {
-                        over(n, w, Word.WITHDRAWN, n.running.containsKey(attempt));
-                    } else {
-                        say(n, new Work(attempt, "", null, Effect.SAFE), Word.WITHDRAWN, true);
-                    }
-                });
+                down(
+                        n,
+                        link,
+                        () -> {
+                            Work w = n.held.get(attempt);
+                            if (w != null) {
+                                over(n, w, Word.WITHDRAWN, n.running.containsKey(attempt));
+                            } else {
+                                say(
+                                        n,
+                                        new Work(attempt, "", null, Effect.SAFE),
+                                        Word.WITHDRAWN,
+                                        true);
+                            }
+                        });
             }
         }
 
@@ -485,7 +661,18 @@
             Node n = node(machine);
             Link link = opened.get(core.membership().link(machine));
             if (link != null && link.open) {
-                down(n, link, () -> up(n, link, () -> core.probeReply(machine, number, new double[] {16, 16, 0})));
+                down(
+                        n,
+                        link,
+                        () ->
+                                up(
+                                        n,
+                                        link,
+                                        () ->
+                                                core.probeReply(
+                                                        machine,
+                                                        number,
+                                                        new double[] {16, 16, 0})));
             }
             return link != null;
         }
@@ -518,7 +705,7 @@
         List<String> play() {
             for (int i = 0; i < LIVES_OF_A_WORLD && breaches.isEmpty(); i++) {
                 start();
-                for (long end = now + between(50 * MS, 4_000 * MS); now < end;) {
+                for (long end = now + between(50 * MS, 4_000 * MS); now < end; ) {
                     pass(between(20 * MS, 200 * MS));
                     for (int t = random.nextInt(4); t > 0; t--) {
                         newTask();
@@ -535,17 +722,25 @@
                 if (journaled && random.nextInt(3) == 0) {
                     killNode(nodes.get(random.nextInt(nodes.size())));
                 }
-                pass(random.nextBoolean() ? between(10 * MS, 300 * MS) : between(300 * MS, 4_000 * MS));
+                pass(
+                        random.nextBoolean()
+                                ? between(10 * MS, 300 * MS)
+                                : between(300 * MS, 4_000 * MS));
             }
             calm = true;
             start();
             pass(40 * SECOND);
-            asked.forEach((id, a) -> {
-                boolean late = a.until > now - 40 * SECOND + 2 * SECOND; // the last life had time to answer it
-                if (late && a.told.isEmpty()) {
-                    breaches.add(id + " never had a result");
-                }
-            });
+            asked.forEach(
+                    (id, a) -> {
+                        boolean late =
+                                a.until
+                                        > now
+                                                - 40 * SECOND
+                                                + 2 * SECOND; // the last life had time to answer it
+                        if (late && a.told.isEmpty()) {
+                            breaches.add(id + " never had a result");
+                        }
+                    });
             return breaches;
         }
     }
@@ -581,12 +776,14 @@
 
     @Test
     void aJournalThatAcknowledgesTooEarlyIsFound() {
-        assertThat(search(20_000, true, Planted.ACKNOWLEDGED_BEFORE_DURABLE, 1)).contains("started twice");
+        assertThat(search(20_000, true, Planted.ACKNOWLEDGED_BEFORE_DURABLE, 1))
+                .contains("started twice");
     }
 
     @Test
     void nodesThatClaimToRememberWhatTheyForgotAreFound() {
-        assertThat(search(20_000, true, Planted.NODES_CLAIM_TO_REMEMBER_ALL, 1)).contains("started twice");
+        assertThat(search(20_000, true, Planted.NODES_CLAIM_TO_REMEMBER_ALL, 1))
+                .contains("started twice");
     }
 
     @Test
--- a/placer/src/test/java/thornferry/placer/ModuleHostTest.java
+++ b/placer/src/test/java/thornferry/placer/ModuleHostTest.java
@@ -25,13 +25,21 @@
         loop.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private ModuleHost host(BiConsumer<Placement.Event, Consumer<Placement.Action>> module,
-                            Consumer<Placement.Action> also) {
+    private ModuleHost host(
+            BiConsumer<Placement.Event, Consumer<Placement.Action>> module,
+            Consumer<Placement.Action> also) {
         Placement placement = (now, event, sink) -> module.accept(event, sink);
-        return new ModuleHost(placement, loop, Clock.system(), action -> {
-            actions.add(action);
-            also.accept(action);
-        }, id -> seen.add("failed " + id), NOPLogger.NOP_LOGGER, "p");
+        return new ModuleHost(
+                placement,
+                loop,
+                Clock.system(),
+                action -> {
+                    actions.add(action);
+                    also.accept(action);
+                },
+                id -> seen.add("failed " + id),
+                NOPLogger.NOP_LOGGER,
+                "p");
     }
 
     private static Placement.OwnerLeft left(String id) {
@@ -41,25 +49,36 @@
     @Test
     void anEventRaisedByAnActionWaitsUntilTheModuleHasReturned() {
         ModuleHost[] host = new ModuleHost[1];
-        host[0] = host((event, sink) -> {
-            seen.add("in " + event);
-            if (event.equals(left("a"))) {
-                sink.accept(new Placement.Fail("a"));
-            }
-            seen.add("out " + event);
-        }, action -> host[0].on(left("b")));
+        host[0] =
+                host(
+                        (event, sink) -> {
+                            seen.add("in " + event);
+                            if (event.equals(left("a"))) {
+                                sink.accept(new Placement.Fail("a"));
+                            }
+                            seen.add("out " + event);
+                        },
+                        action -> host[0].on(left("b")));
         host[0].on(left("a"));
-        assertThat(seen).containsExactly("in " + left("a"), "out " + left("a"), "in " + left("b"), "out " + left("b"));
+        assertThat(seen)
+                .containsExactly(
+                        "in " + left("a"),
+                        "out " + left("a"),
+                        "in " + left("b"),
+                        "out " + left("b"));
     }
 
     @Test
     void aModuleThatThrowsLosesOnlyTheTaskInHand() {
-        ModuleHost host = host((event, sink) -> {
-            if (event instanceof Placement.Asked) {
-                throw new IllegalStateException("broken");
-            }
-            seen.add("took " + event);
-        }, action -> { });
+        ModuleHost host =
+                host(
+                        (event, sink) -> {
+                            if (event instanceof Placement.Asked) {
+                                throw new IllegalStateException("broken");
+                            }
+                            seen.add("took " + event);
+                        },
+                        action -> {});
         host.on(new Placement.Asked(new Placement.Ask("q1", "c", "", "t", 1, 0, "s", 1, 1, false)));
         host.on(left("q2"));
         assertThat(seen).containsExactly("failed q1", "took " + left("q2"));
@@ -72,15 +91,18 @@
         long at = clock.now() + 30_000;
         CountDownLatch fired = new CountDownLatch(1);
         long[] when = new long[1];
-        Placement placement = (now, event, sink) -> {
-            if (event instanceof Placement.Timer) {
-                when[0] = now;
-                fired.countDown();
-            } else {
-                sink.accept(new Placement.SetTimer(at, 3));
-            }
-        };
-        ModuleHost host = new ModuleHost(placement, loop, clock, actions::add, id -> { }, NOPLogger.NOP_LOGGER, "p");
+        Placement placement =
+                (now, event, sink) -> {
+                    if (event instanceof Placement.Timer) {
+                        when[0] = now;
+                        fired.countDown();
+                    } else {
+                        sink.accept(new Placement.SetTimer(at, 3));
+                    }
+                };
+        ModuleHost host =
+                new ModuleHost(
+                        placement, loop, clock, actions::add, id -> {}, NOPLogger.NOP_LOGGER, "p");
         loop.execute(() -> host.on(left("x")));
         assertThat(fired.await(10, TimeUnit.SECONDS)).isTrue();
         assertThat(when[0]).isGreaterThanOrEqualTo(at);
--- a/placer/src/test/java/thornferry/placer/PromisesTest.java
+++ b/placer/src/test/java/thornferry/placer/PromisesTest.java
@@ -25,7 +25,10 @@
 import thornferry.decisions.recovery.Recovery;
 import thornferry.state.Journal;
 
-/** An offer of what must not start twice leaves only when its promise is durable, and only if it still should. */
+/**
+ * An offer of what must not start twice leaves only when its promise is durable, and only if it
+ * still should.
+ */
 class PromisesTest implements Core.Out {
     private static final long MS = 1_000;
     private static final long SECOND = 1_000_000;
@@ -40,45 +43,73 @@
     private long now = 1_000 * SECOND;
     private Core core;
 
-    private final Journal slow = new Journal() {
-        @Override
-        public void append(Promise promise, Consumer<String> done) {
-            written.add(promise);
-            unacknowledged.add(done);
-        }
+    private final Journal slow =
+            new Journal() {
+                @Override
+                public void append(Promise promise, Consumer<String> done) {
+                    written.add(promise);
+                    unacknowledged.add(done);
+                }
 
-        @Override
-        public void compact(Supplier<Iterable<Promise>> snapshot) {
-            // never large here
-        }
+                @Override
+                public void compact(Supplier<Iterable<Promise>> snapshot) {
+                    // never large here
+                }
 
-        @Override
-        public String trouble() {
-            return trouble;
-        }
+                @Override
+                public String trouble() {
+                    return trouble;
+                }
 
-        @Override
-        public void close() {
-            // nothing is open
-        }
-    };
+                @Override
+                public void close() {
+                    // nothing is open
+                }
+            };
 
     @BeforeEach
     void start() {
         channel.freezeTime();
-        Site site = Sites.of(1, 16, List.of(Sites.cls("levy-run", Effect.UNSAFE, Placement.Scope.NONE), Sites.cls("safe",
-            Effect.SAFE, Placement.Scope.NONE)), new Intake.Limits(1_000, 10_000, 60 * SECOND, 30 * SECOND, 3 * SECOND, SECOND,
-                8 * SECOND), LineSettings.usual());
-        core = new Core(site, 0, "p-0", channel.eventLoop(), () -> now, Policy::new, owner -> "",
-            new Core.Kept(slow, List.of(), true), this);
+        Site site =
+                Sites.of(
+                        1,
+                        16,
+                        List.of(
+                                Sites.cls("levy-run", Effect.UNSAFE, Placement.Scope.NONE),
+                                Sites.cls("safe", Effect.SAFE, Placement.Scope.NONE)),
+                        new Intake.Limits(
+                                1_000,
+                                10_000,
+                                60 * SECOND,
+                                30 * SECOND,
+                                3 * SECOND,
+                                SECOND,
+                                8 * SECOND),
+                        LineSettings.usual());
+        core =
+                new Core(
+                        site,
+                        0,
+                        "p-0",
+                        channel.eventLoop(),
+                        () -> now,
+                        Policy::new,
+                        owner -> "",
+                        new Core.Kept(slow, List.of(), true),
+                        this);
         channel.runPendingTasks();
-        core.registered(1, new Membership.Registration("n", 5, "std", "a", 1, 16, 16, 3_600 * SECOND, 16, 16), List.of(),
-            List.of(), List.of(), new EnumMap<>(Map.of(Effect.UNSAFE, Recovery.Testimony.ITS_WHOLE_LIFE)));
+        core.registered(
+                1,
+                new Membership.Registration("n", 5, "std", "a", 1, 16, 16, 3_600 * SECOND, 16, 16),
+                List.of(),
+                List.of(),
+                List.of(),
+                new EnumMap<>(Map.of(Effect.UNSAFE, Recovery.Testimony.ITS_WHOLE_LIFE)));
         pass(100 * MS);
     }
 
     private void pass(long time) {
-        for (long end = now + time; now < end;) {
+        for (long end = now + time; now < end; ) {
             now += 20 * MS;
             channel.advanceTimeBy(20, TimeUnit.MILLISECONDS);
             channel.runPendingTasks();
@@ -140,15 +171,24 @@
         pass(3 * SECOND);
         acknowledge(null);
         assertThat(offers).isEmpty();
-        assertThat(news).last().returns(Intake.Result.REFUSED, Intake.News::result); // it never ran: that is harmless
+        assertThat(news)
+                .last()
+                .returns(
+                        Intake.Result.REFUSED,
+                        Intake.News::result); // it never ran: that is harmless
     }
 
     @Test
     void anOfferWhoseNodeReconnectedMeanwhileIsNotSentUnderItsOldName() throws Exception {
         ask("levy-run");
         core.linkClosed(1);
-        core.registered(2, new Membership.Registration("n", 5, "std", "a", 1, 16, 16, 3_600 * SECOND, 16, 16), List.of(),
-            List.of(), List.of(), Map.of(Effect.UNSAFE, Recovery.Testimony.ITS_WHOLE_LIFE));
+        core.registered(
+                2,
+                new Membership.Registration("n", 5, "std", "a", 1, 16, 16, 3_600 * SECOND, 16, 16),
+                List.of(),
+                List.of(),
+                List.of(),
+                Map.of(Effect.UNSAFE, Recovery.Testimony.ITS_WHOLE_LIFE));
         String first = ((Promise.Offered) written.get(0)).attempt();
         acknowledge(null);
         pass(500 * MS);
@@ -157,7 +197,8 @@
     }
 
     @Test
-    void withoutAJournalThatWritesUnsafeAsksAreRefusedWithTheReasonAndSafeOnesGoOn() throws Exception {
+    void withoutAJournalThatWritesUnsafeAsksAreRefusedWithTheReasonAndSafeOnesGoOn()
+            throws Exception {
         ask("levy-run");
         trouble = "the journal cannot be written: No space left on device";
         acknowledge(trouble);
@@ -165,7 +206,10 @@
         assertThat(offers).isEmpty();
         assertThat(news).last().returns(Intake.Result.REFUSED, Intake.News::result);
         core.ask("o", new Intake.Wish("u", "levy-run", "s", "", 1, 1, 2 * SECOND, 0));
-        assertThat(news).last().returns("u", Intake.News::task).returns(trouble, Intake.News::reason);
+        assertThat(news)
+                .last()
+                .returns("u", Intake.News::task)
+                .returns(trouble, Intake.News::reason);
         core.ask("o", new Intake.Wish("v", "safe", "s", "", 1, 1, 2 * SECOND, 0));
         pass(500 * MS);
         assertThat(offers).hasSize(1);
--- a/placer/src/test/java/thornferry/placer/ReasonsTest.java
+++ b/placer/src/test/java/thornferry/placer/ReasonsTest.java
@@ -27,8 +27,9 @@
 import thornferry.decisions.Reasons.Kind;
 
 /**
- * All decision modules together in virtual time, with nodes and owners that do things at random, and an oracle that knows
- * the nodes' truth: every claim that a shown reason makes is checked against it, and nothing that waits shows none.
+ * All decision modules together in virtual time, with nodes and owners that do things at random,
+ * and an oracle that knows the nodes' truth: every claim that a shown reason makes is checked
+ * against it, and nothing that waits shows none.
  */
 class ReasonsTest {
     private static final long MS = 1_000;
@@ -50,7 +51,8 @@
         long refusedAt = Long.MIN_VALUE / 2;
         long toldAt = Long.MIN_VALUE / 2;
         long troubleAt = Long.MIN_VALUE / 2;
-        double told; // what it said last was free, where the module hears it: with an end, a refusal or a probe
+        double told; // what it said last was free, where the module hears it: with an end, a
+        // refusal or a probe
         final ArrayDeque<double[]> bound = new ArrayDeque<>(); // time, what was offered then
         final Map<String, Long> services = new HashMap<>(); // last offered or running
 
@@ -58,12 +60,18 @@
             return link >= 0 && !draining;
         }
 
-        /** Half of what tasks take of the cores, so that memory, whose readings are smoothed, never is what lacks. */
+        /**
+         * Half of what tasks take of the cores, so that memory, whose readings are smoothed, never
+         * is what lacks.
+         */
         double memoryFree() {
             return CORES - (CORES - free) / 2;
         }
 
-        /** What a placer believes at least: the last word about room, less all offered since 1.1 s before that word. */
+        /**
+         * What a placer believes at least: the last word about room, less all offered since 1.1 s
+         * before that word.
+         */
         double leastRoom() {
             return told - bound.stream().mapToDouble(b -> b[1]).sum();
         }
@@ -76,11 +84,12 @@
 
         boolean has(String service, long now) {
             return runs.values().stream().anyMatch(o -> o.wish().service().equals(service))
-                || services.getOrDefault(service, 0L) > now - 5 * SECOND;
+                    || services.getOrDefault(service, 0L) > now - 5 * SECOND;
         }
 
         boolean offered(String owner, Intake.Wish wish) {
-            return open.values().stream().anyMatch(o -> o.owner().equals(owner) && o.wish().id().equals(wish.id()));
+            return open.values().stream()
+                    .anyMatch(o -> o.owner().equals(owner) && o.wish().id().equals(wish.id()));
         }
 
         Node(String name) {
@@ -88,7 +97,7 @@
         }
     }
 
-    private record Out(String attempt, String owner, Intake.Wish wish) { }
+    private record Out(String attempt, String owner, Intake.Wish wish) {}
 
     /** One world with its own randomness. */
     private static final class World implements Core.Out {
@@ -108,15 +117,49 @@
         World(long seed) {
             random = new SplittableRandom(seed);
             channel.freezeTime();
-            LineSettings line = LineSettings.usual().with(new Limit(100, OWN_LIMIT, Double.POSITIVE_INFINITY,
-                Double.POSITIVE_INFINITY, 1e9, 1e9), null, null, Map.of("t0", 0.5, "t1", 0.5));
-            Site site = Sites.of(seed, CORES, List.of(Sites.cls("safe", Placement.Effect.SAFE, Placement.Scope.NONE),
-                Sites.cls("keyed", Placement.Effect.KEYED, Placement.Scope.NONE), Sites.cls("unsafe",
-                    Placement.Effect.UNSAFE, Placement.Scope.NONE), Sites.cls("spread", Placement.Effect.SAFE,
-                    Placement.Scope.MACHINE)), new Intake.Limits(1_000, 10_000, 30 * SECOND, 60 * SECOND, 0, SECOND, 8 * SECOND),
-                line);
-            core = new Core(site, 0, "p-0", channel.eventLoop(), () -> now, Policy::new, owner -> "t" + owner.charAt(1),
-                Core.Kept.NOTHING, this);
+            LineSettings line =
+                    LineSettings.usual()
+                            .with(
+                                    new Limit(
+                                            100,
+                                            OWN_LIMIT,
+                                            Double.POSITIVE_INFINITY,
+                                            Double.POSITIVE_INFINITY,
+                                            1e9,
+                                            1e9),
+                                    null,
+                                    null,
+                                    Map.of("t0", 0.5, "t1", 0.5));
+            Site site =
+                    Sites.of(
+                            seed,
+                            CORES,
+                            List.of(
+                                    Sites.cls("safe", Placement.Effect.SAFE, Placement.Scope.NONE),
+                                    Sites.cls(
+                                            "keyed", Placement.Effect.KEYED, Placement.Scope.NONE),
+                                    Sites.cls(
+                                            "unsafe",
+                                            Placement.Effect.UNSAFE,
+                                            Placement.Scope.NONE),
+                                    Sites.cls(
+                                            "spread",
+                                            Placement.Effect.SAFE,
+                                            Placement.Scope.MACHINE)),
+                            new Intake.Limits(
+                                    1_000, 10_000, 30 * SECOND, 60 * SECOND, 0, SECOND, 8 * SECOND),
+                            line);
+            core =
+                    new Core(
+                            site,
+                            0,
+                            "p-0",
+                            channel.eventLoop(),
+                            () -> now,
+                            Policy::new,
+                            owner -> "t" + owner.charAt(1),
+                            Core.Kept.NOTHING,
+                            this);
             for (int i = 0; i < 3; i++) {
                 nodes.add(new Node("n" + i));
             }
@@ -130,7 +173,7 @@
         }
 
         void pass(long time) {
-            for (long end = now + time; now < end;) {
+            for (long end = now + time; now < end; ) {
                 now += 20 * MS;
                 channel.advanceTimeBy(20, TimeUnit.MILLISECONDS);
                 run();
@@ -154,12 +197,28 @@
             n.link = ++links;
             n.known = true;
             List<Core.Held> held = new ArrayList<>();
-            n.runs.values().forEach(o -> held.add(new Core.Held(o.attempt(), o.owner(), o.wish(), true)));
+            n.runs.values()
+                    .forEach(o -> held.add(new Core.Held(o.attempt(), o.owner(), o.wish(), true)));
             n.told = Math.min(n.free, n.everHeard ? n.told : n.free);
             n.everHeard = true;
             n.open.clear(); // what was on its way never arrived
-            core.registered(n.link, new Membership.Registration(n.name, n.incarnation, "std", "a", 1, CORES, CORES,
-                3_600 * SECOND, n.free, n.memoryFree()), held, List.of(), List.of(), Map.of());
+            core.registered(
+                    n.link,
+                    new Membership.Registration(
+                            n.name,
+                            n.incarnation,
+                            "std",
+                            "a",
+                            1,
+                            CORES,
+                            CORES,
+                            3_600 * SECOND,
+                            n.free,
+                            n.memoryFree()),
+                    held,
+                    List.of(),
+                    List.of(),
+                    Map.of());
         }
 
         void leave(Node n) {
@@ -175,8 +234,12 @@
             if (n.link >= 0) {
                 int before = core.attemptsAt(n.name);
                 double free = n.free;
-                core.said(n.name, new Core.Said(o.attempt(), word, why, word != Attempts.Word.REFUSED, load(n)));
-                if (core.attemptsAt(n.name) < before) { // else it spoke of an attempt given up, and was not listened to
+                core.said(
+                        n.name,
+                        new Core.Said(
+                                o.attempt(), word, why, word != Attempts.Word.REFUSED, load(n)));
+                if (core.attemptsAt(n.name)
+                        < before) { // else it spoke of an attempt given up, and was not listened to
                     n.tell(now, free);
                 }
             }
@@ -219,8 +282,16 @@
             String id = "t" + ++number;
             String c = List.of("safe", "keyed", "unsafe", "spread").get(random.nextInt(4));
             double cores = random.nextInt(12) == 0 ? 40 : 1 + random.nextInt(8);
-            Intake.Wish wish = new Intake.Wish(id, c, c + random.nextInt(2), "k" + id, cores, cores / 2,
-                (1 + random.nextInt(10)) * SECOND, 0);
+            Intake.Wish wish =
+                    new Intake.Wish(
+                            id,
+                            c,
+                            c + random.nextInt(2),
+                            "k" + id,
+                            cores,
+                            cores / 2,
+                            (1 + random.nextInt(10)) * SECOND,
+                            0);
             wishes.put(owner + "/" + id, wish);
             core.ask(owner, wish);
         }
@@ -271,28 +342,34 @@
         @Override
         public void withdraw(String machine, String attempt) {
             Node n = node(machine);
-            later.add(() -> {
-                Out open = n.open.remove(attempt);
-                n.troubleAt = now;
-                Out ran = n.runs.remove(attempt);
-                if (ran != null) {
-                    n.free += ran.wish().cores();
-                }
-                if (open != null || ran != null) {
-                    say(n, open != null ? open : ran, Attempts.Word.WITHDRAWN, Fleet.Said.NONE);
-                }
-            });
+            later.add(
+                    () -> {
+                        Out open = n.open.remove(attempt);
+                        n.troubleAt = now;
+                        Out ran = n.runs.remove(attempt);
+                        if (ran != null) {
+                            n.free += ran.wish().cores();
+                        }
+                        if (open != null || ran != null) {
+                            say(
+                                    n,
+                                    open != null ? open : ran,
+                                    Attempts.Word.WITHDRAWN,
+                                    Fleet.Said.NONE);
+                        }
+                    });
         }
 
         @Override
         public boolean probe(String machine, long probe) {
             Node n = node(machine);
-            later.add(() -> {
-                if (n.link >= 0) {
-                    n.tell(now, n.free);
-                    core.probeReply(machine, probe, load(n));
-                }
-            });
+            later.add(
+                    () -> {
+                        if (n.link >= 0) {
+                            n.tell(now, n.free);
+                            core.probeReply(machine, probe, load(n));
+                        }
+                    });
             return n.link >= 0;
         }
 
@@ -325,20 +402,45 @@
 
         // ---- the oracle ----
         void check(Map<Kind, Integer> seen) {
-            wishes.forEach((key, wish) -> {
-                String owner = key.substring(0, 3);
-                Reasons.Why why = core.reasons().why(now, owner, wish.id());
-                String result = results.get(key);
-                String told = nodes.stream().map(n -> n.name + " link " + n.link + " drains " + n.draining + " refused " + n.refusedAt + " trouble " + n.troubleAt).toList() + key + " " + wish + " " + why + " at " + now;
-                if (result != null) {
-                    assertThat(why.reason()).as("answered, but shows a reason: " + told).isNull();
-                    return;
-                }
-                assertThat(why.state()).as(told).isEqualTo(Reasons.State.WAITING);
-                assertThat(why.reason()).as("waits and shows none: " + told).isNotNull();
-                seen.merge(why.reason().kind(), 1, Integer::sum);
-                assertThat(holds(owner, wish, why.reason().kind())).as("not true: " + told).isTrue();
-            });
+            wishes.forEach(
+                    (key, wish) -> {
+                        String owner = key.substring(0, 3);
+                        Reasons.Why why = core.reasons().why(now, owner, wish.id());
+                        String result = results.get(key);
+                        String told =
+                                nodes.stream()
+                                                .map(
+                                                        n ->
+                                                                n.name
+                                                                        + " link "
+                                                                        + n.link
+                                                                        + " drains "
+                                                                        + n.draining
+                                                                        + " refused "
+                                                                        + n.refusedAt
+                                                                        + " trouble "
+                                                                        + n.troubleAt)
+                                                .toList()
+                                        + key
+                                        + " "
+                                        + wish
+                                        + " "
+                                        + why
+                                        + " at "
+                                        + now;
+                        if (result != null) {
+                            assertThat(why.reason())
+                                    .as("answered, but shows a reason: " + told)
+                                    .isNull();
+                            return;
+                        }
+                        assertThat(why.state()).as(told).isEqualTo(Reasons.State.WAITING);
+                        assertThat(why.reason()).as("waits and shows none: " + told).isNotNull();
+                        seen.merge(why.reason().kind(), 1, Integer::sum);
+                        assertThat(holds(owner, wish, why.reason().kind()))
+                                .as("not true: " + told)
+                                .isTrue();
+                    });
         }
 
         private boolean holds(String owner, Intake.Wish wish, Kind kind) {
@@ -346,19 +448,42 @@
             return switch (kind) {
                 case NO_NODES -> nodes.stream().noneMatch(n -> n.known);
                 case NO_FIT -> !fits && nodes.stream().anyMatch(n -> n.known);
-                case NO_ROOM -> fits && nodes.stream().anyMatch(n -> n.ready() && n.leastRoom() < wish.cores());
-                case REFUSED -> fits && nodes.stream().anyMatch(n -> n.ready() && n.refusedAt >= n.toldAt
-                    - 1.1 * SECOND) || refused.contains(owner + "/" + wish.id());
-                case OUT_OF_TRUST -> fits && nodes.stream().anyMatch(n -> n.known && n.troubleAt > now - 30 * SECOND);
-                case KEY_HELD -> wish.taskClass().equals("keyed") && keyHeld.contains(owner + "/" + wish.id());
+                case NO_ROOM ->
+                        fits
+                                && nodes.stream()
+                                        .anyMatch(n -> n.ready() && n.leastRoom() < wish.cores());
+                case REFUSED ->
+                        fits
+                                        && nodes.stream()
+                                                .anyMatch(
+                                                        n ->
+                                                                n.ready()
+                                                                        && n.refusedAt
+                                                                                >= n.toldAt
+                                                                                        - 1.1
+                                                                                                * SECOND)
+                                || refused.contains(owner + "/" + wish.id());
+                case OUT_OF_TRUST ->
+                        fits
+                                && nodes.stream()
+                                        .anyMatch(n -> n.known && n.troubleAt > now - 30 * SECOND);
+                case KEY_HELD ->
+                        wish.taskClass().equals("keyed")
+                                && keyHeld.contains(owner + "/" + wish.id());
                 case DRAINING -> fits && nodes.stream().anyMatch(n -> n.known && n.draining);
-                case SPREAD -> wish.taskClass().equals("spread") && nodes.stream().anyMatch(n -> n.has(wish.service(), now));
-                case COLD -> nodes.stream().anyMatch(n -> n.ready() && n.troubleAt > now - 10 * SECOND);
+                case SPREAD ->
+                        wish.taskClass().equals("spread")
+                                && nodes.stream().anyMatch(n -> n.has(wish.service(), now));
+                case COLD ->
+                        nodes.stream().anyMatch(n -> n.ready() && n.troubleAt > now - 10 * SECOND);
                 case OWN_LIMIT -> core.line().ownerUse(owner).tasks() >= OWN_LIMIT;
-                case PROOF -> !wish.taskClass().equals("safe") && nodes.stream().anyMatch(n -> n.link < 0 && n.offered(owner,
-                    wish));
+                case PROOF ->
+                        !wish.taskClass().equals("safe")
+                                && nodes.stream()
+                                        .anyMatch(n -> n.link < 0 && n.offered(owner, wish));
                 case ANSWER -> nodes.stream().anyMatch(n -> n.link >= 0 && n.offered(owner, wish));
-                default -> false; // the window is never full here, so nothing waits for its turn or its tenant's
+                default -> false; // the window is never full here, so nothing waits for its turn or
+                    // its tenant's
             };
         }
     }
@@ -378,7 +503,17 @@
             assertThat(w.results).as("each ask has its result").hasSameSizeAs(w.wishes);
             assertThat(w.core.reasons().waiting()).isZero();
         }
-        assertThat(seen.keySet()).contains(Kind.NO_NODES, Kind.NO_FIT, Kind.NO_ROOM, Kind.OUT_OF_TRUST, Kind.DRAINING,
-            Kind.SPREAD, Kind.OWN_LIMIT, Kind.PROOF, Kind.ANSWER, Kind.KEY_HELD);
+        assertThat(seen.keySet())
+                .contains(
+                        Kind.NO_NODES,
+                        Kind.NO_FIT,
+                        Kind.NO_ROOM,
+                        Kind.OUT_OF_TRUST,
+                        Kind.DRAINING,
+                        Kind.SPREAD,
+                        Kind.OWN_LIMIT,
+                        Kind.PROOF,
+                        Kind.ANSWER,
+                        Kind.KEY_HELD);
     }
 }
