--- a/placer/src/test/java/thornferry/placer/Sites.java
+++ b/placer/src/test/java/thornferry/placer/Sites.java
@@ -13,21 +13,76 @@
     static final long MS = 1_000;
     static final long SECOND = 1_000_000;
 
-    private Sites() { }
+    private Sites() {}
 
     static Placement.TaskClass cls(String name, Placement.Effect effect, Placement.Scope spread) {
-        return new Placement.TaskClass(name, effect, Placement.Scope.ZONE, 5 * SECOND, SECOND, 8 * SECOND, 1, 0.1, 12, 1, 1, 0,
-            -1, spread, 1);
+        return new Placement.TaskClass(
+                name,
+                effect,
+                Placement.Scope.ZONE,
+                5 * SECOND,
+                SECOND,
+                8 * SECOND,
+                1,
+                0.1,
+                12,
+                1,
+                1,
+                0,
+                -1,
+                spread,
+                1);
     }
 
-    /** @param size of each machine, in cores and memory alike */
-    static Site of(long seed, double size, List<Placement.TaskClass> classes, Intake.Limits intake, LineSettings line) {
-        Placement.Settings settings = new Placement.Settings(seed, 0, 1, "a", classes, List.of(new Placement.MachineKind("std",
-            size, size)), List.of(), Placement.Reports.WITH_ANSWERS, List.of("x0", "x1", "waiting"), false, true, false,
-            false, true, false, false, 1, 1, 1, 1, 1, 3 * SECOND, new Placement.Prices(0, 0.08, 0.03, 0, 0.004, 0.004, 0.02,
-                2), new Placement.Rules(8 * MS, 500 * MS, 0, 0.25, 0, 2, 3 * SECOND, 48),
-            new Placement.Limits(true, true, true, false, 4, 30 * SECOND));
-        return new Site("p", settings, seed, List.of(), new Membership.Limits(4 * SECOND, 1_000, 30 * SECOND, 5 * SECOND, 100),
-            intake, line, null, FrameLimits.USUAL, Heartbeat.NONE, 5_000, 100, Site.State.NONE);
+    /**
+     * @param size of each machine, in cores and memory alike
+     */
+    static Site of(
+            long seed,
+            double size,
+            List<Placement.TaskClass> classes,
+            Intake.Limits intake,
+            LineSettings line) {
+        Placement.Settings settings =
+                new Placement.Settings(
+                        seed,
+                        0,
+                        1,
+                        "a",
+                        classes,
+                        List.of(new Placement.MachineKind("std", size, size)),
+                        List.of(),
+                        Placement.Reports.WITH_ANSWERS,
+                        List.of("x0", "x1", "waiting"),
+                        false,
+                        true,
+                        false,
+                        false,
+                        true,
+                        false,
+                        false,
+                        1,
+                        1,
+                        1,
+                        1,
+                        1,
+                        3 * SECOND,
+                        new Placement.Prices(0, 0.08, 0.03, 0, 0.004, 0.004, 0.02, 2),
+                        new Placement.Rules(8 * MS, 500 * MS, 0, 0.25, 0, 2, 3 * SECOND, 48),
+                        new Placement.Limits(true, true, true, false, 4, 30 * SECOND));
+        return new Site(
+                "p",
+                settings,
+                seed,
+                List.of(),
+                new Membership.Limits(4 * SECOND, 1_000, 30 * SECOND, 5 * SECOND, 100),
+                intake,
+                line,
+                null,
+                FrameLimits.USUAL,
+                Heartbeat.NONE,
+                5_000,
+                100,
+                Site.State.NONE);
     }
 }
--- a/protocol/src/main/java/thornferry/protocol/Bodies.java
+++ b/protocol/src/main/java/thornferry/protocol/Bodies.java
@@ -10,14 +10,18 @@
     public static final String JSON = "application/json";
     public static final String PROTOBUF = "application/x-protobuf";
     private static final JsonFormat.Parser PARSER = JsonFormat.parser().ignoringUnknownFields();
-    private static final JsonFormat.Printer PRINTER = JsonFormat.printer().omittingInsignificantWhitespace();
+    private static final JsonFormat.Printer PRINTER =
+            JsonFormat.printer().omittingInsignificantWhitespace();
 
-    private Bodies() {
-    }
+    private Bodies() {}
 
-    /** Reads the body of {@code frame} into {@code builder}; the message of the error names what is wrong with it. */
+    /**
+     * Reads the body of {@code frame} into {@code builder}; the message of the error names what is
+     * wrong with it.
+     */
     @SuppressWarnings("unchecked")
-    public static <M extends Message> M read(Frame frame, Message.Builder builder) throws ProtocolException {
+    public static <M extends Message> M read(Frame frame, Message.Builder builder)
+            throws ProtocolException {
         String type = frame.header("content-type", JSON);
         int end = type.indexOf(';');
         String plain = (end < 0 ? type : type.substring(0, end)).trim();
@@ -25,8 +29,9 @@
             switch (plain) {
                 case PROTOBUF -> builder.mergeFrom(frame.body());
                 case JSON, "text/plain" -> PARSER.merge(frame.text(), builder);
-                default -> throw new ProtocolException("unknown content-type " + plain,
-                    "use " + JSON + " or " + PROTOBUF);
+                default ->
+                        throw new ProtocolException(
+                                "unknown content-type " + plain, "use " + JSON + " or " + PROTOBUF);
             }
         } catch (InvalidProtocolBufferException e) {
             throw new ProtocolException("malformed body", String.valueOf(e.getMessage()));
--- a/protocol/src/main/java/thornferry/protocol/ClientConnection.java
+++ b/protocol/src/main/java/thornferry/protocol/ClientConnection.java
@@ -20,12 +20,15 @@
 import java.util.Map;
 
 /**
- * The client's half of one STOMP 1.2 connection, for clients, node agents and operators. One connection, no retries:
- * whoever holds it decides whether to dial again. Callbacks and state live on the connection's event loop; the
- * methods may be called from any thread.
+ * The client's half of one STOMP 1.2 connection, for clients, node agents and operators. One
+ * connection, no retries: whoever holds it decides whether to dial again. Callbacks and state live
+ * on the connection's event loop; the methods may be called from any thread.
  */
 public final class ClientConnection extends SimpleChannelInboundHandler<Frame> {
-    /** What the holder is told. {@link #closed} comes exactly once, also where the connection never came to be. */
+    /**
+     * What the holder is told. {@link #closed} comes exactly once, also where the connection never
+     * came to be.
+     */
     public interface Listener {
         void connected(ClientConnection connection);
 
@@ -34,15 +37,24 @@
         void closed(ClientConnection connection, String why);
     }
 
-    /** Told what became of a frame sent with a receipt: taken ({@code error} null) or not known to be. */
+    /**
+     * Told what became of a frame sent with a receipt: taken ({@code error} null) or not known to
+     * be.
+     */
     public interface Receipt {
         void done(String error);
     }
 
     /**
-     * Where and as whom to connect. {@code passcode} may be null where a certificate tells, {@code tls} for plain text.
+     * Where and as whom to connect. {@code passcode} may be null where a certificate tells, {@code
+     * tls} for plain text.
      */
-    public record Target(SocketAddress address, String login, String passcode, Heartbeat heartbeat, SslContext tls) {
+    public record Target(
+            SocketAddress address,
+            String login,
+            String passcode,
+            Heartbeat heartbeat,
+            SslContext tls) {
         public Target(SocketAddress address, String login, String passcode, Heartbeat heartbeat) {
             this(address, login, passcode, heartbeat, null);
         }
@@ -62,30 +74,53 @@
         this.listener = listener;
     }
 
-    public static ClientConnection open(EventLoop loop, Target target, FrameLimits limits, Listener listener) {
+    public static ClientConnection open(
+            EventLoop loop, Target target, FrameLimits limits, Listener listener) {
         ClientConnection connection = new ClientConnection(target, listener);
-        ChannelFuture connecting = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-            .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 5_000)
-            .handler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel ch) {
-                    if (target.tls() != null) {
-                        // with the peer's name, so that it is compared with that of the certificate
-                        ch.pipeline().addLast(target.address() instanceof InetSocketAddress inet
-                            ? target.tls().newHandler(ch.alloc(), inet.getHostString(), inet.getPort())
-                            : target.tls().newHandler(ch.alloc()));
-                    }
-                    ch.pipeline().addLast(new FlushConsolidationHandler(256, true), new HeartbeatHandler());
-                    Framing.install(ch.pipeline(), limits);
-                    ch.pipeline().addLast(connection);
-                }
-            }).connect(target.address());
+        ChannelFuture connecting =
+                new Bootstrap()
+                        .group(loop)
+                        .channel(NioSocketChannel.class)
+                        .option(ChannelOption.TCP_NODELAY, true)
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 5_000)
+                        .handler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel ch) {
+                                        if (target.tls() != null) {
+                                            // with the peer's name, so that it is compared with
+                                            // that of the certificate
+                                            ch.pipeline()
+                                                    .addLast(
+                                                            target.address()
+                                                                            instanceof
+                                                                            InetSocketAddress inet
+                                                                    ? target.tls()
+                                                                            .newHandler(
+                                                                                    ch.alloc(),
+                                                                                    inet
+                                                                                            .getHostString(),
+                                                                                    inet.getPort())
+                                                                    : target.tls()
+                                                                            .newHandler(
+                                                                                    ch.alloc()));
+                                        }
+                                        ch.pipeline()
+                                                .addLast(
+                                                        new FlushConsolidationHandler(256, true),
+                                                        new HeartbeatHandler());
+                                        Framing.install(ch.pipeline(), limits);
+                                        ch.pipeline().addLast(connection);
+                                    }
+                                })
+                        .connect(target.address());
         connection.channel = connecting.channel();
-        connecting.addListener(done -> {
-            if (!done.isSuccess()) {
-                connection.end(String.valueOf(done.cause().getMessage()));
-            }
-        });
+        connecting.addListener(
+                done -> {
+                    if (!done.isSuccess()) {
+                        connection.end(String.valueOf(done.cause().getMessage()));
+                    }
+                });
         return connection;
     }
 
@@ -97,14 +132,21 @@
         return channel.eventLoop();
     }
 
-    /** Sends a message to a destination; the future tells only whether its octets were handed to the system. */
+    /**
+     * Sends a message to a destination; the future tells only whether its octets were handed to the
+     * system.
+     */
     public ChannelFuture send(String destination, Message message) {
-        return write(Bodies.write(Frame.of(StompCommand.SEND, "destination", destination), message, false));
+        return write(
+                Bodies.write(
+                        Frame.of(StompCommand.SEND, "destination", destination), message, false));
     }
 
     /** The same in binary. */
     public ChannelFuture sendBinary(String destination, Message message) {
-        return write(Bodies.write(Frame.of(StompCommand.SEND, "destination", destination), message, true));
+        return write(
+                Bodies.write(
+                        Frame.of(StompCommand.SEND, "destination", destination), message, true));
     }
 
     /** Sends a frame and asks for its receipt. */
@@ -123,11 +165,15 @@
     }
 
     public void request(String destination, Message message, Receipt receipt) {
-        request(Bodies.write(Frame.of(StompCommand.SEND, "destination", destination), message, false), receipt);
+        request(
+                Bodies.write(
+                        Frame.of(StompCommand.SEND, "destination", destination), message, false),
+                receipt);
     }
 
     public ChannelFuture subscribe(String id, String destination, String ack) {
-        return write(Frame.of(StompCommand.SUBSCRIBE, "id", id, "destination", destination, "ack", ack));
+        return write(
+                Frame.of(StompCommand.SUBSCRIBE, "id", id, "destination", destination, "ack", ack));
     }
 
     public ChannelFuture write(Frame frame) {
@@ -146,8 +192,19 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        ctx.writeAndFlush(Frame.of(StompCommand.CONNECT, "accept-version", "1.2", "host", "thornferry",
-            "login", target.login(), "passcode", target.passcode(), "heart-beat", target.heartbeat().header()));
+        ctx.writeAndFlush(
+                Frame.of(
+                        StompCommand.CONNECT,
+                        "accept-version",
+                        "1.2",
+                        "host",
+                        "thornferry",
+                        "login",
+                        target.login(),
+                        "passcode",
+                        target.passcode(),
+                        "heart-beat",
+                        target.heartbeat().header()));
     }
 
     @Override
--- a/protocol/src/main/java/thornferry/protocol/Frame.java
+++ b/protocol/src/main/java/thornferry/protocol/Frame.java
@@ -8,10 +8,12 @@
 import java.util.Objects;
 
 /**
- * One STOMP 1.2 frame, immutable and free of pooled buffers, so that it can be kept past the read it came in.
+ * One STOMP 1.2 frame, immutable and free of pooled buffers, so that it can be kept past the read
+ * it came in.
  *
- * <p>Headers keep their order and their repeats; {@link #header} gives the first of a repeated header, which is the
- * one that counts (specification, "Repeated Header Entries"). The body is not copied: callers leave it unchanged.
+ * <p>Headers keep their order and their repeats; {@link #header} gives the first of a repeated
+ * header, which is the one that counts (specification, "Repeated Header Entries"). The body is not
+ * copied: callers leave it unchanged.
  */
 public record Frame(StompCommand command, List<Map.Entry<String, String>> headers, byte[] body) {
     private static final byte[] EMPTY = {};
@@ -21,7 +23,10 @@
         headers = List.copyOf(headers);
     }
 
-    /** A frame without a body; {@code headers} are names and values in turn, pairs with a null value are left out. */
+    /**
+     * A frame without a body; {@code headers} are names and values in turn, pairs with a null value
+     * are left out.
+     */
     public static Frame of(StompCommand command, String... headers) {
         return new Frame(command, pairs(headers), EMPTY);
     }
--- a/protocol/src/main/java/thornferry/protocol/FrameDecoder.java
+++ b/protocol/src/main/java/thornferry/protocol/FrameDecoder.java
@@ -16,11 +16,17 @@
 import java.util.Map;
 
 /**
- * Reads STOMP 1.2 frames, strictly: what the specification forbids ends the connection. After an error nothing more
- * is read. What is held for one frame is bounded by the limits, whatever a peer sends and in whatever pieces.
+ * Reads STOMP 1.2 frames, strictly: what the specification forbids ends the connection. After an
+ * error nothing more is read. What is held for one frame is bounded by the limits, whatever a peer
+ * sends and in whatever pieces.
  */
 final class FrameDecoder extends ByteToMessageDecoder {
-    private enum State { BETWEEN, HEADERS, BODY, BROKEN }
+    private enum State {
+        BETWEEN,
+        HEADERS,
+        BODY,
+        BROKEN
+    }
 
     private static final Map<String, StompCommand> COMMANDS = new HashMap<>();
 
@@ -48,7 +54,8 @@
         try {
             while (step(in, out)) {
                 if (!out.isEmpty()) {
-                    return; // passed on at once, so that what it leads to goes before what follows it
+                    return; // passed on at once, so that what it leads to goes before what follows
+                    // it
                 }
             }
         } catch (RuntimeException e) {
@@ -119,7 +126,10 @@
         return true;
     }
 
-    /** Where the octet stands, counted from the reader index, or -1; raises where it cannot stand within the limit. */
+    /**
+     * Where the octet stands, counted from the reader index, or -1; raises where it cannot stand
+     * within the limit.
+     */
     private int find(ByteBuf in, byte octet, int limit) {
         int at = in.indexOf(in.readerIndex() + scanned, in.writerIndex(), octet);
         int end = at < 0 ? -1 : at - in.readerIndex();
@@ -136,7 +146,11 @@
         }
         String text;
         try {
-            text = StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(octets, 0, size)).toString();
+            text =
+                    StandardCharsets.UTF_8
+                            .newDecoder()
+                            .decode(ByteBuffer.wrap(octets, 0, size))
+                            .toString();
         } catch (CharacterCodingException e) {
             throw new CorruptedFrameException("a header is not UTF-8");
         }
@@ -144,7 +158,8 @@
         if (colon <= 0 || text.indexOf('\0') >= 0) {
             throw new CorruptedFrameException("a header needs a name, a colon and no NUL");
         }
-        // CONNECT and CONNECTED stay unescaped, for peers of version 1.0 (specification, "Value Encoding")
+        // CONNECT and CONNECTED stay unescaped, for peers of version 1.0 (specification, "Value
+        // Encoding")
         boolean plain = command == StompCommand.CONNECT || command == StompCommand.CONNECTED;
         String name = text.substring(0, colon);
         String value = text.substring(colon + 1);
@@ -180,7 +195,8 @@
                 try {
                     long told = Long.parseLong(header.getValue().trim());
                     if (told > limits.body()) {
-                        throw new TooLongFrameException("a body of over " + limits.body() + " octets");
+                        throw new TooLongFrameException(
+                                "a body of over " + limits.body() + " octets");
                     }
                     if (told >= 0) {
                         return (int) told;
@@ -206,8 +222,10 @@
         } else if (in.getByte(in.readerIndex() + size) != 0) {
             throw new CorruptedFrameException("no NUL after the body");
         }
-        boolean mayHaveBody = command == StompCommand.SEND || command == StompCommand.MESSAGE
-            || command == StompCommand.ERROR;
+        boolean mayHaveBody =
+                command == StompCommand.SEND
+                        || command == StompCommand.MESSAGE
+                        || command == StompCommand.ERROR;
         if (size > 0 && !mayHaveBody) {
             throw new CorruptedFrameException(command + " must not have a body");
         }
--- a/protocol/src/main/java/thornferry/protocol/Framing.java
+++ b/protocol/src/main/java/thornferry/protocol/Framing.java
@@ -9,12 +9,12 @@
 import java.util.List;
 
 /**
- * Framing, from octets to {@link Frame} and back. Writing is Netty's; reading is {@link FrameDecoder}, since Netty's
- * reader loses headers when a frame arrives in pieces and lets through what the specification forbids.
+ * Framing, from octets to {@link Frame} and back. Writing is Netty's; reading is {@link
+ * FrameDecoder}, since Netty's reader loses headers when a frame arrives in pieces and lets through
+ * what the specification forbids.
  */
 public final class Framing {
-    private Framing() {
-    }
+    private Framing() {}
 
     /** Adds framing at the end of a pipeline. */
     public static void install(ChannelPipeline pipeline, FrameLimits limits) {
@@ -27,7 +27,8 @@
     private static final class Encoder extends MessageToMessageEncoder<Frame> {
         @Override
         protected void encode(ChannelHandlerContext ctx, Frame frame, List<Object> out) {
-            DefaultStompFrame stomp = new DefaultStompFrame(frame.command(), Unpooled.wrappedBuffer(frame.body()));
+            DefaultStompFrame stomp =
+                    new DefaultStompFrame(frame.command(), Unpooled.wrappedBuffer(frame.body()));
             frame.headers().forEach(h -> stomp.headers().add(h.getKey(), h.getValue()));
             if (frame.body().length > 0 && frame.header("content-length") == null) {
                 stomp.headers().add("content-length", Integer.toString(frame.body().length));
--- a/protocol/src/main/java/thornferry/protocol/HeartbeatHandler.java
+++ b/protocol/src/main/java/thornferry/protocol/HeartbeatHandler.java
@@ -8,14 +8,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Beats and listens on one connection. It stands outside framing, since any octet counts as a sign of life, also
- * one in the middle of a long frame. A peer found silent is reported as {@link PeerSilent}.
+ * Beats and listens on one connection. It stands outside framing, since any octet counts as a sign
+ * of life, also one in the middle of a long frame. A peer found silent is reported as {@link
+ * PeerSilent}.
  */
 final class HeartbeatHandler extends ChannelDuplexHandler {
     /** A user event: the peer was silent beyond what was agreed and its margin. */
-    enum PeerSilent { INSTANCE }
+    enum PeerSilent {
+        INSTANCE
+    }
 
-    /** A peer may be late by its own interval once more: timers and the way there both cost time. */
+    /**
+     * A peer may be late by its own interval once more: timers and the way there both cost time.
+     */
     private static final int MARGIN_PERCENT = 100;
 
     private Future<?> beating;
@@ -32,16 +37,27 @@
         stop();
         wroteAt = micros();
         if (sendEveryMs > 0) {
-            // looked at twice an interval: a write just after a look would else leave almost two without a beat
+            // looked at twice an interval: a write just after a look would else leave almost two
+            // without a beat
             long every = Math.max(1, sendEveryMs / 2);
-            beating = ctx.executor().scheduleAtFixedRate(() -> beat(ctx, sendEveryMs * 500L), every, every,
-                TimeUnit.MILLISECONDS);
+            beating =
+                    ctx.executor()
+                            .scheduleAtFixedRate(
+                                    () -> beat(ctx, sendEveryMs * 500L),
+                                    every,
+                                    every,
+                                    TimeUnit.MILLISECONDS);
         }
         if (hearEveryMs > 0) {
             long interval = hearEveryMs * 1_000L;
             liveness = new Liveness(interval, interval * MARGIN_PERCENT / 100, micros());
-            listening = ctx.executor().scheduleWithFixedDelay(() -> look(ctx), liveness.lookEvery(),
-                liveness.lookEvery(), TimeUnit.MICROSECONDS);
+            listening =
+                    ctx.executor()
+                            .scheduleWithFixedDelay(
+                                    () -> look(ctx),
+                                    liveness.lookEvery(),
+                                    liveness.lookEvery(),
+                                    TimeUnit.MICROSECONDS);
         }
     }
 
--- a/protocol/src/main/java/thornferry/protocol/ProtocolException.java
+++ b/protocol/src/main/java/thornferry/protocol/ProtocolException.java
@@ -1,6 +1,9 @@
 package thornferry.protocol;
 
-/** What a peer did wrong, in words fit for the {@code message} header of the ERROR frame that it gets. */
+/**
+ * What a peer did wrong, in words fit for the {@code message} header of the ERROR frame that it
+ * gets.
+ */
 public final class ProtocolException extends Exception {
     private static final long serialVersionUID = 1;
     private final String detail;
@@ -9,9 +12,13 @@
         this(message, "");
     }
 
-    /** @param detail goes into the body of the ERROR frame */
+    /**
+     * @param detail goes into the body of the ERROR frame
+     */
     public ProtocolException(String message, String detail) {
-        super(message, null, false, false); // thrown for each bad frame of a hostile peer: no stack is kept
+        super(
+                message, null, false,
+                false); // thrown for each bad frame of a hostile peer: no stack is kept
         this.detail = detail;
     }
 
--- a/protocol/src/main/java/thornferry/protocol/ServerSession.java
+++ b/protocol/src/main/java/thornferry/protocol/ServerSession.java
@@ -21,40 +21,48 @@
 import javax.net.ssl.SSLException;
 
 /**
- * The server's half of one STOMP 1.2 connection: handshake, subscriptions, acknowledgements, transactions, receipts,
- * and an ERROR before the close for whatever the peer does wrong. What the frames mean is the {@link Front}'s.
+ * The server's half of one STOMP 1.2 connection: handshake, subscriptions, acknowledgements,
+ * transactions, receipts, and an ERROR before the close for whatever the peer does wrong. What the
+ * frames mean is the {@link Front}'s.
  *
  * <p>Everything runs on the connection's event loop.
  */
 public final class ServerSession extends SimpleChannelInboundHandler<Frame> {
-    /** What stands behind the sessions. An exception refuses the frame: the peer gets an ERROR and is cut off. */
+    /**
+     * What stands behind the sessions. An exception refuses the frame: the peer gets an ERROR and
+     * is cut off.
+     */
     public interface Front {
         /**
-         * Who the peer is. {@code login} and {@code passcode} may be null where it sent none. The answer may come later,
-         * on the connection's event loop: {@link #admit} or {@link #fail}.
+         * Who the peer is. {@code login} and {@code passcode} may be null where it sent none. The
+         * answer may come later, on the connection's event loop: {@link #admit} or {@link #fail}.
          */
         void connecting(ServerSession session, String login, String passcode);
 
         /** A SEND. When it returns, the frame counts as taken and its receipt goes out. */
         void sent(ServerSession session, String destination, Frame frame) throws ProtocolException;
 
-        void subscribed(ServerSession session, String id, String destination) throws ProtocolException;
+        void subscribed(ServerSession session, String id, String destination)
+                throws ProtocolException;
 
         void unsubscribed(ServerSession session, String destination);
 
         /** An acknowledgement ({@code good}) or its refusal, for the message of that id. */
         void acknowledged(ServerSession session, String messageId, boolean good);
 
-        /** The connection is over; why, in words. Called once for each session that was admitted. */
+        /**
+         * The connection is over; why, in words. Called once for each session that was admitted.
+         */
         void closed(ServerSession session, String why);
     }
 
-    private record Subscription(String id, String destination, boolean acks, boolean cumulative) { }
+    private record Subscription(String id, String destination, boolean acks, boolean cumulative) {}
 
-    private record Unacked(String message, String subscription) { }
+    private record Unacked(String message, String subscription) {}
 
     /** Frames that a peer may send before it is told CONNECTED. */
     private static final int MOST_EARLY = 64;
+
     private static final int MOST_SUBSCRIPTIONS = 1_000;
     private static final int MOST_UNACKED = 10_000;
     private static final int MOST_TRANSACTIONS = 16;
@@ -89,9 +97,16 @@
      *
      * @param handshakeMs a peer that has not sent CONNECT after so long is cut off; milliseconds
      */
-    public static void install(Channel channel, Front front, FrameLimits limits, Heartbeat heartbeat, String server,
-                               int handshakeMs) {
-        channel.config().setWriteBufferWaterMark(new WriteBufferWaterMark(limits.unwritten() / 2, limits.unwritten()));
+    public static void install(
+            Channel channel,
+            Front front,
+            FrameLimits limits,
+            Heartbeat heartbeat,
+            String server,
+            int handshakeMs) {
+        channel.config()
+                .setWriteBufferWaterMark(
+                        new WriteBufferWaterMark(limits.unwritten() / 2, limits.unwritten()));
         ChannelPipeline pipeline = channel.pipeline();
         pipeline.addLast("flushes", new FlushConsolidationHandler(256, true));
         pipeline.addLast("heartbeat", new HeartbeatHandler());
@@ -122,15 +137,16 @@
 
     /** Whether messages to this destination wait for an acknowledgement. */
     public boolean acknowledges(String destination) {
-        return subscriptions.values().stream().anyMatch(s -> s.destination().equals(destination) && s.acks());
+        return subscriptions.values().stream()
+                .anyMatch(s -> s.destination().equals(destination) && s.acks());
     }
 
     /**
      * Sends a MESSAGE to each subscription of the destination.
      *
      * @param messageId names it in a later acknowledgement
-     * @return the write of the last of them, or null where nothing could be sent: no such subscription, a closed
-     *         session, or a peer that reads too slowly, which is then cut off
+     * @return the write of the last of them, or null where nothing could be sent: no such
+     *     subscription, a closed session, or a peer that reads too slowly, which is then cut off
      */
     public ChannelFuture message(String destination, String messageId, Frame headersAndBody) {
         if (!open()) {
@@ -145,9 +161,11 @@
                 fail("too slow a reader: messages for you are held back", null);
                 return null;
             }
-            Frame frame = new Frame(StompCommand.MESSAGE, headersAndBody.headers(), headersAndBody.body())
-                .with("destination", destination).with("subscription", s.id())
-                .with("message-id", messageId);
+            Frame frame =
+                    new Frame(StompCommand.MESSAGE, headersAndBody.headers(), headersAndBody.body())
+                            .with("destination", destination)
+                            .with("subscription", s.id())
+                            .with("message-id", messageId);
             if (s.acks()) {
                 String ack = s.id() + "-" + ++messages;
                 unacked.put(ack, new Unacked(messageId, s.id()));
@@ -166,11 +184,15 @@
     @Override
     public void handlerAdded(ChannelHandlerContext context) {
         ctx = context;
-        ctx.executor().schedule(() -> {
-            if (!connected && !closing && asked == null) {
-                fail("no CONNECT within " + handshakeMs + " ms", null);
-            }
-        }, handshakeMs, TimeUnit.MILLISECONDS);
+        ctx.executor()
+                .schedule(
+                        () -> {
+                            if (!connected && !closing && asked == null) {
+                                fail("no CONNECT within " + handshakeMs + " ms", null);
+                            }
+                        },
+                        handshakeMs,
+                        TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -181,7 +203,8 @@
         try {
             if (!connected && asked != null) {
                 if (early.size() >= MOST_EARLY) {
-                    throw new ProtocolException("more than " + MOST_EARLY + " frames before CONNECTED");
+                    throw new ProtocolException(
+                            "more than " + MOST_EARLY + " frames before CONNECTED");
                 }
                 early.add(frame);
             } else if (!connected) {
@@ -196,12 +219,20 @@
 
     private void handshake(Frame frame) throws ProtocolException {
         if (frame.command() != StompCommand.CONNECT && frame.command() != StompCommand.STOMP) {
-            throw new ProtocolException("the first frame must be CONNECT or STOMP, not " + frame.command());
+            throw new ProtocolException(
+                    "the first frame must be CONNECT or STOMP, not " + frame.command());
         }
         String versions = frame.header("accept-version", "1.0");
         if (!Arrays.asList(versions.split(",")).contains("1.2")) {
-            ctx.write(Frame.of(StompCommand.ERROR, "version", "1.2", "message", "supported version: 1.2",
-                "content-type", "text/plain"));
+            ctx.write(
+                    Frame.of(
+                            StompCommand.ERROR,
+                            "version",
+                            "1.2",
+                            "message",
+                            "supported version: 1.2",
+                            "content-type",
+                            "text/plain"));
             closing("no common version");
             return;
         }
@@ -216,9 +247,19 @@
         }
         login = name;
         connected = true;
-        ctx.writeAndFlush(Frame.of(StompCommand.CONNECTED, "version", "1.2", "heart-beat", heartbeat.header(),
-            "server", server, "session", ctx.channel().id().asShortText()));
-        HeartbeatHandler.start(ctx.pipeline(), heartbeat.sendEvery(asked), heartbeat.hearEvery(asked));
+        ctx.writeAndFlush(
+                Frame.of(
+                        StompCommand.CONNECTED,
+                        "version",
+                        "1.2",
+                        "heart-beat",
+                        heartbeat.header(),
+                        "server",
+                        server,
+                        "session",
+                        ctx.channel().id().asShortText()));
+        HeartbeatHandler.start(
+                ctx.pipeline(), heartbeat.sendEvery(asked), heartbeat.hearEvery(asked));
         List<Frame> waiting = List.copyOf(early);
         early.clear();
         waiting.forEach(frame -> channelRead0(ctx, frame));
@@ -227,7 +268,9 @@
     /** Where the peer connects from, as a text without its port. */
     public String peerAddress() {
         java.net.SocketAddress from = ctx.channel().remoteAddress();
-        return from instanceof java.net.InetSocketAddress inet ? inet.getAddress().getHostAddress() : String.valueOf(from);
+        return from instanceof java.net.InetSocketAddress inet
+                ? inet.getAddress().getHostAddress()
+                : String.valueOf(from);
     }
 
     /** The connection beneath, for what TLS knows of the peer. */
@@ -247,7 +290,8 @@
                 if (transaction != null) {
                     List<Frame> waiting = transaction(transaction);
                     if (waiting.size() >= MOST_IN_TRANSACTION) {
-                        throw new ProtocolException("more than " + MOST_IN_TRANSACTION + " frames in a transaction");
+                        throw new ProtocolException(
+                                "more than " + MOST_IN_TRANSACTION + " frames in a transaction");
                     }
                     waiting.add(frame);
                 } else {
@@ -258,10 +302,12 @@
             case UNSUBSCRIBE -> unsubscribe(frame);
             case BEGIN -> {
                 need(frame, "transaction");
-                if (transactions.containsKey(transaction) || transactions.size() >= MOST_TRANSACTIONS) {
-                    throw new ProtocolException(transactions.containsKey(transaction)
-                        ? "transaction " + transaction + " has begun already"
-                        : "more than " + MOST_TRANSACTIONS + " transactions");
+                if (transactions.containsKey(transaction)
+                        || transactions.size() >= MOST_TRANSACTIONS) {
+                    throw new ProtocolException(
+                            transactions.containsKey(transaction)
+                                    ? "transaction " + transaction + " has begun already"
+                                    : "more than " + MOST_TRANSACTIONS + " transactions");
                 }
                 transactions.put(transaction, new ArrayList<>());
             }
@@ -279,7 +325,9 @@
                 transactions.remove(transaction);
             }
             case DISCONNECT -> why = "the peer disconnected";
-            default -> throw new ProtocolException(frame.command() + " is not for a client to send now");
+            default ->
+                    throw new ProtocolException(
+                            frame.command() + " is not for a client to send now");
         }
         receipt(frame);
         if (frame.command() == StompCommand.DISCONNECT) {
@@ -308,7 +356,8 @@
         String destination = need(frame, "destination");
         String ack = frame.header("ack", "auto");
         if (!ack.equals("auto") && !ack.equals("client") && !ack.equals("client-individual")) {
-            throw new ProtocolException("ack must be auto, client or client-individual, not " + ack);
+            throw new ProtocolException(
+                    "ack must be auto, client or client-individual, not " + ack);
         }
         if (subscriptions.containsKey(id)) {
             throw new ProtocolException("subscription " + id + " stands already");
@@ -316,7 +365,8 @@
         if (subscriptions.size() >= MOST_SUBSCRIPTIONS) {
             throw new ProtocolException("more than " + MOST_SUBSCRIPTIONS + " subscriptions");
         }
-        subscriptions.put(id, new Subscription(id, destination, !ack.equals("auto"), ack.equals("client")));
+        subscriptions.put(
+                id, new Subscription(id, destination, !ack.equals("auto"), ack.equals("client")));
         try {
             front.subscribed(this, id, destination);
         } catch (ProtocolException e) {
@@ -342,7 +392,8 @@
         Subscription s = subscriptions.get(one.subscription());
         List<String> acked = new ArrayList<>();
         for (Map.Entry<String, Unacked> u : unacked.entrySet()) { // in the order sent
-            boolean earlier = s != null && s.cumulative() && u.getValue().subscription().equals(s.id());
+            boolean earlier =
+                    s != null && s.cumulative() && u.getValue().subscription().equals(s.id());
             if (earlier || u.getKey().equals(id)) {
                 acked.add(u.getKey());
             }
@@ -365,7 +416,8 @@
 
     private void receipt(Frame frame) {
         String receipt = frame.header("receipt");
-        // a front may end the session without throwing: then the frame was not taken, and nothing follows an ERROR
+        // a front may end the session without throwing: then the frame was not taken, and nothing
+        // follows an ERROR
         if (receipt != null && !closing) {
             ctx.writeAndFlush(Frame.of(StompCommand.RECEIPT, "receipt-id", receipt));
         }
@@ -375,15 +427,21 @@
         if (closing) {
             return;
         }
-        Frame frame = Frame.of(StompCommand.ERROR, "message", e.getMessage(), "receipt-id", receiptId);
+        Frame frame =
+                Frame.of(StompCommand.ERROR, "message", e.getMessage(), "receipt-id", receiptId);
         if (!e.detail().isEmpty()) {
-            frame = frame.withBody("text/plain", e.detail().getBytes(java.nio.charset.StandardCharsets.UTF_8));
+            frame =
+                    frame.withBody(
+                            "text/plain",
+                            e.detail().getBytes(java.nio.charset.StandardCharsets.UTF_8));
         }
         ctx.write(frame);
         closing(e.getMessage());
     }
 
-    /** Closes once what is written has gone out, or after a second for a peer that does not read. */
+    /**
+     * Closes once what is written has gone out, or after a second for a peer that does not read.
+     */
     private void closing(String because) {
         closing = true;
         why = because;
--- a/protocol/src/test/java/thornferry/protocol/FramingTest.java
+++ b/protocol/src/test/java/thornferry/protocol/FramingTest.java
@@ -34,7 +34,8 @@
         List<Frame> frames = new ArrayList<>();
         try {
             for (int at = 0; at < octets.length; at += chunk) {
-                channel.writeInbound(Unpooled.copiedBuffer(octets, at, Math.min(chunk, octets.length - at)));
+                channel.writeInbound(
+                        Unpooled.copiedBuffer(octets, at, Math.min(chunk, octets.length - at)));
                 for (Frame f = channel.readInbound(); f != null; f = channel.readInbound()) {
                     frames.add(f);
                 }
@@ -66,14 +67,17 @@
     @Test
     void headersAreEscapedBothWaysButNotOnConnect() {
         Frame frame = Frame.of(StompCommand.SEND, "destination", "/a:b\nc\\d\re");
-        assertThat(new String(write(frame), StandardCharsets.UTF_8)).contains("destination:/a\\cb\\nc\\\\d\\re\n");
-        assertThat(read(write(frame), 1 << 20).get(0).header("destination")).isEqualTo("/a:b\nc\\d\re");
+        assertThat(new String(write(frame), StandardCharsets.UTF_8))
+                .contains("destination:/a\\cb\\nc\\\\d\\re\n");
+        assertThat(read(write(frame), 1 << 20).get(0).header("destination"))
+                .isEqualTo("/a:b\nc\\d\re");
         assertThat(read("CONNECT\nlogin:a\\cb\n\n\0").get(0).header("login")).isEqualTo("a\\cb");
     }
 
     @Test
     void anUndefinedEscapeIsAnError() {
-        assertThatThrownBy(() -> read("SEND\ndestination:/a\\tb\n\n\0")).isInstanceOf(DecoderException.class);
+        assertThatThrownBy(() -> read("SEND\ndestination:/a\\tb\n\n\0"))
+                .isInstanceOf(DecoderException.class);
     }
 
     @Test
@@ -104,8 +108,9 @@
 
     @Test
     void framesSplitAtEveryOctetAreTheSame() {
-        byte[] octets = "\nSTOMP\naccept-version:1.2\nhost:h\n\n\0\r\nSEND\r\ndestination:/q\\c1\ncontent-length:3\n\n\0\0\0\0"
-            .getBytes(StandardCharsets.UTF_8);
+        byte[] octets =
+                "\nSTOMP\naccept-version:1.2\nhost:h\n\n\0\r\nSEND\r\ndestination:/q\\c1\ncontent-length:3\n\n\0\0\0\0"
+                        .getBytes(StandardCharsets.UTF_8);
         List<Frame> whole = read(octets, octets.length);
         for (int chunk = 1; chunk < 7; chunk++) {
             List<Frame> parts = read(octets, chunk);
@@ -120,25 +125,28 @@
     @Test
     void unknownCommandsAndGarbageAreErrors() {
         assertThatThrownBy(() -> read("FROB\n\n\0")).isInstanceOf(DecoderException.class);
-        assertThatThrownBy(() -> read("SEND\nno colon here\n\n\0")).isInstanceOf(DecoderException.class);
-        assertThatThrownBy(() -> read("GET / HTTP/1.1\r\nHost: x\r\n\r\n\0")).isInstanceOf(DecoderException.class);
+        assertThatThrownBy(() -> read("SEND\nno colon here\n\n\0"))
+                .isInstanceOf(DecoderException.class);
+        assertThatThrownBy(() -> read("GET / HTTP/1.1\r\nHost: x\r\n\r\n\0"))
+                .isInstanceOf(DecoderException.class);
     }
 
     @Test
     void whatIsTooLargeIsAnErrorBeforeItIsHeld() {
         assertThatThrownBy(() -> read("SEND\ndestination:" + "x".repeat(300) + "\n\n\0"))
-            .isInstanceOf(DecoderException.class);
-        assertThatThrownBy(() -> read("SEND\n" + "a:b\n".repeat(20) + "\n\0")).isInstanceOf(DecoderException.class);
+                .isInstanceOf(DecoderException.class);
+        assertThatThrownBy(() -> read("SEND\n" + "a:b\n".repeat(20) + "\n\0"))
+                .isInstanceOf(DecoderException.class);
         assertThatThrownBy(() -> read("SEND\ncontent-length:1000000\n\n"))
-            .isInstanceOfAny(TooLongFrameException.class, DecoderException.class);
+                .isInstanceOfAny(TooLongFrameException.class, DecoderException.class);
         assertThatThrownBy(() -> read("SEND\n\n" + "y".repeat(9_000)))
-            .isInstanceOfAny(TooLongFrameException.class, DecoderException.class);
+                .isInstanceOfAny(TooLongFrameException.class, DecoderException.class);
     }
 
     @Property(tries = 2_000, seed = "20261201")
-    void anyOctetsGiveFramesOrAnErrorAndNothingElse(@ForAll @Size(max = 300) byte[] octets,
-                                                   @ForAll @net.jqwik.api.constraints.IntRange(min = 1, max = 50)
-                                                   int chunk) {
+    void anyOctetsGiveFramesOrAnErrorAndNothingElse(
+            @ForAll @Size(max = 300) byte[] octets,
+            @ForAll @net.jqwik.api.constraints.IntRange(min = 1, max = 50) int chunk) {
         try {
             read(octets, chunk);
         } catch (DecoderException e) {
@@ -147,11 +155,18 @@
     }
 
     @Property(tries = 500, seed = "20261202")
-    void anyHeaderAndBodyComeBackAsTheyWere(@ForAll @net.jqwik.api.constraints.StringLength(max = 40) String value,
-                                            @ForAll @Size(max = 200) byte[] body,
-                                            @ForAll @net.jqwik.api.constraints.IntRange(min = 1, max = 20) int chunk) {
-        String sound = value.codePoints().filter(c -> c != 0 && !Character.isSurrogate((char) c))
-            .collect(StringBuilder::new, StringBuilder::appendCodePoint, StringBuilder::append).toString();
+    void anyHeaderAndBodyComeBackAsTheyWere(
+            @ForAll @net.jqwik.api.constraints.StringLength(max = 40) String value,
+            @ForAll @Size(max = 200) byte[] body,
+            @ForAll @net.jqwik.api.constraints.IntRange(min = 1, max = 20) int chunk) {
+        String sound =
+                value.codePoints()
+                        .filter(c -> c != 0 && !Character.isSurrogate((char) c))
+                        .collect(
+                                StringBuilder::new,
+                                StringBuilder::appendCodePoint,
+                                StringBuilder::append)
+                        .toString();
         byte[] octets = write(Frame.of(StompCommand.SEND, "x", sound).withBody("a/b", body));
         if (octets.length < 200) { // longer ones may pass the line limit of this test
             Frame back = read(octets, chunk).get(0);
--- a/protocol/src/test/java/thornferry/protocol/LivenessTest.java
+++ b/protocol/src/test/java/thornferry/protocol/LivenessTest.java
@@ -14,7 +14,7 @@
     /** Looks as often as asked; true if the peer was ever found silent. */
     private boolean silentWithin(long time) {
         boolean silent = false;
-        for (long end = now + time; now < end;) {
+        for (long end = now + time; now < end; ) {
             now += liveness.lookEvery();
             silent |= liveness.silent(now);
         }
--- a/protocol/src/test/java/thornferry/protocol/ServerSessionTest.java
+++ b/protocol/src/test/java/thornferry/protocol/ServerSessionTest.java
@@ -20,7 +20,8 @@
 
     @BeforeEach
     void install() {
-        ServerSession.install(channel, this, FrameLimits.USUAL, new Heartbeat(1_000, 1_000), "s", 5_000);
+        ServerSession.install(
+                channel, this, FrameLimits.USUAL, new Heartbeat(1_000, 1_000), "s", 5_000);
     }
 
     @Override
@@ -65,7 +66,8 @@
 
     /** Sends text, with ^ for NUL, and gives back what is answered, likewise. */
     private String send(String text) {
-        channel.writeInbound(Unpooled.copiedBuffer(text.replace('^', '\0'), StandardCharsets.UTF_8));
+        channel.writeInbound(
+                Unpooled.copiedBuffer(text.replace('^', '\0'), StandardCharsets.UTF_8));
         return out();
     }
 
@@ -81,34 +83,42 @@
 
     private void connect() {
         assertThat(send("CONNECT\naccept-version:1.0,1.2\nhost:h\nlogin:me\npasscode:secret\n\n^"))
-            .startsWith("CONNECTED\nversion:1.2\nheart-beat:1000,1000\n");
+                .startsWith("CONNECTED\nversion:1.2\nheart-beat:1000,1000\n");
     }
 
     @Test
     void stompAndConnectBothOpenASession() {
-        assertThat(send("STOMP\naccept-version:1.2\nhost:h\nlogin:me\npasscode:secret\n\n^")).startsWith("CONNECTED");
+        assertThat(send("STOMP\naccept-version:1.2\nhost:h\nlogin:me\npasscode:secret\n\n^"))
+                .startsWith("CONNECTED");
     }
 
     @Test
     void otherVersionsAreToldWhichIsSpokenHere() {
-        assertThat(send("CONNECT\naccept-version:1.0,1.1\nhost:h\n\n^")).startsWith("ERROR").contains("version:1.2");
+        assertThat(send("CONNECT\naccept-version:1.0,1.1\nhost:h\n\n^"))
+                .startsWith("ERROR")
+                .contains("version:1.2");
         assertThat(channel.isOpen()).isFalse();
     }
 
     @Test
     void aWrongPasscodeIsTurnedAwayAndNothingElseIsTakenBeforeConnect() {
-        assertThat(send("CONNECT\naccept-version:1.2\nlogin:me\npasscode:x\n\n^")).contains("not accepted");
+        assertThat(send("CONNECT\naccept-version:1.2\nlogin:me\npasscode:x\n\n^"))
+                .contains("not accepted");
         EmbeddedChannel other = new EmbeddedChannel();
         ServerSession.install(other, this, FrameLimits.USUAL, Heartbeat.NONE, "s", 5_000);
-        other.writeInbound(Unpooled.copiedBuffer("SEND\ndestination:/q\n\n\0", StandardCharsets.UTF_8));
+        other.writeInbound(
+                Unpooled.copiedBuffer("SEND\ndestination:/q\n\n\0", StandardCharsets.UTF_8));
         assertThat(other.isOpen()).isFalse();
         assertThat(seen).isEmpty();
     }
 
     @Test
     void whatComesWhileALoginIsLookedAtWaitsForItsAnswer() {
-        channel.writeInbound(Unpooled.copiedBuffer("CONNECT\naccept-version:1.2\nlogin:slow\n\n\0SEND\ndestination:/q\n"
-            + "receipt:1\n\nearly\0", StandardCharsets.UTF_8));
+        channel.writeInbound(
+                Unpooled.copiedBuffer(
+                        "CONNECT\naccept-version:1.2\nlogin:slow\n\n\0SEND\ndestination:/q\n"
+                                + "receipt:1\n\nearly\0",
+                        StandardCharsets.UTF_8));
         assertThat(seen).isEmpty();
         session.admit("slow");
         assertThat(out()).containsSubsequence("CONNECTED", "RECEIPT");
@@ -118,7 +128,8 @@
     @Test
     void aReceiptComesOnceTheFrameIsTaken() {
         connect();
-        assertThat(send("SEND\ndestination:/q\nreceipt:7\n\nhi^")).isEqualTo("RECEIPT\nreceipt-id:7\n\n^");
+        assertThat(send("SEND\ndestination:/q\nreceipt:7\n\nhi^"))
+                .isEqualTo("RECEIPT\nreceipt-id:7\n\n^");
         assertThat(seen).containsExactly("sent /q hi");
     }
 
@@ -126,7 +137,9 @@
     void anErrorNamesTheReceiptAndEndsTheSession() {
         connect();
         String out = send("SEND\ndestination:/bad\nreceipt:7\n\n^SEND\ndestination:/q\n\nlater^");
-        assertThat(out).startsWith("ERROR\nmessage:no such place\nreceipt-id:7\n").contains("look elsewhere");
+        assertThat(out)
+                .startsWith("ERROR\nmessage:no such place\nreceipt-id:7\n")
+                .contains("look elsewhere");
         assertThat(channel.isOpen()).isFalse();
         assertThat(seen).containsExactly("closed: no such place");
     }
@@ -134,8 +147,9 @@
     @Test
     void framesOfATransactionAreHeldUntilItsCommitAndDroppedByAnAbort() {
         connect();
-        send("BEGIN\ntransaction:t\n\n^SEND\ntransaction:t\ndestination:/q\n\na^"
-            + "BEGIN\ntransaction:u\n\n^SEND\ntransaction:u\ndestination:/q\n\nb^");
+        send(
+                "BEGIN\ntransaction:t\n\n^SEND\ntransaction:t\ndestination:/q\n\na^"
+                        + "BEGIN\ntransaction:u\n\n^SEND\ntransaction:u\ndestination:/q\n\nb^");
         assertThat(seen).isEmpty();
         send("ABORT\ntransaction:u\n\n^COMMIT\ntransaction:t\n\n^");
         assertThat(seen).containsExactly("sent /q a");
@@ -145,7 +159,16 @@
     @Test
     void messagesAreAcknowledgedSinglyOrUpToOne() {
         connect();
-        send("SUBSCRIBE\nid:1\ndestination:/a\nack:client\n\n^SUBSCRIBE\nid:2\ndestination:/b\nack:client-individual\n\n^");
+        send(
+                "SUBSCRIBE\n"
+                        + "id:1\n"
+                        + "destination:/a\n"
+                        + "ack:client\n\n"
+                        + "^SUBSCRIBE\n"
+                        + "id:2\n"
+                        + "destination:/b\n"
+                        + "ack:client-individual\n\n"
+                        + "^");
         for (String m : List.of("m1", "m2", "m3")) {
             session.message("/a", m, Frame.of(StompCommand.MESSAGE));
         }
@@ -193,7 +216,8 @@
     @Test
     void oversizeGetsAnErrorAndTheEnd() {
         connect();
-        assertThat(send("SEND\ndestination:/q\ncontent-length:99999999\n\nx")).startsWith("ERROR\nmessage:frame too large");
+        assertThat(send("SEND\ndestination:/q\ncontent-length:99999999\n\nx"))
+                .startsWith("ERROR\nmessage:frame too large");
         assertThat(channel.isOpen()).isFalse();
     }
 
--- a/security/src/main/java/thornferry/security/Keys.java
+++ b/security/src/main/java/thornferry/security/Keys.java
@@ -44,18 +44,32 @@
 import org.bouncycastle.operator.jcajce.JcaContentSignerBuilder;
 
 /**
- * A site's certificates in one directory: {@code ca.pem} and {@code ca.key}, and {@code NAME.pem} and {@code NAME.key} for
- * each server, agent, owner and operator. Keys are P-256, unencrypted PKCS 8, readable by their user alone. A file is
- * written whole and then moved into place, so that one who reloads never reads half of it.
+ * A site's certificates in one directory: {@code ca.pem} and {@code ca.key}, and {@code NAME.pem}
+ * and {@code NAME.key} for each server, agent, owner and operator. Keys are P-256, unencrypted PKCS
+ * 8, readable by their user alone. A file is written whole and then moved into place, so that one
+ * who reloads never reads half of it.
  */
 public final class Keys {
     /** What a certificate is for; peers are known by the common name, their login. */
-    public enum Use { AUTHORITY, SERVER, AGENT, OWNER, OPERATOR }
+    public enum Use {
+        AUTHORITY,
+        SERVER,
+        AGENT,
+        OWNER,
+        OPERATOR
+    }
 
     /** One certificate as it stands. {@code left} is negative where it has expired. */
-    public record Entry(String name, String use, Instant from, Instant until, Duration left, boolean oursStill) { }
+    public record Entry(
+            String name,
+            String use,
+            Instant from,
+            Instant until,
+            Duration left,
+            boolean oursStill) {}
 
     private static final String CA = "ca";
+
     /** Clocks of a site's machines may differ by so much. */
     private static final Duration SKEW = Duration.ofMinutes(5);
 
@@ -80,13 +94,25 @@
     /** Makes the site's authority. @throws IOException where there is one already */
     public void init(String site, Duration validFor) throws IOException {
         if (Files.exists(authority())) {
-            throw new IOException(authority() + ": there is an authority already; its certificates would be void");
+            throw new IOException(
+                    authority()
+                            + ": there is an authority already; its certificates would be void");
         }
         Files.createDirectories(directory);
         KeyPair pair = pair();
         X500Name name = name(site + " authority", Use.AUTHORITY);
-        write(CA, pair.getPrivate(), build(name, name, pair, pair.getPrivate(), Use.AUTHORITY, List.of(), Instant.now()
-            .minus(SKEW), validFor));
+        write(
+                CA,
+                pair.getPrivate(),
+                build(
+                        name,
+                        name,
+                        pair,
+                        pair.getPrivate(),
+                        Use.AUTHORITY,
+                        List.of(),
+                        Instant.now().minus(SKEW),
+                        validFor));
     }
 
     /**
@@ -94,25 +120,38 @@
      *
      * @param hosts names and addresses of a server; unused for others
      */
-    public void issue(String name, Use use, List<String> hosts, Duration validFor) throws IOException {
+    public void issue(String name, Use use, List<String> hosts, Duration validFor)
+            throws IOException {
         issue(name, use, hosts, Instant.now().minus(SKEW), validFor);
     }
 
     /** The same, good only from a time on. */
-    public void issue(String name, Use use, List<String> hosts, Instant from, Duration validFor) throws IOException {
+    public void issue(String name, Use use, List<String> hosts, Instant from, Duration validFor)
+            throws IOException {
         if (!name.matches("[A-Za-z0-9._-]{1,64}") || name.equals(CA)) {
-            throw new IOException(name + ": a name has 1 to 64 letters, digits, dots, hyphens or underscores, and is not ca");
+            throw new IOException(
+                    name
+                            + ": a name has 1 to 64 letters, digits, dots, hyphens or underscores,"
+                            + " and is not ca");
         }
         X509Certificate authority = read(CA);
-        KeyPair pair = Files.exists(key(name)) ? new KeyPair(read(name).getPublicKey(), readKey(name)) : pair();
+        KeyPair pair =
+                Files.exists(key(name))
+                        ? new KeyPair(read(name).getPublicKey(), readKey(name))
+                        : pair();
         X500Name issuer = new X509CertificateHolder(encoded(authority)).getSubject();
-        write(name, pair.getPrivate(), build(issuer, name(name, use), pair, readKey(CA), use, hosts, from, validFor));
+        write(
+                name,
+                pair.getPrivate(),
+                build(issuer, name(name, use), pair, readKey(CA), use, hosts, from, validFor));
     }
 
     /** The same for as long as before, with the same use and hosts. */
     public void renew(String name) throws IOException {
         X509Certificate old = read(name);
-        Duration life = Duration.between(old.getNotBefore().toInstant().plus(SKEW), old.getNotAfter().toInstant());
+        Duration life =
+                Duration.between(
+                        old.getNotBefore().toInstant().plus(SKEW), old.getNotAfter().toInstant());
         List<String> hosts = new ArrayList<>();
         try {
             if (old.getSubjectAlternativeNames() != null) {
@@ -130,8 +169,14 @@
         List<Entry> entries = new ArrayList<>();
         List<Path> files;
         try (var all = Files.list(directory)) {
-            files = all.filter(f -> f.toString().endsWith(".pem")).sorted((a, b) -> a.equals(authority()) ? -1
-                : b.equals(authority()) ? 1 : a.compareTo(b)).toList();
+            files =
+                    all.filter(f -> f.toString().endsWith(".pem"))
+                            .sorted(
+                                    (a, b) ->
+                                            a.equals(authority())
+                                                    ? -1
+                                                    : b.equals(authority()) ? 1 : a.compareTo(b))
+                            .toList();
         }
         for (Path file : files) {
             String name = file.getFileName().toString().replaceAll("\\.pem$", "");
@@ -143,8 +188,14 @@
             } catch (GeneralSecurityException e) {
                 ours = false;
             }
-            entries.add(new Entry(name, use(c), c.getNotBefore().toInstant(), c.getNotAfter().toInstant(),
-                Duration.between(Instant.now(), c.getNotAfter().toInstant()), ours));
+            entries.add(
+                    new Entry(
+                            name,
+                            use(c),
+                            c.getNotBefore().toInstant(),
+                            c.getNotAfter().toInstant(),
+                            Duration.between(Instant.now(), c.getNotAfter().toInstant()),
+                            ours));
         }
         return entries;
     }
@@ -159,8 +210,10 @@
     }
 
     private static X500Name name(String commonName, Use use) {
-        return new X500NameBuilder(BCStyle.INSTANCE).addRDN(BCStyle.OU, use.name().toLowerCase(java.util.Locale.ROOT))
-            .addRDN(BCStyle.CN, commonName).build();
+        return new X500NameBuilder(BCStyle.INSTANCE)
+                .addRDN(BCStyle.OU, use.name().toLowerCase(java.util.Locale.ROOT))
+                .addRDN(BCStyle.CN, commonName)
+                .build();
     }
 
     private static KeyPair pair() throws IOException {
@@ -173,28 +226,63 @@
         }
     }
 
-    private static X509Certificate build(X500Name issuer, X500Name subject, KeyPair pair, PrivateKey signer, Use use,
-                                         List<String> hosts, Instant from, Duration validFor) throws IOException {
+    private static X509Certificate build(
+            X500Name issuer,
+            X500Name subject,
+            KeyPair pair,
+            PrivateKey signer,
+            Use use,
+            List<String> hosts,
+            Instant from,
+            Duration validFor)
+            throws IOException {
         try {
             JcaX509ExtensionUtils utils = new JcaX509ExtensionUtils();
-            JcaX509v3CertificateBuilder b = new JcaX509v3CertificateBuilder(issuer, new BigInteger(159,
-                new SecureRandom()), Date.from(from), Date.from(from.plus(SKEW).plus(validFor)), subject, pair.getPublic());
-            b.addExtension(Extension.subjectKeyIdentifier, false, utils.createSubjectKeyIdentifier(pair.getPublic()));
-            b.addExtension(Extension.basicConstraints, true, new BasicConstraints(use == Use.AUTHORITY));
+            JcaX509v3CertificateBuilder b =
+                    new JcaX509v3CertificateBuilder(
+                            issuer,
+                            new BigInteger(159, new SecureRandom()),
+                            Date.from(from),
+                            Date.from(from.plus(SKEW).plus(validFor)),
+                            subject,
+                            pair.getPublic());
+            b.addExtension(
+                    Extension.subjectKeyIdentifier,
+                    false,
+                    utils.createSubjectKeyIdentifier(pair.getPublic()));
+            b.addExtension(
+                    Extension.basicConstraints, true, new BasicConstraints(use == Use.AUTHORITY));
             if (use == Use.AUTHORITY) {
-                b.addExtension(Extension.keyUsage, true, new KeyUsage(KeyUsage.keyCertSign | KeyUsage.cRLSign));
+                b.addExtension(
+                        Extension.keyUsage,
+                        true,
+                        new KeyUsage(KeyUsage.keyCertSign | KeyUsage.cRLSign));
             } else {
                 b.addExtension(Extension.keyUsage, true, new KeyUsage(KeyUsage.digitalSignature));
-                b.addExtension(Extension.extendedKeyUsage, false, new ExtendedKeyUsage(use == Use.SERVER
-                    ? KeyPurposeId.id_kp_serverAuth : KeyPurposeId.id_kp_clientAuth));
+                b.addExtension(
+                        Extension.extendedKeyUsage,
+                        false,
+                        new ExtendedKeyUsage(
+                                use == Use.SERVER
+                                        ? KeyPurposeId.id_kp_serverAuth
+                                        : KeyPurposeId.id_kp_clientAuth));
             }
             if (use == Use.SERVER) {
-                GeneralName[] names = hosts.stream().map(h -> new GeneralName(address(h) ? GeneralName.iPAddress
-                    : GeneralName.dNSName, h)).toArray(GeneralName[]::new);
+                GeneralName[] names =
+                        hosts.stream()
+                                .map(
+                                        h ->
+                                                new GeneralName(
+                                                        address(h)
+                                                                ? GeneralName.iPAddress
+                                                                : GeneralName.dNSName,
+                                                        h))
+                                .toArray(GeneralName[]::new);
                 b.addExtension(Extension.subjectAlternativeName, false, new GeneralNames(names));
             }
-            return new JcaX509CertificateConverter().getCertificate(b.build(new JcaContentSignerBuilder("SHA256withECDSA")
-                .build(signer)));
+            return new JcaX509CertificateConverter()
+                    .getCertificate(
+                            b.build(new JcaContentSignerBuilder("SHA256withECDSA").build(signer)));
         } catch (GeneralSecurityException | OperatorCreationException e) {
             throw new IOException("no certificate could be made: " + e.getMessage(), e);
         }
@@ -218,8 +306,10 @@
 
     private Object parse(Path file) throws IOException {
         if (!Files.isReadable(file)) {
-            throw new IOException(file + ": no such file, or it cannot be read"
-                + (file.equals(authority()) ? "; make an authority first" : ""));
+            throw new IOException(
+                    file
+                            + ": no such file, or it cannot be read"
+                            + (file.equals(authority()) ? "; make an authority first" : ""));
         }
         try (PEMParser parser = new PEMParser(Files.newBufferedReader(file))) {
             Object got = parser.readObject();
@@ -252,7 +342,8 @@
         throw new IOException(key(name) + ": not a private key");
     }
 
-    private void write(String name, PrivateKey key, X509Certificate certificate) throws IOException {
+    private void write(String name, PrivateKey key, X509Certificate certificate)
+            throws IOException {
         StringWriter keyText = new StringWriter();
         try (JcaPEMWriter pem = new JcaPEMWriter(keyText)) {
             pem.writeObject(new JcaPKCS8Generator(key, null));
@@ -269,7 +360,10 @@
         Path part = file.resolveSibling(file.getFileName() + ".part");
         Files.deleteIfExists(part);
         if (secret && file.getFileSystem().supportedFileAttributeViews().contains("posix")) {
-            Files.createFile(part, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------")));
+            Files.createFile(
+                    part,
+                    PosixFilePermissions.asFileAttribute(
+                            PosixFilePermissions.fromString("rw-------")));
         }
         Files.write(part, text.getBytes(StandardCharsets.UTF_8));
         Files.move(part, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
--- a/security/src/main/java/thornferry/security/Tls.java
+++ b/security/src/main/java/thornferry/security/Tls.java
@@ -21,41 +21,60 @@
     private static final String PROTOCOL = "TLSv1.3";
 
     /** Whether a server asks its peers for certificates. */
-    public enum Clients { NONE, WANTED, NEEDED }
+    public enum Clients {
+        NONE,
+        WANTED,
+        NEEDED
+    }
 
-    /** @param authorities may be null where peers need no certificate, or where the system's are meant */
-    public record Pem(Path certificate, Path key, Path authorities) { }
+    /**
+     * @param authorities may be null where peers need no certificate, or where the system's are
+     *     meant
+     */
+    public record Pem(Path certificate, Path key, Path authorities) {}
 
-    private Tls() {
-    }
+    private Tls() {}
 
-    /** @throws IOException with a message that names the file */
+    /**
+     * @throws IOException with a message that names the file
+     */
     public static SslContext server(Pem files, Clients clients) throws IOException {
         try {
-            SslContextBuilder b = SslContextBuilder.forServer(readable(files.certificate()).toFile(),
-                readable(files.key()).toFile()).sslProvider(SslProvider.JDK).protocols(PROTOCOL);
+            SslContextBuilder b =
+                    SslContextBuilder.forServer(
+                                    readable(files.certificate()).toFile(),
+                                    readable(files.key()).toFile())
+                            .sslProvider(SslProvider.JDK)
+                            .protocols(PROTOCOL);
             if (files.authorities() != null) {
                 b.trustManager(readable(files.authorities()).toFile());
             }
-            return b.clientAuth(switch (clients) {
-                case NONE -> ClientAuth.NONE;
-                case WANTED -> ClientAuth.OPTIONAL;
-                case NEEDED -> ClientAuth.REQUIRE;
-            }).build();
+            return b.clientAuth(
+                            switch (clients) {
+                                case NONE -> ClientAuth.NONE;
+                                case WANTED -> ClientAuth.OPTIONAL;
+                                case NEEDED -> ClientAuth.REQUIRE;
+                            })
+                    .build();
         } catch (SSLException | IllegalArgumentException e) {
-            throw new IOException("TLS: " + files.certificate() + " and " + files.key() + ": " + cause(e), e);
+            throw new IOException(
+                    "TLS: " + files.certificate() + " and " + files.key() + ": " + cause(e), e);
         }
     }
 
-    /** A client that trusts the authorities; with a certificate of its own where the files name one. */
+    /**
+     * A client that trusts the authorities; with a certificate of its own where the files name one.
+     */
     public static SslContext client(Pem files) throws IOException {
         try {
-            SslContextBuilder b = SslContextBuilder.forClient().sslProvider(SslProvider.JDK).protocols(PROTOCOL);
+            SslContextBuilder b =
+                    SslContextBuilder.forClient().sslProvider(SslProvider.JDK).protocols(PROTOCOL);
             if (files.authorities() != null) {
                 b.trustManager(readable(files.authorities()).toFile());
             }
             if (files.certificate() != null) {
-                b.keyManager(readable(files.certificate()).toFile(), readable(files.key()).toFile());
+                b.keyManager(
+                        readable(files.certificate()).toFile(), readable(files.key()).toFile());
             }
             return b.build();
         } catch (SSLException | IllegalArgumentException e) {
@@ -78,7 +97,10 @@
         return deepest.getMessage() == null ? deepest.toString() : deepest.getMessage();
     }
 
-    /** The common name of the peer's certificate, checked against the authorities by the handshake; null for none. */
+    /**
+     * The common name of the peer's certificate, checked against the authorities by the handshake;
+     * null for none.
+     */
     public static String peer(SSLSession session) {
         try {
             for (Certificate c : session.getPeerCertificates()) {
@@ -92,7 +114,8 @@
 
     static String commonName(X509Certificate certificate) {
         try {
-            for (Rdn rdn : new LdapName(certificate.getSubjectX500Principal().getName()).getRdns()) {
+            for (Rdn rdn :
+                    new LdapName(certificate.getSubjectX500Principal().getName()).getRdns()) {
                 if (rdn.getType().equalsIgnoreCase("CN")) {
                     return rdn.getValue().toString();
                 }
--- a/security/src/test/java/thornferry/security/SecurityTest.java
+++ b/security/src/test/java/thornferry/security/SecurityTest.java
@@ -13,8 +13,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class SecurityTest {
-    @TempDir
-    Path directory;
+    @TempDir Path directory;
 
     @Test
     void aHashIsSaltedAndMatchesItsPasscodeAlone() {
@@ -39,7 +38,8 @@
 
     @Test
     void bcryptIsUnderstood() {
-        String hash = new org.springframework.security.crypto.bcrypt.BCryptPasswordEncoder(4).encode("x");
+        String hash =
+                new org.springframework.security.crypto.bcrypt.BCryptPasswordEncoder(4).encode("x");
         assertThat(Passcodes.isHash(hash)).isTrue();
         assertThat(Passcodes.matches("x", hash)).isTrue();
         assertThat(Passcodes.matches("y", hash)).isFalse();
@@ -48,21 +48,39 @@
     @Test
     void makesAnAuthorityAndWhatItSigns() throws IOException {
         Keys keys = new Keys(directory);
-        assertThatThrownBy(() -> keys.issue("placer", Keys.Use.SERVER, List.of("localhost"), Duration.ofDays(1)))
-            .hasMessageContaining("make an authority first");
+        assertThatThrownBy(
+                        () ->
+                                keys.issue(
+                                        "placer",
+                                        Keys.Use.SERVER,
+                                        List.of("localhost"),
+                                        Duration.ofDays(1)))
+                .hasMessageContaining("make an authority first");
         keys.init("site", Duration.ofDays(3_650));
-        assertThatThrownBy(() -> keys.init("site", Duration.ofDays(1))).hasMessageContaining("there is an authority");
-        keys.issue("placer", Keys.Use.SERVER, List.of("localhost", "127.0.0.1"), Duration.ofDays(90));
+        assertThatThrownBy(() -> keys.init("site", Duration.ofDays(1)))
+                .hasMessageContaining("there is an authority");
+        keys.issue(
+                "placer", Keys.Use.SERVER, List.of("localhost", "127.0.0.1"), Duration.ofDays(90));
         keys.issue("depot1", Keys.Use.OWNER, List.of(), Duration.ofDays(30));
-        assertThat(keys.list()).extracting(Keys.Entry::name).containsExactly("ca", "depot1", "placer");
-        assertThat(keys.list()).extracting(Keys.Entry::use).containsExactly("authority", "owner", "server");
+        assertThat(keys.list())
+                .extracting(Keys.Entry::name)
+                .containsExactly("ca", "depot1", "placer");
+        assertThat(keys.list())
+                .extracting(Keys.Entry::use)
+                .containsExactly("authority", "owner", "server");
         assertThat(keys.list()).allMatch(Keys.Entry::oursStill);
-        assertThat(Files.getPosixFilePermissions(keys.key("placer"))).isEqualTo(PosixFilePermissions.fromString(
-            "rw-------"));
-        assertThat(Tls.server(new Tls.Pem(keys.certificate("placer"), keys.key("placer"), keys.authority()),
-            Tls.Clients.WANTED)).isNotNull();
+        assertThat(Files.getPosixFilePermissions(keys.key("placer")))
+                .isEqualTo(PosixFilePermissions.fromString("rw-------"));
+        assertThat(
+                        Tls.server(
+                                new Tls.Pem(
+                                        keys.certificate("placer"),
+                                        keys.key("placer"),
+                                        keys.authority()),
+                                Tls.Clients.WANTED))
+                .isNotNull();
         assertThatThrownBy(() -> keys.issue("../x", Keys.Use.OWNER, List.of(), Duration.ofDays(1)))
-            .hasMessageContaining("a name has");
+                .hasMessageContaining("a name has");
     }
 
     @Test
@@ -86,7 +104,11 @@
         keys.init("site", Duration.ofDays(1));
         Files.writeString(keys.certificate("odd"), "this is no certificate");
         assertThatThrownBy(keys::list).hasMessageContaining("odd.pem");
-        assertThatThrownBy(() -> Tls.server(new Tls.Pem(keys.certificate("odd"), keys.key("odd"), null),
-            Tls.Clients.NONE)).hasMessageContaining("odd.key");
+        assertThatThrownBy(
+                        () ->
+                                Tls.server(
+                                        new Tls.Pem(keys.certificate("odd"), keys.key("odd"), null),
+                                        Tls.Clients.NONE))
+                .hasMessageContaining("odd.key");
     }
 }
--- a/settings/src/main/java/thornferry/settings/SettingsReader.java
+++ b/settings/src/main/java/thornferry/settings/SettingsReader.java
@@ -6,21 +6,47 @@
 import java.util.Map;
 import thornferry.decisions.Placement.*;
 
-/** Reads the settings object, for every way in: the simulator's wire and the configuration of a placer. */
+/**
+ * Reads the settings object, for every way in: the simulator's wire and the configuration of a
+ * placer.
+ */
 public final class SettingsReader {
-    private static final Map<String, Effect> EFFECTS = Map.of("read_like", Effect.SAFE,
-        "idempotency_key", Effect.KEYED, "non_idempotent", Effect.UNSAFE);
-    private static final Map<String, Scope> SCOPES = Map.of("off", Scope.NONE, "machine", Scope.MACHINE,
-        "cell", Scope.CELL, "zone", Scope.ZONE, "all", Scope.ALL);
-    private static final Map<String, Reports> REPORTS = Map.of("off", Reports.NONE, "inline", Reports.WITH_ANSWERS,
-        "on_probe", Reports.ON_PROBE);
+    private static final Map<String, Effect> EFFECTS =
+            Map.of(
+                    "read_like",
+                    Effect.SAFE,
+                    "idempotency_key",
+                    Effect.KEYED,
+                    "non_idempotent",
+                    Effect.UNSAFE);
+    private static final Map<String, Scope> SCOPES =
+            Map.of(
+                    "off",
+                    Scope.NONE,
+                    "machine",
+                    Scope.MACHINE,
+                    "cell",
+                    Scope.CELL,
+                    "zone",
+                    Scope.ZONE,
+                    "all",
+                    Scope.ALL);
+    private static final Map<String, Reports> REPORTS =
+            Map.of(
+                    "off",
+                    Reports.NONE,
+                    "inline",
+                    Reports.WITH_ANSWERS,
+                    "on_probe",
+                    Reports.ON_PROBE);
 
-    private SettingsReader() { }
+    private SettingsReader() {}
 
     /**
      * Reads the settings object.
      *
-     * @param c    the object, as an instance gets it at its start; keys that are not known are passed over
+     * @param c the object, as an instance gets it at its start; keys that are not known are passed
+     *     over
      * @param seed of the module's random numbers
      * @throws SettingsException naming the setting that is missing or cannot be
      */
@@ -36,27 +62,54 @@
         JsonNode price = c.path("prices");
         JsonNode rules = c.path("rules");
         try {
-            return new Settings(seed, need(c, "myNumber").intValue(),
-                need(c, "instances").intValue(), c.path("zone").asText(), classes(c, info), kinds(c, info),
-                tenants(c, info), chosen(REPORTS, load, "how", Reports.NONE), reportNames,
-                info.path("counts").asText().equals("used"), info.path("view").asBoolean(),
-                c.path("discovery").asText().equals("ask"), info.path("confirms").asText().equals("running"),
-                info.path("useNotes").asBoolean(), info.path("displaces").asBoolean(),
-                info.path("oneHome").asBoolean(), info.path("admitCores").asDouble(1),
-                info.path("acceptsMemory").asDouble(1), info.path("meanCores").asDouble(1),
-                info.path("usualMemory").asDouble(1), c.path("overShareWorth").asDouble(1),
-                info.path("ownerWait").asLong(),
-                new Prices(price.path("fleet").asDouble(), price.path("moves").asDouble(),
-                    price.path("waste").asDouble(), price.path("crossZone").asDouble(),
-                    price.path("probe").asDouble(), price.path("discovery").asDouble(),
-                    info.path("turnedDownPrice").asDouble(), info.path("evictionAsMoves").asDouble()),
-                new Rules(rules.path("graceToAnswer").asLong(), rules.path("stopSendingWithin").asLong(),
-                    rules.path("mustAskIn").asLong(), rules.path("coldFrom").asDouble(),
-                    rules.path("rampTime").asLong(), rules.path("fallMultiple").asDouble(),
-                    rules.path("fall").asLong(), info.path("coldSends").asDouble()),
-                new Limits(limits.path("probes").asBoolean(), limits.path("cancelling").asBoolean(),
-                    limits.path("retryAfter").asBoolean(), limits.path("secondCopies").asBoolean(),
-                    need(limits, "mostTries").intValue(), limits.path("maxRetryAfter").asLong()));
+            return new Settings(
+                    seed,
+                    need(c, "myNumber").intValue(),
+                    need(c, "instances").intValue(),
+                    c.path("zone").asText(),
+                    classes(c, info),
+                    kinds(c, info),
+                    tenants(c, info),
+                    chosen(REPORTS, load, "how", Reports.NONE),
+                    reportNames,
+                    info.path("counts").asText().equals("used"),
+                    info.path("view").asBoolean(),
+                    c.path("discovery").asText().equals("ask"),
+                    info.path("confirms").asText().equals("running"),
+                    info.path("useNotes").asBoolean(),
+                    info.path("displaces").asBoolean(),
+                    info.path("oneHome").asBoolean(),
+                    info.path("admitCores").asDouble(1),
+                    info.path("acceptsMemory").asDouble(1),
+                    info.path("meanCores").asDouble(1),
+                    info.path("usualMemory").asDouble(1),
+                    c.path("overShareWorth").asDouble(1),
+                    info.path("ownerWait").asLong(),
+                    new Prices(
+                            price.path("fleet").asDouble(),
+                            price.path("moves").asDouble(),
+                            price.path("waste").asDouble(),
+                            price.path("crossZone").asDouble(),
+                            price.path("probe").asDouble(),
+                            price.path("discovery").asDouble(),
+                            info.path("turnedDownPrice").asDouble(),
+                            info.path("evictionAsMoves").asDouble()),
+                    new Rules(
+                            rules.path("graceToAnswer").asLong(),
+                            rules.path("stopSendingWithin").asLong(),
+                            rules.path("mustAskIn").asLong(),
+                            rules.path("coldFrom").asDouble(),
+                            rules.path("rampTime").asLong(),
+                            rules.path("fallMultiple").asDouble(),
+                            rules.path("fall").asLong(),
+                            info.path("coldSends").asDouble()),
+                    new Limits(
+                            limits.path("probes").asBoolean(),
+                            limits.path("cancelling").asBoolean(),
+                            limits.path("retryAfter").asBoolean(),
+                            limits.path("secondCopies").asBoolean(),
+                            need(limits, "mostTries").intValue(),
+                            limits.path("maxRetryAfter").asLong()));
         } catch (IllegalArgumentException e) {
             throw new SettingsException(e.getMessage());
         }
@@ -66,14 +119,24 @@
         List<TaskClass> classes = new ArrayList<>();
         for (JsonNode g : c.path("grades")) {
             int i = classes.size();
-            classes.add(new TaskClass(need(g, "name").asText(), chosen(EFFECTS, g, "effect", null),
-                chosen(SCOPES, g, "keyScope", Scope.ALL), g.path("memorySpan").asLong(), g.path("aim").asLong(),
-                need(g, "deadline").asLong(), g.path("importance").asDouble(1), g.path("lateWorth").asDouble(),
-                info.path("classStartS").path(i).asDouble(), info.path("calmLevel").path(i).asDouble(1),
-                info.path("fadesOver").path(i).asDouble(1), info.path("classPriority").path(i).asInt(),
-                info.path("needsKind").path(i).asInt(-1),
-                SCOPES.getOrDefault(info.path("classSpread").path(i).asText("off"), Scope.NONE),
-                info.path("spreadMost").path(i).asInt()));
+            classes.add(
+                    new TaskClass(
+                            need(g, "name").asText(),
+                            chosen(EFFECTS, g, "effect", null),
+                            chosen(SCOPES, g, "keyScope", Scope.ALL),
+                            g.path("memorySpan").asLong(),
+                            g.path("aim").asLong(),
+                            need(g, "deadline").asLong(),
+                            g.path("importance").asDouble(1),
+                            g.path("lateWorth").asDouble(),
+                            info.path("classStartS").path(i).asDouble(),
+                            info.path("calmLevel").path(i).asDouble(1),
+                            info.path("fadesOver").path(i).asDouble(1),
+                            info.path("classPriority").path(i).asInt(),
+                            info.path("needsKind").path(i).asInt(-1),
+                            SCOPES.getOrDefault(
+                                    info.path("classSpread").path(i).asText("off"), Scope.NONE),
+                            info.path("spreadMost").path(i).asInt()));
         }
         return classes;
     }
@@ -82,8 +145,11 @@
         List<MachineKind> kinds = new ArrayList<>();
         for (JsonNode name : c.path("hostTypes")) {
             int i = kinds.size();
-            kinds.add(new MachineKind(name.asText(), info.path("sizeCores").path(i).asDouble(),
-                info.path("memOfKind").path(i).asDouble()));
+            kinds.add(
+                    new MachineKind(
+                            name.asText(),
+                            info.path("sizeCores").path(i).asDouble(),
+                            info.path("memOfKind").path(i).asDouble()));
         }
         return kinds;
     }
@@ -91,8 +157,11 @@
     private static List<Tenant> tenants(JsonNode c, JsonNode info) {
         List<Tenant> tenants = new ArrayList<>();
         for (JsonNode t : c.path("projects")) {
-            tenants.add(new Tenant(t.path("name").asText(), t.path("share").asDouble(),
-                info.path("shareCores").path(tenants.size()).asDouble()));
+            tenants.add(
+                    new Tenant(
+                            t.path("name").asText(),
+                            t.path("share").asDouble(),
+                            info.path("shareCores").path(tenants.size()).asDouble()));
         }
         return tenants;
     }
--- a/standin/src/main/java/thornferry/standin/Auditor.java
+++ b/standin/src/main/java/thornferry/standin/Auditor.java
@@ -16,22 +16,32 @@
 import thornferry.protocol.Destinations;
 
 /**
- * Judges the five rules from a capture alone. It knows the protocol and nothing of the placer: what a placer may have
- * known at a moment is taken from the frames that had passed by then.
+ * Judges the five rules from a capture alone. It knows the protocol and nothing of the placer: what
+ * a placer may have known at a moment is taken from the frames that had passed by then.
  */
 public final class Auditor {
-    /** @param rule 1 to 5, or 0 where the capture itself cannot be read; @param line of the capture, from 1 */
-    public record Breach(int rule, long line, long at, String what) { }
+    /**
+     * @param rule 1 to 5, or 0 where the capture itself cannot be read; @param line of the capture,
+     *     from 1
+     */
+    public record Breach(int rule, long line, long at, String what) {}
 
     /** What a capture held, for the reader to see that it was not an empty one. */
-    public record Verdict(List<Breach> breaches, long lines, long asks, long results, long offers, long starts) {
+    public record Verdict(
+            List<Breach> breaches, long lines, long asks, long results, long offers, long starts) {
         public boolean clean() {
             return breaches.isEmpty();
         }
     }
 
-    private record TaskClass(String name, String effect, String keyScope, long keyWindow, long deadline,
-                             String spread, int spreadMost) { }
+    private record TaskClass(
+            String name,
+            String effect,
+            String keyScope,
+            long keyWindow,
+            long deadline,
+            String spread,
+            int spreadMost) {}
 
     private static final class Link {
         String placer;
@@ -104,17 +114,22 @@
         final List<Long> coldOffers = new ArrayList<>();
     }
 
-    /** Two attempts of one task seen out at once: a breach, unless either is given up within the slack. */
-    private record TwoOut(Attempt one, Attempt other, Breach breach) { }
+    /**
+     * Two attempts of one task seen out at once: a breach, unless either is given up within the
+     * slack.
+     */
+    private record TwoOut(Attempt one, Attempt other, Breach breach) {}
 
-    private record Started(String attempt, long at, String zone) { }
+    private record Started(String attempt, long at, String zone) {}
 
     /**
-     * A result may be on its way this much longer than the rule's own grace; microseconds. And frames on different
-     * connections have no order among themselves within it: a placer that gives an attempt up and then offers the
-     * task elsewhere may be seen to do the two the other way round.
+     * A result may be on its way this much longer than the rule's own grace; microseconds. And
+     * frames on different connections have no order among themselves within it: a placer that gives
+     * an attempt up and then offers the task elsewhere may be seen to do the two the other way
+     * round.
      */
     private final long slack;
+
     private final List<Breach> breaches = new ArrayList<>();
     private final Map<String, TaskClass> classes = new HashMap<>();
     private final Map<Long, Link> links = new HashMap<>();
@@ -123,14 +138,18 @@
     private final Map<String, Task> taskOf = new HashMap<>(); // by attempt
     private final Map<String, Node> nodes = new HashMap<>();
     private final Map<String, Long> draining = new HashMap<>(); // placer/node -> told at
-    private final Map<String, Set<Attempt>> spread = new HashMap<>(); // placer/service -> live attempts
+    private final Map<String, Set<Attempt>> spread =
+            new HashMap<>(); // placer/service -> live attempts
     private final Map<String, Started> unsafeStarts = new HashMap<>(); // owner/task
     private final Map<String, List<Started>> keyedStarts = new HashMap<>(); // class/key
-    private final Map<String, String> news = new HashMap<>(); // by placer/message-id, as one may go to several sessions
+    private final Map<String, String> news =
+            new HashMap<>(); // by placer/message-id, as one may go to several sessions
     private final Set<String> ran = new HashSet<>(); // attempts seen to run
     private final List<TwoOut> unlessGivenUp = new ArrayList<>();
-    private final Map<String, Long> pausedUntil = new HashMap<>(); // by placer: the script stood it still
-    private final Map<String, String> promised = new HashMap<>(); // placer/owner/task -> result, over kills
+    private final Map<String, Long> pausedUntil =
+            new HashMap<>(); // by placer: the script stood it still
+    private final Map<String, String> promised =
+            new HashMap<>(); // placer/owner/task -> result, over kills
     private boolean lasting;
     private JsonNode rules;
     private long line;
@@ -144,7 +163,9 @@
         this.slack = slack;
     }
 
-    /** @param slack how much later than the rule's own grace a result may be recorded; microseconds */
+    /**
+     * @param slack how much later than the rule's own grace a result may be recorded; microseconds
+     */
     public static Verdict audit(Path capture, long slack) throws IOException {
         Auditor auditor = new Auditor(slack);
         try (BufferedReader in = Files.newBufferedReader(capture)) {
@@ -184,7 +205,8 @@
                 } else if (row.path("what").asText().equals("placer-paused")) {
                     pausedUntil.put(row.path("placer").asText(), row.path("until").asLong());
                 } else if (row.path("what").asText().equals("slow-reader")) {
-                    links.getOrDefault(row.path("link").asLong(), new Link()).slowUntil = row.path("until").asLong();
+                    links.getOrDefault(row.path("link").asLong(), new Link()).slowUntil =
+                            row.path("until").asLong();
                 }
             }
             case "frame" -> frame(row);
@@ -209,9 +231,19 @@
     private void site(JsonNode row) {
         rules = row.path("rules");
         lasting = row.path("lasting").asBoolean();
-        row.path("classes").forEach(c -> classes.put(c.path("name").asText(), new TaskClass(c.path("name").asText(),
-            c.path("effect").asText(), c.path("keyScope").asText(), c.path("keyWindow").asLong(),
-            c.path("deadline").asLong(), c.path("spread").asText(), c.path("spreadMost").asInt())));
+        row.path("classes")
+                .forEach(
+                        c ->
+                                classes.put(
+                                        c.path("name").asText(),
+                                        new TaskClass(
+                                                c.path("name").asText(),
+                                                c.path("effect").asText(),
+                                                c.path("keyScope").asText(),
+                                                c.path("keyWindow").asLong(),
+                                                c.path("deadline").asLong(),
+                                                c.path("spread").asText(),
+                                                c.path("spreadMost").asInt())));
     }
 
     private void closed(long number) {
@@ -223,7 +255,8 @@
 
     private void brokenOff(Link link, long number) {
         if (link.node != null) {
-            // the answer is broken off: an outcome that proves nothing. No withdrawal can be seen any more, so whether
+            // the answer is broken off: an outcome that proves nothing. No withdrawal can be seen
+            // any more, so whether
             // the placer waited for more proof than it must cannot either
             for (Attempt a : attempts.values()) {
                 // an acceptance so late may lie unread in the placer's buffers
@@ -269,19 +302,21 @@
                     case Destinations.ANSWERS -> answered(link, body);
                     case Destinations.DRAIN -> {
                         if (body.path("on").asBoolean()) {
-                            draining.putIfAbsent(link.placer + "/" + body.path("node").asText(), now);
+                            draining.putIfAbsent(
+                                    link.placer + "/" + body.path("node").asText(), now);
                         } else {
                             draining.remove(link.placer + "/" + body.path("node").asText());
                         }
                     }
-                    default -> { }
+                    default -> {}
                 }
             }
             case "RECEIPT" -> receipt(link, h.path("receipt-id").asText());
             case "ERROR" -> {
                 link.ended = true;
                 brokenOff(link, number);
-                Task refusedAsk = tasks.get(link.asked.getOrDefault(h.path("receipt-id").asText(), ""));
+                Task refusedAsk =
+                        tasks.get(link.asked.getOrDefault(h.path("receipt-id").asText(), ""));
                 if (refusedAsk != null && refusedAsk.asks == 1 && refusedAsk.results == 0) {
                     refusedAsk.waits = false; // not taken
                 }
@@ -290,7 +325,11 @@
                 if (!up && destination.equals(Destinations.RESULTS)) {
                     told(link, h);
                 } else if (!up && body.has("offer")) {
-                    offered(link, number, Destinations.nodeOfOffers(destination), body.path("offer"));
+                    offered(
+                            link,
+                            number,
+                            Destinations.nodeOfOffers(destination),
+                            body.path("offer"));
                 } else if (!up && body.has("withdraw")) {
                     Attempt a = attempts.get(body.path("withdraw").path("attempt").asText());
                     if (a != null) {
@@ -299,7 +338,7 @@
                     }
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -330,7 +369,8 @@
             t.due = Math.max(now, pausedUntil.getOrDefault(link.placer, 0L)) + t.patience;
             t.taken = false;
         } else if (t.waits && !links.containsKey(t.link)) {
-            // its answer may have gone to the connection that broke, and harmless as it was, this is a new ask
+            // its answer may have gone to the connection that broke, and harmless as it was, this
+            // is a new ask
             t.patience = patience(body, cls);
             t.due = Math.max(t.due, now + t.patience);
             t.taken = false;
@@ -339,11 +379,15 @@
     }
 
     private long patience(JsonNode body, TaskClass cls) {
-        long patience = body.has("patienceMs") ? body.path("patienceMs").asLong() * 1_000 : cls.deadline();
+        long patience =
+                body.has("patienceMs") ? body.path("patienceMs").asLong() * 1_000 : cls.deadline();
         return Math.min(patience, rules.path("mostPatience").asLong(Long.MAX_VALUE / 4));
     }
 
-    /** The placer has taken the ask by now, so that patience counts from here: it may have stood still before. */
+    /**
+     * The placer has taken the ask by now, so that patience counts from here: it may have stood
+     * still before.
+     */
     private void receipt(Link link, String receipt) {
         Task t = tasks.get(link.asked.getOrDefault(receipt, ""));
         if (t != null && t.waits && !t.taken) {
@@ -352,29 +396,51 @@
         }
     }
 
-    /** Its place is gone, so that its owner may ask anew; not for one that must never start twice. */
+    /**
+     * Its place is gone, so that its owner may ask anew; not for one that must never start twice.
+     */
     private static boolean gone(Task t) {
         return !t.cls.effect().equals("UNSAFE")
-            && (t.event.equals("lost") || t.event.equals("evicted") || t.event.equals("moved"));
+                && (t.event.equals("lost") || t.event.equals("evicted") || t.event.equals("moved"));
     }
 
     private void told(Link link, JsonNode h) {
         Task t = tasks.get(link.placer + "/" + link.login + "/" + h.path("task").asText());
         if (t == null) {
             if (!h.has("event")) {
-                breach(1, "a result for task " + h.path("task").asText() + ", which " + link.login + " never asked for");
+                breach(
+                        1,
+                        "a result for task "
+                                + h.path("task").asText()
+                                + ", which "
+                                + link.login
+                                + " never asked for");
             }
             return;
         }
-        String says = h.path("task").asText() + " " + h.path("result").asText() + h.path("event").asText();
+        String says =
+                h.path("task").asText()
+                        + " "
+                        + h.path("result").asText()
+                        + h.path("event").asText();
         String before = news.putIfAbsent(link.placer + "/" + h.path("message-id").asText(), says);
         if (before != null && !before.equals(says)) {
-            breach(1, "message " + h.path("message-id").asText() + " says '" + says + "' to one session of " + link.login
-                + " and '" + before + "' to another");
+            breach(
+                    1,
+                    "message "
+                            + h.path("message-id").asText()
+                            + " says '"
+                            + says
+                            + "' to one session of "
+                            + link.login
+                            + " and '"
+                            + before
+                            + "' to another");
         }
         boolean seen = before != null;
         if (h.has("repeat") && h.has("result") && t.waits) {
-            // the first telling went to a connection that broke: this is the one that its owner gets
+            // the first telling went to a connection that broke: this is the one that its owner
+            // gets
             t.waits = false;
             t.result = h.path("result").asText();
         }
@@ -392,13 +458,21 @@
         if (t.results > t.asks) {
             breach(1, t.name() + " has " + t.results + " results for " + t.asks + " asks");
         }
-        long due = Math.max(t.due, pausedUntil.getOrDefault(link.placer, 0L)); // one that stood still could not answer
+        long due =
+                Math.max(
+                        t.due,
+                        pausedUntil.getOrDefault(
+                                link.placer, 0L)); // one that stood still could not answer
         long late = now - due - rules.path("answerGrace").asLong() - slack;
         if (t.waits && late > 0 && link.since < t.due && link.slowUntil + slack < now) {
             breach(1, t.name() + ": its result came " + late / 1_000 + " ms too late");
         }
         if (result.equals("refused") && !harmless(t)) {
-            breach(2, t.name() + " was refused, which says that trying again is harmless, but an attempt may have run");
+            breach(
+                    2,
+                    t.name()
+                            + " was refused, which says that trying again is harmless, but an"
+                            + " attempt may have run");
         }
         t.waits = false;
         t.result = result;
@@ -406,9 +480,13 @@
         t.chain.clear();
     }
 
-    /** Where promises outlast a kill, an unsafe task's result after it is the one told before it. */
+    /**
+     * Where promises outlast a kill, an unsafe task's result after it is the one told before it.
+     */
     private void lasts(Task t, String result) {
-        if (lasting && t.cls.effect().equals("UNSAFE") && (result.equals("placed") || result.equals("failed"))) {
+        if (lasting
+                && t.cls.effect().equals("UNSAFE")
+                && (result.equals("placed") || result.equals("failed"))) {
             String before = promised.putIfAbsent(t.placer + "/" + t.owner + "/" + t.id, result);
             if (before != null && !before.equals(result)) {
                 breach(1, t.name() + " is told " + result + " after it was told " + before);
@@ -419,8 +497,9 @@
     /** Where a later ask is on its way already, offers of this moment may be that one's. */
     private boolean harmless(Task t) {
         long before = t.asks > t.results ? now - slack : Long.MAX_VALUE;
-        return t.cls.effect().equals("SAFE") || t.cls.effect().equals("KEYED") && t.cls.keyScope().equals("ALL")
-            || t.chain.stream().allMatch(a -> a.never || a.at >= before);
+        return t.cls.effect().equals("SAFE")
+                || t.cls.effect().equals("KEYED") && t.cls.keyScope().equals("ALL")
+                || t.chain.stream().allMatch(a -> a.never || a.at >= before);
     }
 
     // ---- rule 2: no effect twice; and what an offer means for the other rules ----
@@ -428,28 +507,67 @@
         offers++;
         JsonNode task = offer.path("task");
         String id = offer.path("attempt").asText();
-        Task t = tasks.get(link.placer + "/" + offer.path("owner").asText() + "/" + task.path("id").asText());
+        Task t =
+                tasks.get(
+                        link.placer
+                                + "/"
+                                + offer.path("owner").asText()
+                                + "/"
+                                + task.path("id").asText());
         if (t == null) {
-            breach(1, "task " + task.path("id").asText() + " is offered to " + node + " but nobody asked for it");
+            breach(
+                    1,
+                    "task "
+                            + task.path("id").asText()
+                            + " is offered to "
+                            + node
+                            + " but nobody asked for it");
             return;
         }
         boolean askedMeanwhile = t.asks > t.results && (t.result.equals("refused") || gone(t));
-        // frames of two connections have no order within the slack: an offer just before the result may pass after it
+        // frames of two connections have no order within the slack: an offer just before the result
+        // may pass after it
         if (!t.waits && !askedMeanwhile && now - t.answeredAt > slack) {
             breach(1, t.name() + " is offered to " + node + " after its result " + t.result);
         }
         Attempt a = new Attempt(id, node, now, number);
         for (Attempt earlier : t.chain) {
             if (!earlier.over) {
-                unlessGivenUp.add(new TwoOut(earlier, a, new Breach(2, line, now, t.name() + " is offered to " + node
-                    + " while its attempt on " + earlier.node + " is out")));
+                unlessGivenUp.add(
+                        new TwoOut(
+                                earlier,
+                                a,
+                                new Breach(
+                                        2,
+                                        line,
+                                        now,
+                                        t.name()
+                                                + " is offered to "
+                                                + node
+                                                + " while its attempt on "
+                                                + earlier.node
+                                                + " is out")));
             } else if (!earlier.never && t.cls.effect().equals("UNSAFE")) {
-                breach(2, t.name() + " is offered to " + node + " though it may have run on " + earlier.node);
+                breach(
+                        2,
+                        t.name()
+                                + " is offered to "
+                                + node
+                                + " though it may have run on "
+                                + earlier.node);
             } else if (!earlier.never && t.cls.effect().equals("KEYED")) {
                 boolean group = sameGroup(t.cls.keyScope(), earlier.node, node);
                 if (!group || now - earlier.at > t.cls.keyWindow()) {
-                    breach(2, t.name() + " may have run on " + earlier.node + " and is offered to " + node
-                        + (group ? " after its key's window" : " outside the group that drops its repeats"));
+                    breach(
+                            2,
+                            t.name()
+                                    + " may have run on "
+                                    + earlier.node
+                                    + " and is offered to "
+                                    + node
+                                    + (group
+                                            ? " after its key's window"
+                                            : " outside the group that drops its repeats"));
                 }
             }
         }
@@ -503,7 +621,7 @@
                 a.settled = true;
                 over(a);
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -537,9 +655,11 @@
                 breach(2, t.name() + " started twice: " + before.attempt() + " and " + attempt);
             }
         } else if (t.cls.effect().equals("KEYED")) {
-            List<Started> same = keyedStarts.computeIfAbsent(t.cls.name() + "/" + t.key, k -> new ArrayList<>());
+            List<Started> same =
+                    keyedStarts.computeIfAbsent(t.cls.name() + "/" + t.key, k -> new ArrayList<>());
             for (Started s : same) {
-                // the hall's memory began after the first was sent, and the second was looked at before it ran
+                // the hall's memory began after the first was sent, and the second was looked at
+                // before it ran
                 if (s.zone().equals(zone) && now - s.at() < t.cls.keyWindow()) {
                     breach(2, "key " + t.key + " started twice in " + zone + " within its window");
                 }
@@ -573,7 +693,10 @@
         }
         for (Attempt a : attempts.values()) {
             Task t = taskOf.get(a.id);
-            if (!a.node.equals(name) || a.settled || a.link == number || !t.placer.equals(link.placer)) {
+            if (!a.node.equals(name)
+                    || a.settled
+                    || a.link == number
+                    || !t.placer.equals(link.placer)) {
                 continue;
             }
             if (newLife) {
@@ -591,8 +714,16 @@
     private void drained(Link link, String node, Task t) {
         Long told = draining.get(link.placer + "/" + node);
         if (told != null && now - told > rules.path("drainGrace").asLong()) {
-            breach(3, t.name() + " is offered to " + node + ", which drains, " + (now - told) / 1_000
-                + " ms after " + link.placer + " was told");
+            breach(
+                    3,
+                    t.name()
+                            + " is offered to "
+                            + node
+                            + ", which drains, "
+                            + (now - told) / 1_000
+                            + " ms after "
+                            + link.placer
+                            + " was told");
         }
     }
 
@@ -606,12 +737,26 @@
         node.coldOffers.removeIf(at -> at <= now - window);
         node.coldOffers.add(now);
         double from = rules.path("coldFrom").asDouble();
-        double pace = from + (1 - from) * Math.max(0, now - node.startedAt) / (double) Math.max(1, ramp);
-        double bears = Math.max(rules.path("coldOffers").asDouble(), rules.path("coldMultiple").asDouble() * pace
-            * rules.path("startsPerSecond").asDouble() * window / 1e6);
+        double pace =
+                from + (1 - from) * Math.max(0, now - node.startedAt) / (double) Math.max(1, ramp);
+        double bears =
+                Math.max(
+                        rules.path("coldOffers").asDouble(),
+                        rules.path("coldMultiple").asDouble()
+                                * pace
+                                * rules.path("startsPerSecond").asDouble()
+                                * window
+                                / 1e6);
         if (node.coldOffers.size() > bears) {
-            breach(4, name + " is cold and was offered " + node.coldOffers.size() + " tasks within "
-                + window / 1_000 + " ms; it bears " + (long) bears);
+            breach(
+                    4,
+                    name
+                            + " is cold and was offered "
+                            + node.coldOffers.size()
+                            + " tasks within "
+                            + window / 1_000
+                            + " ms; it bears "
+                            + (long) bears);
         }
     }
 
@@ -619,12 +764,23 @@
         if (t.cls.spread().equals("NONE") || t.cls.spread().isEmpty()) {
             return;
         }
-        Set<Attempt> live = spread.computeIfAbsent(link.placer + "/" + t.service, s -> new HashSet<>());
+        Set<Attempt> live =
+                spread.computeIfAbsent(link.placer + "/" + t.service, s -> new HashSet<>());
         live.add(a);
         long there = live.stream().filter(x -> sameGroup(t.cls.spread(), x.node, node)).count();
         if (there > t.cls.spreadMost()) {
-            breach(5, "service " + t.service + " has " + there + " tasks in the " + t.cls.spread().toLowerCase()
-                + " of " + node + "; its class allows " + t.cls.spreadMost());
+            breach(
+                    5,
+                    "service "
+                            + t.service
+                            + " has "
+                            + there
+                            + " tasks in the "
+                            + t.cls.spread().toLowerCase()
+                            + " of "
+                            + node
+                            + "; its class allows "
+                            + t.cls.spreadMost());
         }
     }
 
@@ -633,8 +789,15 @@
         long lines = line;
         confirm(Long.MAX_VALUE);
         for (Task t : tasks.values()) {
-            boolean listens = links.values().stream().anyMatch(l -> l.results && t.owner.equals(l.login)
-                && l.placer.equals(t.placer) && l.since < Math.min(t.due, now - slack) && l.slowUntil + slack < now);
+            boolean listens =
+                    links.values().stream()
+                            .anyMatch(
+                                    l ->
+                                            l.results
+                                                    && t.owner.equals(l.login)
+                                                    && l.placer.equals(t.placer)
+                                                    && l.since < Math.min(t.due, now - slack)
+                                                    && l.slowUntil + slack < now);
             // without its receipt, an ask on a connection that broke may never have been read
             boolean taken = t.taken || links.containsKey(t.link);
             boolean past = now > t.due + rules.path("answerGrace").asLong() + slack;
--- a/standin/src/main/java/thornferry/standin/Capture.java
+++ b/standin/src/main/java/thornferry/standin/Capture.java
@@ -29,9 +29,10 @@
 import thornferry.state.Durability;
 
 /**
- * Writes what passed on the sockets as JSON lines, in the order in which the relay passed it on. Each line has
- * {@code t}, microseconds since the capture began, and {@code k}: {@code site} (the rules it is judged by),
- * {@code open}, {@code close}, {@code frame}, or {@code mark} (what a script did). Safe for use by several threads.
+ * Writes what passed on the sockets as JSON lines, in the order in which the relay passed it on.
+ * Each line has {@code t}, microseconds since the capture began, and {@code k}: {@code site} (the
+ * rules it is judged by), {@code open}, {@code close}, {@code frame}, or {@code mark} (what a
+ * script did). Safe for use by several threads.
  */
 public final class Capture implements Closeable {
     static final ObjectMapper JSON = new ObjectMapper();
@@ -77,17 +78,32 @@
      */
     public void site(Site site, double startsPerSecond) {
         Placement.Settings m = site.module();
-        ObjectNode line = JSON.createObjectNode().put("k", "site")
-            .put("lasting", site.state().durability() != Durability.NONE);
-        line.putObject("rules").put("answerGrace", m.rules().answerGrace()).put("drainGrace", m.rules().drainGrace())
-            .put("ramp", m.rules().rampTime()).put("coldFrom", m.rules().coldFrom())
-            .put("coldMultiple", m.rules().coldMultiple()).put("coldWindow", m.rules().coldWindow())
-            .put("coldOffers", m.rules().coldOffers()).put("mostPatience", site.intake().mostPatience())
-            .put("startsPerSecond", startsPerSecond);
+        ObjectNode line =
+                JSON.createObjectNode()
+                        .put("k", "site")
+                        .put("lasting", site.state().durability() != Durability.NONE);
+        line.putObject("rules")
+                .put("answerGrace", m.rules().answerGrace())
+                .put("drainGrace", m.rules().drainGrace())
+                .put("ramp", m.rules().rampTime())
+                .put("coldFrom", m.rules().coldFrom())
+                .put("coldMultiple", m.rules().coldMultiple())
+                .put("coldWindow", m.rules().coldWindow())
+                .put("coldOffers", m.rules().coldOffers())
+                .put("mostPatience", site.intake().mostPatience())
+                .put("startsPerSecond", startsPerSecond);
         ArrayNode classes = line.putArray("classes");
-        m.classes().forEach(c -> classes.addObject().put("name", c.name()).put("effect", c.effect().name())
-            .put("keyScope", c.keyScope().name()).put("keyWindow", c.keyWindow()).put("deadline", c.deadline())
-            .put("spread", c.spread().name()).put("spreadMost", c.spreadMost()));
+        m.classes()
+                .forEach(
+                        c ->
+                                classes.addObject()
+                                        .put("name", c.name())
+                                        .put("effect", c.effect().name())
+                                        .put("keyScope", c.keyScope().name())
+                                        .put("keyWindow", c.keyWindow())
+                                        .put("deadline", c.deadline())
+                                        .put("spread", c.spread().name())
+                                        .put("spreadMost", c.spreadMost()));
         write(line);
     }
 
@@ -98,14 +114,23 @@
 
     /** The relay itself holds back what goes to this link's peer, for so long; microseconds. */
     void slow(long link, String placer, long micros) {
-        write(JSON.createObjectNode().put("k", "mark").put("what", "slow-reader").put("placer", placer)
-            .put("link", link).put("until", now() + micros));
+        write(
+                JSON.createObjectNode()
+                        .put("k", "mark")
+                        .put("what", "slow-reader")
+                        .put("placer", placer)
+                        .put("link", link)
+                        .put("until", now() + micros));
     }
 
     /** The script stands a placer still for so long; microseconds. */
     void paused(String placer, long micros) {
-        write(JSON.createObjectNode().put("k", "mark").put("what", "placer-paused").put("placer", placer)
-            .put("until", now() + micros));
+        write(
+                JSON.createObjectNode()
+                        .put("k", "mark")
+                        .put("what", "placer-paused")
+                        .put("placer", placer)
+                        .put("until", now() + micros));
     }
 
     void opened(long link, String placer) {
@@ -116,16 +141,27 @@
         write(JSON.createObjectNode().put("k", "close").put("link", link).put("placer", placer));
     }
 
-    /** @param up from client or node to placer */
+    /**
+     * @param up from client or node to placer
+     */
     void frame(long link, String placer, boolean up, Frame frame) {
-        ObjectNode line = JSON.createObjectNode().put("k", "frame").put("link", link).put("placer", placer)
-            .put("dir", up ? "up" : "down").put("cmd", frame.command().name());
+        ObjectNode line =
+                JSON.createObjectNode()
+                        .put("k", "frame")
+                        .put("link", link)
+                        .put("placer", placer)
+                        .put("dir", up ? "up" : "down")
+                        .put("cmd", frame.command().name());
         ObjectNode headers = line.putObject("h");
-        frame.headers().forEach(h -> {
-            if (!headers.has(h.getKey()) && !h.getKey().equals("passcode")) { // the first of repeats counts
-                headers.put(h.getKey(), h.getValue());
-            }
-        });
+        frame.headers()
+                .forEach(
+                        h -> {
+                            if (!headers.has(h.getKey())
+                                    && !h.getKey()
+                                            .equals("passcode")) { // the first of repeats counts
+                                headers.put(h.getKey(), h.getValue());
+                            }
+                        });
         if (frame.body().length > 0) {
             line.set("b", body(frame, up));
         }
--- a/standin/src/main/java/thornferry/standin/Child.java
+++ b/standin/src/main/java/thornferry/standin/Child.java
@@ -12,8 +12,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * A process of our own with this program's classes, that can be killed as the system kills (SIGKILL) and stood still
- * (SIGSTOP). It ends by itself when its parent does.
+ * A process of our own with this program's classes, that can be killed as the system kills
+ * (SIGKILL) and stood still (SIGSTOP). It ends by itself when its parent does.
  */
 final class Child {
     private static final long FAILURES_EVERY_MS = 500;
@@ -27,24 +27,44 @@
         this.port = port;
     }
 
-    /** Starts one and waits until it serves; {@code failures} hears what its {@link #serve} counts. */
+    /**
+     * Starts one and waits until it serves; {@code failures} hears what its {@link #serve} counts.
+     */
     static Child start(Class<?> main, List<String> args, LongConsumer failures) throws IOException {
-        List<String> command = new ArrayList<>(List.of(System.getProperty("java.home") + "/bin/java", "-Xmx512m",
-            "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"), main.getName()));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                System.getProperty("java.home") + "/bin/java",
+                                "-Xmx512m",
+                                "-XX:+UseSerialGC",
+                                "-XX:TieredStopAtLevel=1",
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                main.getName()));
         command.addAll(args);
-        Process process = new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.INHERIT).start();
-        BufferedReader out = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
+        Process process =
+                new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.INHERIT).start();
+        BufferedReader out =
+                new BufferedReader(
+                        new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
         for (String line = out.readLine(); line != null; line = out.readLine()) {
             if (line.startsWith("serves ")) {
-                Thread reader = new Thread(() -> {
-                    try (out) {
-                        for (String l = out.readLine(); l != null; l = out.readLine()) {
-                            failures.accept(l.startsWith("failures ") ? Long.parseLong(l.substring(9)) : 0);
-                        }
-                    } catch (IOException e) {
-                        // it was killed, and the pipe closed
-                    }
-                });
+                Thread reader =
+                        new Thread(
+                                () -> {
+                                    try (out) {
+                                        for (String l = out.readLine();
+                                                l != null;
+                                                l = out.readLine()) {
+                                            failures.accept(
+                                                    l.startsWith("failures ")
+                                                            ? Long.parseLong(l.substring(9))
+                                                            : 0);
+                                        }
+                                    } catch (IOException e) {
+                                        // it was killed, and the pipe closed
+                                    }
+                                });
                 reader.setDaemon(true);
                 reader.start();
                 return new Child(process, Integer.parseInt(line.substring(7)));
@@ -54,22 +74,28 @@
         throw new IOException("a process ended before it served: " + String.join(" ", args));
     }
 
-    /** In the child: says that it serves, then each new count of failures, until the parent's end of the pipe closes. */
+    /**
+     * In the child: says that it serves, then each new count of failures, until the parent's end of
+     * the pipe closes.
+     */
     static void serve(int port, LongSupplier failures) throws IOException, InterruptedException {
-        Thread parent = new Thread(() -> {
-            try {
-                while (System.in.read() >= 0) {
-                    continue; // nothing is ever written to it: only its end is awaited
-                }
-            } catch (IOException e) {
-                // as good as the end
-            }
-            Runtime.getRuntime().halt(0);
-        });
+        Thread parent =
+                new Thread(
+                        () -> {
+                            try {
+                                while (System.in.read() >= 0) {
+                                    continue; // nothing is ever written to it: only its end is
+                                    // awaited
+                                }
+                            } catch (IOException e) {
+                                // as good as the end
+                            }
+                            Runtime.getRuntime().halt(0);
+                        });
         parent.setDaemon(true);
         parent.start();
         System.out.println("serves " + port);
-        for (long told = 0;;) {
+        for (long told = 0; ; ) {
             long now = failures.getAsLong();
             if (now > told) {
                 System.out.println("failures " + (now - told));
@@ -101,7 +127,9 @@
     /** Stands it still, or lets it go on. */
     void pause(boolean on) {
         try {
-            new ProcessBuilder("kill", on ? "-STOP" : "-CONT", Long.toString(process.pid())).start().waitFor();
+            new ProcessBuilder("kill", on ? "-STOP" : "-CONT", Long.toString(process.pid()))
+                    .start()
+                    .waitFor();
         } catch (IOException e) {
             throw new IllegalStateException("no kill command", e);
         } catch (InterruptedException e) {
--- a/standin/src/main/java/thornferry/standin/Day.java
+++ b/standin/src/main/java/thornferry/standin/Day.java
@@ -41,9 +41,9 @@
 import thornferry.state.Durability;
 
 /**
- * Plays a scripted day: placers in processes of their own, nodes and clients on loopback, a relay on every connection,
- * troubles at their times.
- * Everything is recorded in a capture; whether the rules held is the {@link Auditor}'s to say.
+ * Plays a scripted day: placers in processes of their own, nodes and clients on loopback, a relay
+ * on every connection, troubles at their times. Everything is recorded in a capture; whether the
+ * rules held is the {@link Auditor}'s to say.
  */
 public final class Day {
     private static final Logger LOG = LoggerFactory.getLogger(Day.class);
@@ -51,6 +51,7 @@
     private static final String OPERATOR = "day-operator";
     private static final String PASSCODE = "day";
     private static final long KILL_AGAIN_MS = 200;
+
     /** Killed sooner after its start, a process would have done nothing worth a kill. */
     private static final long UP_LEAST_MS = 1_500;
 
@@ -78,11 +79,21 @@
     }
 
     /** What the day came to, as its clients saw it. */
-    public record Outcome(long tasks, long asks, long placed, long refused, long failed, long unanswered, long ended,
-                          long evicted, long lost, long moduleFailures) { }
+    public record Outcome(
+            long tasks,
+            long asks,
+            long placed,
+            long refused,
+            long failed,
+            long unanswered,
+            long ended,
+            long evicted,
+            long lost,
+            long moduleFailures) {}
 
     /** Plays the whole day; takes as long as the file says. */
-    public static Outcome play(DayFile file, Path captureFile) throws IOException, InterruptedException {
+    public static Outcome play(DayFile file, Path captureFile)
+            throws IOException, InterruptedException {
         Path work = Files.createTempDirectory("thornferry-day");
         try (Capture capture = new Capture(captureFile)) {
             Day day = new Day(file, capture, work);
@@ -108,23 +119,40 @@
 
     private static Site.TlsFiles tls(Path folder) {
         Keys keys = new Keys(folder);
-        return new Site.TlsFiles(new Tls.Pem(keys.certificate("placer"), keys.key("placer"), keys.authority()),
-            Tls.Clients.NONE);
+        return new Site.TlsFiles(
+                new Tls.Pem(keys.certificate("placer"), keys.key("placer"), keys.authority()),
+                Tls.Clients.NONE);
     }
 
     private Outcome play() throws IOException, InterruptedException {
-        double startsPerSecond = file.fleets().stream().mapToDouble(f -> f.behaviour().startsAtOnce() * 1e6
-            / Math.max(1, f.behaviour().start() * f.behaviour().startFactor())).min().orElse(0);
+        double startsPerSecond =
+                file.fleets().stream()
+                        .mapToDouble(
+                                f ->
+                                        f.behaviour().startsAtOnce()
+                                                * 1e6
+                                                / Math.max(
+                                                        1,
+                                                        f.behaviour().start()
+                                                                * f.behaviour().startFactor()))
+                        .min()
+                        .orElse(0);
         capture.site(file.site().site(), startsPerSecond);
-        MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+        MultiThreadIoEventLoopGroup loops =
+                new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
         AgentPool pool = new AgentPool(2, trusting);
         try {
             List<SocketAddress> dialled = new ArrayList<>();
             for (int p = 0; p < file.placers(); p++) {
                 Child placer = placer(p);
                 placers.add(placer);
-                relays.add(new Relay("p" + p, placer.address(), capture, tls == null ? null : Tls.server(
-                    tls.files(), tls.clients()), trusting));
+                relays.add(
+                        new Relay(
+                                "p" + p,
+                                placer.address(),
+                                capture,
+                                tls == null ? null : Tls.server(tls.files(), tls.clients()),
+                                trusting));
                 dialled.add(relays.get(p).address());
             }
             if (file.nodeProcesses() == 0) {
@@ -134,15 +162,27 @@
                 nodeProcesses.add(nodeProcess(n, true));
             }
             Set<String> unsafe = new HashSet<>();
-            file.site().site().module().classes().stream().filter(c -> c.effect() == Placement.Effect.UNSAFE)
-                .forEach(c -> unsafe.add(c.name()));
+            file.site().site().module().classes().stream()
+                    .filter(c -> c.effect() == Placement.Effect.UNSAFE)
+                    .forEach(c -> unsafe.add(c.name()));
             for (int p = 0; p < file.placers(); p++) {
                 List<ClientConnection.Target> targets = new ArrayList<>();
                 for (int c = 0; c < file.clients(); c++) {
-                    targets.add(new ClientConnection.Target(relays.get(p).address(), "owner-" + c, PASSCODE,
-                        file.site().site().heartbeat(), trusting));
+                    targets.add(
+                            new ClientConnection.Target(
+                                    relays.get(p).address(),
+                                    "owner-" + c,
+                                    PASSCODE,
+                                    file.site().site().heartbeat(),
+                                    trusting));
                 }
-                Owners o = new Owners(loops.next(), targets, unsafe, "p" + p + "-t", file.seed() * 31 + p);
+                Owners o =
+                        new Owners(
+                                loops.next(),
+                                targets,
+                                unsafe,
+                                "p" + p + "-t",
+                                file.seed() * 31 + p);
                 owners.add(o);
             }
             Thread.sleep(500); // nodes and clients connect; asks before that would only be refused
@@ -166,9 +206,11 @@
         } finally {
             script.shutdownNow();
             script.awaitTermination(10, TimeUnit.SECONDS);
-            starting.shutdown(); // a process that starts at this moment is waited for, so as to be ended below
+            starting.shutdown(); // a process that starts at this moment is waited for, so as to be
+            // ended below
             starting.awaitTermination(30, TimeUnit.SECONDS);
-            // the capture ends before anything is torn down: what happens then is not part of the day
+            // the capture ends before anything is torn down: what happens then is not part of the
+            // day
             capture.close();
             owners.forEach(Owners::close);
             pool.close();
@@ -189,23 +231,45 @@
         for (int c = 0; c < file.clients(); c++) {
             accounts.add(new Account("owner-" + c, secret, Account.Role.OWNER, ""));
         }
-        Site site = s.asPlacer("p" + number, number, file.placers(), file.seed() * 97 + number, accounts);
+        Site site =
+                s.asPlacer(
+                        "p" + number, number, file.placers(), file.seed() * 97 + number, accounts);
         return keysFolder == null ? site : site.withTls(tls(keysFolder));
     }
 
-    /** @param mine tells by zone which nodes are to be started */
-    private static void nodes(DayFile file, AgentPool pool, List<SocketAddress> placers, Predicate<String> mine,
-                              boolean warm) {
+    /**
+     * @param mine tells by zone which nodes are to be started
+     */
+    private static void nodes(
+            DayFile file,
+            AgentPool pool,
+            List<SocketAddress> placers,
+            Predicate<String> mine,
+            boolean warm) {
         int number = 0;
         for (DayFile.Fleet fleet : file.fleets()) {
             for (int i = 0; i < fleet.count(); i++) {
                 number++;
                 String zone = fleet.zones().get(i % fleet.zones().size());
                 if (mine.test(zone)) {
-                    NodeShape shape = new NodeShape(fleet.name() + "-" + number, fleet.kind().name(), zone, i,
-                        fleet.kind().cores(), fleet.kind().memory());
-                    pool.add(shape, fleet.behaviour(), placers, AGENT, PASSCODE, file.site().site().heartbeat(),
-                        file.seed() * 1_009 + number, NodeAgent.Watcher.NONE, warm);
+                    NodeShape shape =
+                            new NodeShape(
+                                    fleet.name() + "-" + number,
+                                    fleet.kind().name(),
+                                    zone,
+                                    i,
+                                    fleet.kind().cores(),
+                                    fleet.kind().memory());
+                    pool.add(
+                            shape,
+                            fleet.behaviour(),
+                            placers,
+                            AGENT,
+                            PASSCODE,
+                            file.site().site().heartbeat(),
+                            file.seed() * 1_009 + number,
+                            NodeAgent.Watcher.NONE,
+                            warm);
                 }
             }
         }
@@ -213,37 +277,72 @@
 
     // ---- processes of their own ----
     private Child placer(int number) throws IOException {
-        return Child.start(Day.class, List.of("placer", file.script().toString(), Long.toString(file.seed()),
-            Integer.toString(number), keysFolder == null ? "-" : keysFolder.toString(),
-            work.resolve("state" + number).toString(), file.site().site().state().durability().name()), failures -> moduleFailures.addAndGet(failures));
+        return Child.start(
+                Day.class,
+                List.of(
+                        "placer",
+                        file.script().toString(),
+                        Long.toString(file.seed()),
+                        Integer.toString(number),
+                        keysFolder == null ? "-" : keysFolder.toString(),
+                        work.resolve("state" + number).toString(),
+                        file.site().site().state().durability().name()),
+                failures -> moduleFailures.addAndGet(failures));
     }
 
     private Child nodeProcess(int number, boolean warm) throws IOException {
-        List<String> args = new ArrayList<>(List.of("nodes", file.script().toString(), Long.toString(file.seed()),
-            Integer.toString(number), keysFolder == null ? "-" : keysFolder.toString(), Boolean.toString(warm)));
+        List<String> args =
+                new ArrayList<>(
+                        List.of(
+                                "nodes",
+                                file.script().toString(),
+                                Long.toString(file.seed()),
+                                Integer.toString(number),
+                                keysFolder == null ? "-" : keysFolder.toString(),
+                                Boolean.toString(warm)));
         relays.forEach(r -> args.add(Integer.toString(r.address().getPort())));
-        return Child.start(Day.class, args, failures -> { });
+        return Child.start(Day.class, args, failures -> {});
     }
 
-    /** The child's side: one placer, or the nodes of some zones, until the parent ends or kills it. */
+    /**
+     * The child's side: one placer, or the nodes of some zones, until the parent ends or kills it.
+     */
     public static void main(String[] args) throws Exception {
         DayFile file = DayFile.read(Path.of(args[1])).withSeed(Long.parseLong(args[2]));
         int number = Integer.parseInt(args[3]);
         Path keysFolder = args[4].equals("-") ? null : Path.of(args[4]);
         if (args[0].equals("placer")) {
             Site.State state = new Site.State(Durability.valueOf(args[6]), Path.of(args[5]));
-            Placer placer = Placer.start(site(file, number, keysFolder).withState(state), "127.0.0.1", 0, 1);
-            Child.serve(placer.addresses().get(0).getPort(), () -> placer.totals().moduleFailures());
+            Placer placer =
+                    Placer.start(
+                            site(file, number, keysFolder).withState(state), "127.0.0.1", 0, 1);
+            Child.serve(
+                    placer.addresses().get(0).getPort(), () -> placer.totals().moduleFailures());
         } else {
-            AgentPool pool = new AgentPool(2, keysFolder == null ? null
-                : Tls.client(new Tls.Pem(null, null, new Keys(keysFolder).authority())));
+            AgentPool pool =
+                    new AgentPool(
+                            2,
+                            keysFolder == null
+                                    ? null
+                                    : Tls.client(
+                                            new Tls.Pem(
+                                                    null, null, new Keys(keysFolder).authority())));
             List<SocketAddress> placers = new ArrayList<>();
             for (String port : List.of(args).subList(6, args.length)) {
                 placers.add(new InetSocketAddress("127.0.0.1", Integer.parseInt(port)));
             }
-            List<String> zones = file.fleets().stream().flatMap(f -> f.zones().stream()).distinct().sorted().toList();
-            nodes(file, pool, placers, zone -> zones.indexOf(zone) % file.nodeProcesses() == number,
-                Boolean.parseBoolean(args[5]));
+            List<String> zones =
+                    file.fleets().stream()
+                            .flatMap(f -> f.zones().stream())
+                            .distinct()
+                            .sorted()
+                            .toList();
+            nodes(
+                    file,
+                    pool,
+                    placers,
+                    zone -> zones.indexOf(zone) % file.nodeProcesses() == number,
+                    Boolean.parseBoolean(args[5]));
             Child.serve(0, () -> 0);
         }
     }
@@ -251,7 +350,12 @@
     private void trouble(DayFile.Trouble t, AgentPool pool) {
         try {
             List<NodeAgent> struck = struck(t, pool);
-            LOG.info("trouble: {} part {} for {} ms, {} nodes", t.kind(), t.part(), t.millis(), struck.size());
+            LOG.info(
+                    "trouble: {} part {} for {} ms, {} nodes",
+                    t.kind(),
+                    t.part(),
+                    t.millis(),
+                    struck.size());
             switch (t.kind()) {
                 case CRASH -> struck.forEach(n -> n.crash(t.millis()));
                 case PAUSE -> struck.forEach(n -> n.pause(t.millis()));
@@ -260,13 +364,17 @@
                         capture.paused("p" + p, t.millis() * 1_000);
                         Child placer = placers.get(p);
                         placer.pause(true);
-                        script.schedule(() -> placer.pause(false), t.millis(), TimeUnit.MILLISECONDS);
+                        script.schedule(
+                                () -> placer.pause(false), t.millis(), TimeUnit.MILLISECONDS);
                     }
                 }
                 case MUTE -> struck.forEach(n -> n.mute(t.taskClass(), t.millis()));
                 case ANSWERS_LOST -> {
                     struck.forEach(n -> n.loseAnswers(t.factor()));
-                    script.schedule(() -> struck.forEach(n -> n.loseAnswers(0)), t.millis(), TimeUnit.MILLISECONDS);
+                    script.schedule(
+                            () -> struck.forEach(n -> n.loseAnswers(0)),
+                            t.millis(),
+                            TimeUnit.MILLISECONDS);
                 }
                 case PREEMPT -> struck.forEach(n -> n.preempt((int) t.factor()));
                 case SURGE -> {
@@ -286,8 +394,10 @@
                 case SLOW_READER -> relays.forEach(r -> r.slowReader(t.part(), t.millis(), random));
                 case DRAIN -> {
                     struck.forEach(n -> drain(n.shape().node(), true));
-                    script.schedule(() -> struck.forEach(n -> drain(n.shape().node(), false)), t.millis(),
-                        TimeUnit.MILLISECONDS);
+                    script.schedule(
+                            () -> struck.forEach(n -> drain(n.shape().node(), false)),
+                            t.millis(),
+                            TimeUnit.MILLISECONDS);
                 }
             }
         } catch (RuntimeException e) {
@@ -295,7 +405,10 @@
         }
     }
 
-    /** Exactly the part asked for, rounded up, drawn from the seed: a trouble that strikes nothing tests nothing. */
+    /**
+     * Exactly the part asked for, rounded up, drawn from the seed: a trouble that strikes nothing
+     * tests nothing.
+     */
     private List<NodeAgent> struck(DayFile.Trouble t, AgentPool pool) {
         List<NodeAgent> nodes = new ArrayList<>(pool.nodes());
         nodes.removeIf(n -> !t.zone().isEmpty() && !n.shape().zone().equals(t.zone()));
@@ -313,17 +426,23 @@
     private void killPlacer(int p, long downMs) {
         Child placer = placers.get(p);
         if (placer.upForMs() < UP_LEAST_MS) {
-            script.schedule(() -> killPlacer(p, downMs), KILL_AGAIN_MS, TimeUnit.MILLISECONDS); // once it is up again
+            script.schedule(
+                    () -> killPlacer(p, downMs),
+                    KILL_AGAIN_MS,
+                    TimeUnit.MILLISECONDS); // once it is up again
             return;
         }
         placer.kill();
         relays.get(p).closeAll();
         capture.mark("placer-killed", "p" + p);
-        again("placer " + p, downMs, () -> {
-            Child anew = placer(p);
-            placers.set(p, anew);
-            relays.get(p).target(anew.address());
-        });
+        again(
+                "placer " + p,
+                downMs,
+                () -> {
+                    Child anew = placer(p);
+                    placers.set(p, anew);
+                    relays.get(p).target(anew.address());
+                });
     }
 
     private void killNodes(int n, long downMs) {
@@ -342,38 +461,53 @@
     }
 
     private void again(String what, long downMs, Start start) {
-        script.schedule(() -> starting.execute(() -> {
-            try {
-                start.start();
-            } catch (IOException e) {
-                LOG.error("{} could not be started again", what, e);
-            }
-        }), downMs, TimeUnit.MILLISECONDS);
+        script.schedule(
+                () ->
+                        starting.execute(
+                                () -> {
+                                    try {
+                                        start.start();
+                                    } catch (IOException e) {
+                                        LOG.error("{} could not be started again", what, e);
+                                    }
+                                }),
+                downMs,
+                TimeUnit.MILLISECONDS);
     }
 
-    /** As an operator would, with each placer; through the relays, so that it is recorded when each is told. */
+    /**
+     * As an operator would, with each placer; through the relays, so that it is recorded when each
+     * is told.
+     */
     private void drain(String node, boolean on) {
         for (Relay relay : relays) {
             InetSocketAddress at = relay.address();
-            MultiThreadIoEventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-            ClientConnection.open(loop.next(), new ClientConnection.Target(at, OPERATOR, PASSCODE,
-                file.site().site().heartbeat(), trusting), FrameLimits.USUAL, new ClientConnection.Listener() {
-                    @Override
-                    public void connected(ClientConnection c) {
-                        c.request(Destinations.DRAIN, Drain.newBuilder().setNode(node).setOn(on).build(),
-                            error -> c.disconnect());
-                    }
+            MultiThreadIoEventLoopGroup loop =
+                    new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+            ClientConnection.open(
+                    loop.next(),
+                    new ClientConnection.Target(
+                            at, OPERATOR, PASSCODE, file.site().site().heartbeat(), trusting),
+                    FrameLimits.USUAL,
+                    new ClientConnection.Listener() {
+                        @Override
+                        public void connected(ClientConnection c) {
+                            c.request(
+                                    Destinations.DRAIN,
+                                    Drain.newBuilder().setNode(node).setOn(on).build(),
+                                    error -> c.disconnect());
+                        }
 
-                    @Override
-                    public void message(ClientConnection c, Frame frame) {
-                        // none is subscribed to
-                    }
+                        @Override
+                        public void message(ClientConnection c, Frame frame) {
+                            // none is subscribed to
+                        }
 
-                    @Override
-                    public void closed(ClientConnection c, String why) {
-                        loop.shutdownGracefully(0, 1, TimeUnit.SECONDS);
-                    }
-                });
+                        @Override
+                        public void closed(ClientConnection c, String why) {
+                            loop.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+                        }
+                    });
         }
     }
 
@@ -391,6 +525,7 @@
             s[7] += t.evicted();
             s[8] += t.lost();
         }
-        return new Outcome(s[0], s[1], s[2], s[3], s[4], s[5], s[6], s[7], s[8], moduleFailures.get());
+        return new Outcome(
+                s[0], s[1], s[2], s[3], s[4], s[5], s[6], s[7], s[8], moduleFailures.get());
     }
 }
--- a/standin/src/main/java/thornferry/standin/DayFile.java
+++ b/standin/src/main/java/thornferry/standin/DayFile.java
@@ -14,43 +14,107 @@
 import thornferry.state.Durability;
 
 /**
- * A scripted day: a site's configuration with a fleet, traffic and troubles at times beside it, in one TOML file.
- * {@code examples/days} holds some.
+ * A scripted day: a site's configuration with a fleet, traffic and troubles at times beside it, in
+ * one TOML file. {@code examples/days} holds some.
  *
- * @param seconds  of traffic; the day then goes on for {@code quiet} seconds, so that what is in hand is answered
- * @param tls      whether everything passes over TLS, with passcodes kept as hashes
- * @param script   where it was read from; the placers' processes read it again
- * @param placers  each a process of its own, with a relay of its own
- * @param nodeProcesses that the nodes are spread over, those of one zone in the same; 0 for none but this one
+ * @param seconds of traffic; the day then goes on for {@code quiet} seconds, so that what is in
+ *     hand is answered
+ * @param tls whether everything passes over TLS, with passcodes kept as hashes
+ * @param script where it was read from; the placers' processes read it again
+ * @param placers each a process of its own, with a relay of its own
+ * @param nodeProcesses that the nodes are spread over, those of one zone in the same; 0 for none
+ *     but this one
  */
-public record DayFile(Path script, SiteFile site, int seconds, int quiet, long seed, int placers, int nodeProcesses,
-                      int clients, double vanishEvery, boolean tls, List<Fleet> fleets, List<Traffic> traffic,
-                      List<Trouble> troubles) {
+public record DayFile(
+        Path script,
+        SiteFile site,
+        int seconds,
+        int quiet,
+        long seed,
+        int placers,
+        int nodeProcesses,
+        int clients,
+        double vanishEvery,
+        boolean tls,
+        List<Fleet> fleets,
+        List<Traffic> traffic,
+        List<Trouble> troubles) {
     /** The same day with other chances. */
     public DayFile withSeed(long other) {
-        return new DayFile(script, site, seconds, quiet, other, placers, nodeProcesses, clients, vanishEvery, tls, fleets,
-            traffic, troubles);
+        return new DayFile(
+                script,
+                site,
+                seconds,
+                quiet,
+                other,
+                placers,
+                nodeProcesses,
+                clients,
+                vanishEvery,
+                tls,
+                fleets,
+                traffic,
+                troubles);
     }
 
     /** The same day with placers that keep their promises so durably. */
     public DayFile withDurability(Durability durability) {
         Site kept = site.site().withState(new Site.State(durability, Path.of("state")));
-        return new DayFile(script, new SiteFile(kept, site.host(), site.port(), site.instances()), seconds, quiet, seed,
-            placers, nodeProcesses, clients, vanishEvery, tls, fleets, traffic, troubles);
+        return new DayFile(
+                script,
+                new SiteFile(kept, site.host(), site.port(), site.instances()),
+                seconds,
+                quiet,
+                seed,
+                placers,
+                nodeProcesses,
+                clients,
+                vanishEvery,
+                tls,
+                fleets,
+                traffic,
+                troubles);
     }
 
     /** So many nodes of a kind, in the zones in turn. */
-    public record Fleet(String name, int count, Placement.MachineKind kind, List<String> zones,
-                        Behaviour behaviour) { }
+    public record Fleet(
+            String name,
+            int count,
+            Placement.MachineKind kind,
+            List<String> zones,
+            Behaviour behaviour) {}
 
-    /** Tasks of a class, a Poisson stream; sizes, run times and services are drawn. Milliseconds. */
-    public record Traffic(String taskClass, double perSecond, int services, double coresLeast, double coresMost,
-                          double memoryLeast, double memoryMost, long runsLeast, long runsMost, Long patience,
-                          int asks) { }
+    /**
+     * Tasks of a class, a Poisson stream; sizes, run times and services are drawn. Milliseconds.
+     */
+    public record Traffic(
+            String taskClass,
+            double perSecond,
+            int services,
+            double coresLeast,
+            double coresMost,
+            double memoryLeast,
+            double memoryMost,
+            long runsLeast,
+            long runsMost,
+            Long patience,
+            int asks) {}
 
-    /** What goes wrong, when, for how long (from {@code millis} to {@code most}, drawn anew each time) and for which part. */
-    public record Trouble(double at, Kind kind, double part, long millis, long most, long every, String zone,
-                          String taskClass, double factor, int times) { }
+    /**
+     * What goes wrong, when, for how long (from {@code millis} to {@code most}, drawn anew each
+     * time) and for which part.
+     */
+    public record Trouble(
+            double at,
+            Kind kind,
+            double part,
+            long millis,
+            long most,
+            long every,
+            String zone,
+            String taskClass,
+            double factor,
+            int times) {}
 
     /** The troubles that a script may hold. */
     public enum Kind {
@@ -62,7 +126,10 @@
         PLACER_PAUSE,
         /** Nodes leave one class unanswered for the time, while they serve the others. */
         MUTE,
-        /** For the time, this part (factor) of the acceptances of the nodes is lost while the work runs. */
+        /**
+         * For the time, this part (factor) of the acceptances of the nodes is lost while the work
+         * runs.
+         */
         ANSWERS_LOST,
         /** Nodes push out tasks, each as many as {@code factor}. */
         PREEMPT,
@@ -74,7 +141,10 @@
         VANISH,
         /** A placer's process is killed (SIGKILL) and started again after the time. */
         PLACER_KILL,
-        /** A process with nodes is killed; its nodes come back cold after the time. Needs node-processes. */
+        /**
+         * A process with nodes is killed; its nodes come back cold after the time. Needs
+         * node-processes.
+         */
         NODE_KILL,
         /** A placer's and a nodes' process are killed in the same moment. */
         BOTH_KILL,
@@ -100,7 +170,9 @@
         return of(path, TomlFile.read(path));
     }
 
-    /** @param script null where it stands in no file: it can then be checked, not played */
+    /**
+     * @param script null where it stands in no file: it can then be checked, not played
+     */
     static DayFile of(Path script, TomlFile file) throws ConfigException {
         Section root = file.root();
         Section day = root.table("day");
@@ -121,8 +193,12 @@
         // read before the site, whose reading raises every complaint of the file at once
         List<String[]> kindOf = new ArrayList<>();
         for (Section s : fleets) {
-            kindOf.add(new String[] {s.text("kind", null), s.text("name", "node"), s.text("zones", "hall-a")});
-            fleet.add(new Fleet("", s.whole("count", 1, 100_000, 1), null, List.of(), behaviour(s)));
+            kindOf.add(
+                    new String[] {
+                        s.text("kind", null), s.text("name", "node"), s.text("zones", "hall-a")
+                    });
+            fleet.add(
+                    new Fleet("", s.whole("count", 1, 100_000, 1), null, List.of(), behaviour(s)));
         }
         if (fleets.isEmpty()) {
             root.complain("fleet", "a fleet of none: at least one [[fleet]] is needed");
@@ -131,11 +207,21 @@
             double cores = s.number("cores-least", 1e-3, 1e6, 0.5);
             double memory = s.number("memory-least", 1e-3, 1e6, 1);
             long runs = (long) s.number("runs-least-ms", 1, 1e9, 1_000);
-            streams.add(new Traffic(s.text("class", null), s.number("per-second", 0.001, 1e6, 1),
-                s.whole("services", 1, 10_000, 4), cores, s.number("cores-most", cores, 1e6, cores), memory,
-                s.number("memory-most", memory, 1e6, memory), runs, (long) s.number("runs-most-ms", runs, 1e9, runs),
-                s.has("patience-ms") ? (Long) (long) s.number("patience-ms", 0, 1e9, 0) : null,
-                s.whole("asks", 1, 100, 4)));
+            streams.add(
+                    new Traffic(
+                            s.text("class", null),
+                            s.number("per-second", 0.001, 1e6, 1),
+                            s.whole("services", 1, 10_000, 4),
+                            cores,
+                            s.number("cores-most", cores, 1e6, cores),
+                            memory,
+                            s.number("memory-most", memory, 1e6, memory),
+                            runs,
+                            (long) s.number("runs-most-ms", runs, 1e9, runs),
+                            s.has("patience-ms")
+                                    ? (Long) (long) s.number("patience-ms", 0, 1e9, 0)
+                                    : null,
+                            s.whole("asks", 1, 100, 4)));
         }
         for (Section s : troubles) {
             Kind kind = s.choice("kind", Kind.class, null);
@@ -148,59 +234,131 @@
                 s.complain("class", "is missing: which class is left unanswered");
             }
             boolean processes = kind == Kind.NODE_KILL || kind == Kind.BOTH_KILL;
-            if (kind != null && processes != nodeProcesses > 0 && (processes || kind.strikesNodes())) {
-                s.complain("kind", processes ? "needs day.node-processes" : "strikes nodes of this process: day.node-processes"
-                    + " must be 0");
+            if (kind != null
+                    && processes != nodeProcesses > 0
+                    && (processes || kind.strikesNodes())) {
+                s.complain(
+                        "kind",
+                        processes
+                                ? "needs day.node-processes"
+                                : "strikes nodes of this process: day.node-processes"
+                                        + " must be 0");
             }
             long least = (long) s.number("for-ms", 0, 1e9, 1_000);
             long most = (long) s.number("for-most-ms", least, 1e9, least);
-            wrong.add(new Trouble(at, kind, s.number("part", 0, 1, 0.25), least, most,
-                (long) s.number("every-ms", 1, 1e9, Math.max(1, 2 * least)), s.text("zone", ""), taskClass,
-                s.number("factor", 0, 1_000, 1), s.whole("times", 1, 1_000, 1)));
+            wrong.add(
+                    new Trouble(
+                            at,
+                            kind,
+                            s.number("part", 0, 1, 0.25),
+                            least,
+                            most,
+                            (long) s.number("every-ms", 1, 1e9, Math.max(1, 2 * least)),
+                            s.text("zone", ""),
+                            taskClass,
+                            s.number("factor", 0, 1_000, 1),
+                            s.whole("times", 1, 1_000, 1)));
         }
         SiteFile site = SiteFile.of(file);
-        return new DayFile(script, site, seconds, quiet, seed, placers, nodeProcesses, clients, vanish, tls, named(file, site, fleets, fleet,
-            kindOf), known(file, site, traffic, streams), wrong);
+        return new DayFile(
+                script,
+                site,
+                seconds,
+                quiet,
+                seed,
+                placers,
+                nodeProcesses,
+                clients,
+                vanish,
+                tls,
+                named(file, site, fleets, fleet, kindOf),
+                known(file, site, traffic, streams),
+                wrong);
     }
 
     private static Behaviour behaviour(Section s) {
         Behaviour b = Behaviour.usual(Map.of());
-        return new Behaviour(s.millis("think-least-ms", 0, 60_000, 2), s.millis("think-most-ms", 0, 60_000, 8),
-            s.whole("queue", 1, 1_000_000, b.queue()), s.whole("starts-at-once", 1, 1_000_000, b.startsAtOnce()),
-            s.millis("start-ms", 0, 600_000, 60), s.number("start-factor", 1, 1_000, b.startFactor()),
-            s.whole("programs", 0, 10_000, b.programs()), b.ramp(), b.coldFrom(), b.coldMultiple(), b.coldWindow(),
-            b.coldOffers(), s.number("uses-least", 0, 10, b.usesLeast()), s.number("uses-most", 0, 10, b.usesMost()),
-            b.runsFor(), s.millis("uses-every-ms", 0, 600_000, 5_000), Map.of());
+        return new Behaviour(
+                s.millis("think-least-ms", 0, 60_000, 2),
+                s.millis("think-most-ms", 0, 60_000, 8),
+                s.whole("queue", 1, 1_000_000, b.queue()),
+                s.whole("starts-at-once", 1, 1_000_000, b.startsAtOnce()),
+                s.millis("start-ms", 0, 600_000, 60),
+                s.number("start-factor", 1, 1_000, b.startFactor()),
+                s.whole("programs", 0, 10_000, b.programs()),
+                b.ramp(),
+                b.coldFrom(),
+                b.coldMultiple(),
+                b.coldWindow(),
+                b.coldOffers(),
+                s.number("uses-least", 0, 10, b.usesLeast()),
+                s.number("uses-most", 0, 10, b.usesMost()),
+                b.runsFor(),
+                s.millis("uses-every-ms", 0, 600_000, 5_000),
+                Map.of());
     }
 
-    /** Fleets with their kinds, and with what the site says of cold nodes and keys: nodes and rules agree. */
-    private static List<Fleet> named(TomlFile file, SiteFile site, List<Section> sections, List<Fleet> fleets,
-                                     List<String[]> kinds) throws ConfigException {
+    /**
+     * Fleets with their kinds, and with what the site says of cold nodes and keys: nodes and rules
+     * agree.
+     */
+    private static List<Fleet> named(
+            TomlFile file,
+            SiteFile site,
+            List<Section> sections,
+            List<Fleet> fleets,
+            List<String[]> kinds)
+            throws ConfigException {
         Placement.Settings m = site.site().module();
         Placement.Rules r = m.rules();
         Map<String, Long> windows = new java.util.HashMap<>();
-        m.classes().stream().filter(c -> c.effect() == Placement.Effect.KEYED)
-            .forEach(c -> windows.put(c.name(), c.keyWindow()));
+        m.classes().stream()
+                .filter(c -> c.effect() == Placement.Effect.KEYED)
+                .forEach(c -> windows.put(c.name(), c.keyWindow()));
         List<Fleet> named = new ArrayList<>();
         for (int i = 0; i < fleets.size(); i++) {
             String[] words = kinds.get(i);
-            Placement.MachineKind kind = m.kinds().stream().filter(k -> k.name().equals(words[0])).findFirst()
-                .orElse(null);
+            Placement.MachineKind kind =
+                    m.kinds().stream()
+                            .filter(k -> k.name().equals(words[0]))
+                            .findFirst()
+                            .orElse(null);
             if (kind == null) {
                 sections.get(i).complain("kind", "no kind " + words[0] + " stands in this file");
             }
             Behaviour b = fleets.get(i).behaviour();
-            named.add(new Fleet(words[1], fleets.get(i).count(), kind, List.of(words[2].split(" *, *")),
-                new Behaviour(b.thinkLeast(), b.thinkMost(), b.queue(), b.startsAtOnce(), b.start(), b.startFactor(),
-                    b.programs(), r.rampTime(), Math.max(0.01, r.coldFrom()), r.coldMultiple(), r.coldWindow(),
-                    (int) r.coldOffers(), b.usesLeast(), b.usesMost(), b.runsFor(), b.usesEvery(), windows)));
+            named.add(
+                    new Fleet(
+                            words[1],
+                            fleets.get(i).count(),
+                            kind,
+                            List.of(words[2].split(" *, *")),
+                            new Behaviour(
+                                    b.thinkLeast(),
+                                    b.thinkMost(),
+                                    b.queue(),
+                                    b.startsAtOnce(),
+                                    b.start(),
+                                    b.startFactor(),
+                                    b.programs(),
+                                    r.rampTime(),
+                                    Math.max(0.01, r.coldFrom()),
+                                    r.coldMultiple(),
+                                    r.coldWindow(),
+                                    (int) r.coldOffers(),
+                                    b.usesLeast(),
+                                    b.usesMost(),
+                                    b.runsFor(),
+                                    b.usesEvery(),
+                                    windows)));
         }
         file.check();
         return named;
     }
 
-    private static List<Traffic> known(TomlFile file, SiteFile site, List<Section> sections, List<Traffic> traffic)
-        throws ConfigException {
+    private static List<Traffic> known(
+            TomlFile file, SiteFile site, List<Section> sections, List<Traffic> traffic)
+            throws ConfigException {
         for (int i = 0; i < traffic.size(); i++) {
             String name = traffic.get(i).taskClass();
             if (site.site().module().classes().stream().noneMatch(c -> c.name().equals(name))) {
--- a/standin/src/main/java/thornferry/standin/Load.java
+++ b/standin/src/main/java/thornferry/standin/Load.java
@@ -26,22 +26,33 @@
 import thornferry.protocol.v1.Task;
 
 /**
- * Open-loop load on running placers: tasks are due at times fixed beforehand, and latency counts from when a task was
- * due, so that a placer that falls behind cannot slow down those who measure it. Nodes are stand-ins of this process
- * that answer at once; bounded in time.
+ * Open-loop load on running placers: tasks are due at times fixed beforehand, and latency counts
+ * from when a task was due, so that a placer that falls behind cannot slow down those who measure
+ * it. Nodes are stand-ins of this process that answer at once; bounded in time.
  */
 public final class Load implements AutoCloseable {
     /**
-     * @param nodes  stand-in nodes to bring along; 0 where others run them
-     * @param cores  of each node, and {@code memory}, as the placers' configuration has them for {@code kind}
+     * @param nodes stand-in nodes to bring along; 0 where others run them
+     * @param cores of each node, and {@code memory}, as the placers' configuration has them for
+     *     {@code kind}
      * @param beatMs heart-beats of clients and nodes
      */
-    public record Fleet(int nodes, String kind, double cores, double memory, int beatMs) { }
+    public record Fleet(int nodes, String kind, double cores, double memory, int beatMs) {}
 
     /** Latencies are microseconds from when a task was due. Counts are of tasks. */
-    public record Report(double rate, long asked, long placed, long refused, long failed, long unanswered,
-                         long excluded, Histogram toOffer, Histogram toPromisedOffer,
-                         Histogram toResult, long levyTwice, double seconds) { }
+    public record Report(
+            double rate,
+            long asked,
+            long placed,
+            long refused,
+            long failed,
+            long unanswered,
+            long excluded,
+            Histogram toOffer,
+            Histogram toPromisedOffer,
+            Histogram toResult,
+            long levyTwice,
+            double seconds) {}
 
     private static final String[] HALLS = {"hall-a", "hall-b", "hall-c"};
     private static final int CLIENT_AWAY_MS = 300;
@@ -59,25 +70,49 @@
     private final double totalCores;
     private long number;
 
-    /** @param owners one client each, for the placers in turn */
-    public Load(List<SocketAddress> placers, List<String> owners, String passcode, String agent, Fleet fleet) {
+    /**
+     * @param owners one client each, for the placers in turn
+     */
+    public Load(
+            List<SocketAddress> placers,
+            List<String> owners,
+            String passcode,
+            String agent,
+            Fleet fleet) {
         loops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
         Heartbeat beat = new Heartbeat(fleet.beatMs(), fleet.beatMs());
         Behaviour behaviour = Behaviour.instant(Map.of("depot-sync", 5_000_000L));
         for (int i = 0; i < fleet.nodes(); i++) {
-            pool.add(new NodeShape("n" + i, fleet.kind(), HALLS[i % HALLS.length], i, fleet.cores(), fleet.memory()),
-                behaviour, placers, agent, passcode, beat, i, new Watch());
+            pool.add(
+                    new NodeShape(
+                            "n" + i,
+                            fleet.kind(),
+                            HALLS[i % HALLS.length],
+                            i,
+                            fleet.cores(),
+                            fleet.memory()),
+                    behaviour,
+                    placers,
+                    agent,
+                    passcode,
+                    beat,
+                    i,
+                    new Watch());
         }
         totalCores = fleet.cores() * Math.max(1, fleet.nodes());
         for (int i = 0; i < owners.size(); i++) {
-            clients.add(TaskClient.connect(new ClientConnection.Target(placers.get(i % placers.size()), owners.get(i),
-                passcode, beat), loops.next(), event -> { }));
+            clients.add(
+                    TaskClient.connect(
+                            new ClientConnection.Target(
+                                    placers.get(i % placers.size()), owners.get(i), passcode, beat),
+                            loops.next(),
+                            event -> {}));
         }
         vanishedAt = new long[clients.size()];
         java.util.Arrays.fill(vanishedAt, Long.MIN_VALUE / 2);
     }
 
-    private record Due(long at, int client) { }
+    private record Due(long at, int client) {}
 
     /** Whether the client was away, or about to vanish, when a task of that time was in hand. */
     private boolean away(int client, long at) {
@@ -109,7 +144,8 @@
 
         @Override
         public void said(String node, Answer answer) {
-            String task = answer.getKind() == Answer.Kind.RUNS ? levyOf.get(answer.getAttempt()) : null;
+            String task =
+                    answer.getKind() == Answer.Kind.RUNS ? levyOf.get(answer.getAttempt()) : null;
             if (task != null) {
                 levyStarts.computeIfAbsent(task, t -> new AtomicLong()).incrementAndGet();
             }
@@ -119,9 +155,10 @@
     /**
      * One step of load.
      *
-     * @param rate        tasks a second, over all clients
-     * @param vanishEvery a client drawn at random breaks off about so often, seconds; 0 for never. Tasks that were in
-     *                    hand then or asked for meanwhile are left out of the latencies and counted as excluded
+     * @param rate tasks a second, over all clients
+     * @param vanishEvery a client drawn at random breaks off about so often, seconds; 0 for never.
+     *     Tasks that were in hand then or asked for meanwhile are left out of the latencies and
+     *     counted as excluded
      */
     public Report run(double rate, int seconds, double vanishEvery) throws InterruptedException {
         toOffer = histogram();
@@ -148,16 +185,26 @@
                 open.incrementAndGet();
                 Task task = task(runsFor);
                 due.put(task.getId(), new Due(at, c));
-                clients.get(c).submit(task).whenComplete((news, e) -> {
-                    if (away(c, at)) {
-                        excluded.incrementAndGet();
-                    } else if (e == null) {
-                        toResult.recordValue(Math.max(0, (System.nanoTime() - at) / 1_000));
-                    }
-                    (e != null ? unanswered : news.getResult().equals("placed") ? placed
-                        : news.getResult().equals("refused") ? refused : failed).incrementAndGet();
-                    open.decrementAndGet();
-                });
+                clients.get(c)
+                        .submit(task)
+                        .whenComplete(
+                                (news, e) -> {
+                                    if (away(c, at)) {
+                                        excluded.incrementAndGet();
+                                    } else if (e == null) {
+                                        toResult.recordValue(
+                                                Math.max(0, (System.nanoTime() - at) / 1_000));
+                                    }
+                                    (e != null
+                                                    ? unanswered
+                                                    : news.getResult().equals("placed")
+                                                            ? placed
+                                                            : news.getResult().equals("refused")
+                                                                    ? refused
+                                                                    : failed)
+                                            .incrementAndGet();
+                                    open.decrementAndGet();
+                                });
                 next += exponential(1 / rate);
             }
             if (vanishEvery > 0 && nextVanish <= now) {
@@ -173,15 +220,36 @@
         }
         double took = (System.nanoTime() - begin) / 1e9;
         long twice = levyStarts.values().stream().filter(n -> n.get() > 1).count();
-        return new Report(rate, asked, placed.get(), refused.get(), failed.get(), unanswered.get() + open.get(),
-            excluded.get(), toOffer, toPromisedOffer, toResult, twice, took);
+        return new Report(
+                rate,
+                asked,
+                placed.get(),
+                refused.get(),
+                failed.get(),
+                unanswered.get() + open.get(),
+                excluded.get(),
+                toOffer,
+                toPromisedOffer,
+                toResult,
+                twice,
+                took);
     }
 
-    /** Asks for so many tasks that no node can ever take, and waits until they are with the placer. */
+    /**
+     * Asks for so many tasks that no node can ever take, and waits until they are with the placer.
+     */
     public void fill(int tasks) throws InterruptedException {
         for (int i = 0; i < tasks; i++) {
-            clients.get(i % clients.size()).submit(Task.newBuilder().setId("w" + i).setTaskClass("gauge-relay").setService("s")
-                .setCores(1_000).setMemory(1).setPatienceMs(600_000).build());
+            clients.get(i % clients.size())
+                    .submit(
+                            Task.newBuilder()
+                                    .setId("w" + i)
+                                    .setTaskClass("gauge-relay")
+                                    .setService("s")
+                                    .setCores(1_000)
+                                    .setMemory(1)
+                                    .setPatienceMs(600_000)
+                                    .build());
             if (i % 200 == 199) {
                 Thread.sleep(20);
             }
@@ -190,7 +258,9 @@
     }
 
     private long exponential(double seconds) {
-        return seconds <= 0 ? Long.MAX_VALUE / 4 : (long) (-Math.log(1 - random.nextDouble()) * seconds * 1e9);
+        return seconds <= 0
+                ? Long.MAX_VALUE / 4
+                : (long) (-Math.log(1 - random.nextDouble()) * seconds * 1e9);
     }
 
     /** Half gauge-relay, nearly half depot-sync, one in a hundred levy-run. */
@@ -199,9 +269,15 @@
         String cls = draw < 0.5 ? "gauge-relay" : draw < 0.99 ? "depot-sync" : "levy-run";
         String id = "l" + ++number;
         boolean large = cls.equals("levy-run");
-        return Task.newBuilder().setId(id).setTaskClass(cls).setService(cls + random.nextInt(8)).setKey("k" + id)
-            .setCores(large ? 8 : 0.5 + 0.25 * random.nextInt(4)).setMemory(large ? 16 : 1 + random.nextInt(2))
-            .setRunsForMs(large ? Math.min(2_000, 4 * runsFor) : runsFor).build();
+        return Task.newBuilder()
+                .setId(id)
+                .setTaskClass(cls)
+                .setService(cls + random.nextInt(8))
+                .setKey("k" + id)
+                .setCores(large ? 8 : 0.5 + 0.25 * random.nextInt(4))
+                .setMemory(large ? 16 : 1 + random.nextInt(2))
+                .setRunsForMs(large ? Math.min(2_000, 4 * runsFor) : runsFor)
+                .build();
     }
 
     @Override
