--- a/standin/src/main/java/thornferry/standin/Overload.java
+++ b/standin/src/main/java/thornferry/standin/Overload.java
@@ -21,25 +21,39 @@
 import thornferry.protocol.ClientConnection;
 import thornferry.protocol.Heartbeat;
 import thornferry.protocol.v1.Task;
-import thornferry.protocol.v1.TaskNews;
 
 /**
- * More asked for than can be placed, with the waiting line on and off: owners of three tenants that ask alike, though
- * their shares are not alike, and ask again when refused. One placer and stand-in nodes in this process, bounded in time.
+ * More asked for than can be placed, with the waiting line on and off: owners of three tenants that
+ * ask alike, though their shares are not alike, and ask again when refused. One placer and stand-in
+ * nodes in this process, bounded in time.
  */
 public final class Overload {
     /** A tenant and what it is entitled to. */
-    public record Tenant(String name, String owner, double share) { }
+    public record Tenant(String name, String owner, double share) {}
 
     /**
-     * What one run came to. Worth and core seconds are of tasks placed within the measured time, latencies of every answer,
-     * microseconds. {@code early} answers of refusals within half of patience, {@code late} after nine tenths of it.
+     * What one run came to. Worth and core seconds are of tasks placed within the measured time,
+     * latencies of every answer, microseconds. {@code early} answers of refusals within half of
+     * patience, {@code late} after nine tenths of it.
      */
-    public record Outcome(double load, boolean line, long asked, long placed, double worthPerSecond, double jain,
-                          double[] servedOfEntitled, long p99, long early, long late, long unanswered) { }
+    public record Outcome(
+            double load,
+            boolean line,
+            long asked,
+            long placed,
+            double worthPerSecond,
+            double jain,
+            double[] servedOfEntitled,
+            long p99,
+            long early,
+            long late,
+            long unanswered) {}
 
-    /** Seconds from a storm of {@code tasks} until a second passes in which fresh tasks are served as before it. */
-    public record Recovery(boolean line, int tasks, double seconds, List<double[]> placedInTime) { }
+    /**
+     * Seconds from a storm of {@code tasks} until a second passes in which fresh tasks are served
+     * as before it.
+     */
+    public record Recovery(boolean line, int tasks, double seconds, List<double[]> placedInTime) {}
 
     private static final long PATIENCE_MS = 4_000;
     private static final int ASKS = 4;
@@ -52,7 +66,10 @@
     private final Placement.MachineKind kind;
     private final double cores;
 
-    /** @param site with an owner account for each tenant, passcode {@code load}, and an agent {@code load-node} */
+    /**
+     * @param site with an owner account for each tenant, passcode {@code load}, and an agent {@code
+     *     load-node}
+     */
     public Overload(Site site, List<Tenant> tenants, int nodes) {
         this.site = site;
         this.tenants = tenants;
@@ -80,7 +97,8 @@
 
     /** Placer, nodes and clients of one run. */
     private final class Stage implements AutoCloseable {
-        final MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+        final MultiThreadIoEventLoopGroup loops =
+                new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         final EventLoop loop = loops.next();
         final Placer placer;
         final AgentPool pool = new AgentPool(2);
@@ -93,56 +111,120 @@
             placer = Placer.start(on, "127.0.0.1", 0, 1);
             List<SocketAddress> address = List.of(placer.addresses().get(0));
             Behaviour b = Behaviour.usual(Map.of("depot-sync", 5_000_000L));
-            Behaviour quick = new Behaviour(500, 1_500, 64, 64, 5_000, 2, 8, 0, 1, 1e9, 1_000_000, Integer.MAX_VALUE, 0.5, 0.9,
-                b.runsFor(), 0, b.keyWindows());
+            Behaviour quick =
+                    new Behaviour(
+                            500,
+                            1_500,
+                            64,
+                            64,
+                            5_000,
+                            2,
+                            8,
+                            0,
+                            1,
+                            1e9,
+                            1_000_000,
+                            Integer.MAX_VALUE,
+                            0.5,
+                            0.9,
+                            b.runsFor(),
+                            0,
+                            b.keyWindows());
             for (int i = 0; i < nodes; i++) {
-                pool.add(new NodeShape("n" + i, kind.name(), HALLS[i % HALLS.length], i, cores, kind.memory()), quick, address,
-                    "load-node", "load", new Heartbeat(2_000, 2_000), i, NodeAgent.Watcher.NONE);
+                pool.add(
+                        new NodeShape(
+                                "n" + i,
+                                kind.name(),
+                                HALLS[i % HALLS.length],
+                                i,
+                                cores,
+                                kind.memory()),
+                        quick,
+                        address,
+                        "load-node",
+                        "load",
+                        new Heartbeat(2_000, 2_000),
+                        i,
+                        NodeAgent.Watcher.NONE);
             }
             for (Tenant t : tenants) {
-                clients.add(TaskClient.connect(new ClientConnection.Target(address.get(0), t.owner(), "load",
-                    new Heartbeat(2_000, 2_000)), loop, event -> { }));
+                clients.add(
+                        TaskClient.connect(
+                                new ClientConnection.Target(
+                                        address.get(0),
+                                        t.owner(),
+                                        "load",
+                                        new Heartbeat(2_000, 2_000)),
+                                loop,
+                                event -> {}));
             }
             Thread.sleep(2_000);
         }
 
-        /** Seven of ten gauge-relay (1 core, worth 1), the rest depot-sync (2 cores, worth 5); 1.5 s to 2.5 s each. */
+        /**
+         * Seven of ten gauge-relay (1 core, worth 1), the rest depot-sync (2 cores, worth 5); 1.5 s
+         * to 2.5 s each.
+         */
         void ask(int tenant) {
             boolean dear = random.nextDouble() < 0.3;
             String id = "v" + ++number;
             double asks = dear ? 2 : 1;
             long runs = 1_500 + random.nextInt(1_000);
-            Task task = Task.newBuilder().setId(id).setTaskClass(dear ? "depot-sync" : "gauge-relay").setService("s"
-                + random.nextInt(8)).setKey("k" + id).setCores(asks).setMemory(asks).setRunsForMs(runs)
-                .setPatienceMs(PATIENCE_MS).build();
+            Task task =
+                    Task.newBuilder()
+                            .setId(id)
+                            .setTaskClass(dear ? "depot-sync" : "gauge-relay")
+                            .setService("s" + random.nextInt(8))
+                            .setKey("k" + id)
+                            .setCores(asks)
+                            .setMemory(asks)
+                            .setRunsForMs(runs)
+                            .setPatienceMs(PATIENCE_MS)
+                            .build();
             sums.asked++;
             ask(sums, tenant, task, dear ? 5 : 1, asks * runs / 1_000, ASKS);
         }
 
-        private void ask(Sums to, int tenant, Task task, double worth, double coreSeconds, int left) {
+        private void ask(
+                Sums to, int tenant, Task task, double worth, double coreSeconds, int left) {
             long begin = System.nanoTime();
-            clients.get(tenant).submit(task).whenCompleteAsync((news, e) -> {
-                long micros = (System.nanoTime() - begin) / 1_000;
-                if (e != null) {
-                    to.unanswered++;
-                    return;
-                }
-                to.answers.recordValue(micros);
-                if (news.getResult().equals("placed")) {
-                    to.inTime += left == ASKS && micros <= IN_TIME_MS * 1_000 ? 1 : 0;
-                    Sums now = sums; // what is placed counts when it is placed, not when it was asked for
-                    now.placed++;
-                    now.worth += worth;
-                    now.served[tenant] += coreSeconds;
-                } else if (news.getResult().equals("refused")) {
-                    to.early += micros < PATIENCE_MS * 500 ? 1 : 0;
-                    to.late += micros >= PATIENCE_MS * 900 ? 1 : 0;
-                    if (left > 1) {
-                        loop.schedule(() -> ask(to, tenant, task, worth, coreSeconds, left - 1), Math.max(1,
-                            news.getRetryAfterMs()), TimeUnit.MILLISECONDS);
-                    }
-                }
-            }, loop);
+            clients.get(tenant)
+                    .submit(task)
+                    .whenCompleteAsync(
+                            (news, e) -> {
+                                long micros = (System.nanoTime() - begin) / 1_000;
+                                if (e != null) {
+                                    to.unanswered++;
+                                    return;
+                                }
+                                to.answers.recordValue(micros);
+                                if (news.getResult().equals("placed")) {
+                                    to.inTime +=
+                                            left == ASKS && micros <= IN_TIME_MS * 1_000 ? 1 : 0;
+                                    Sums now = sums; // what is placed counts when it is placed, not
+                                    // when it was asked for
+                                    now.placed++;
+                                    now.worth += worth;
+                                    now.served[tenant] += coreSeconds;
+                                } else if (news.getResult().equals("refused")) {
+                                    to.early += micros < PATIENCE_MS * 500 ? 1 : 0;
+                                    to.late += micros >= PATIENCE_MS * 900 ? 1 : 0;
+                                    if (left > 1) {
+                                        loop.schedule(
+                                                () ->
+                                                        ask(
+                                                                to,
+                                                                tenant,
+                                                                task,
+                                                                worth,
+                                                                coreSeconds,
+                                                                left - 1),
+                                                Math.max(1, news.getRetryAfterMs()),
+                                                TimeUnit.MILLISECONDS);
+                                    }
+                                }
+                            },
+                            loop);
         }
 
         /** Open-loop: tasks come at their times whatever becomes of them. */
@@ -152,7 +234,9 @@
             int turn = 0;
             while (next < seconds) {
                 double now = (System.nanoTime() - begin) / 1e9;
-                for (; next <= now && next < seconds; next += -Math.log(1 - random.nextDouble()) / perSecond) {
+                for (;
+                        next <= now && next < seconds;
+                        next += -Math.log(1 - random.nextDouble()) / perSecond) {
                     int tenant = turn++ % tenants.size();
                     loop.submit(() -> ask(tenant)).syncUninterruptibly();
                 }
@@ -169,12 +253,17 @@
         }
     }
 
-    /** Tasks a second that the nodes bear when all their cores are asked for: 1.3 cores for 2 s each. */
+    /**
+     * Tasks a second that the nodes bear when all their cores are asked for: 1.3 cores for 2 s
+     * each.
+     */
     public double borne() {
         return nodes * cores / (1.3 * 2);
     }
 
-    /** @param load as a multiple of {@link #borne} */
+    /**
+     * @param load as a multiple of {@link #borne}
+     */
     public Outcome run(double load, boolean line, int seconds) throws Exception {
         try (Stage stage = new Stage(line ? site : site.withoutLine())) {
             stage.offer(load * borne(), 5); // until the nodes are as full as they get
@@ -182,14 +271,28 @@
             stage.loop.submit(() -> stage.sums = sums).syncUninterruptibly();
             stage.offer(load * borne(), seconds);
             Sums[] end = new Sums[1];
-            double[] served = stage.loop.submit(() -> sums.served.clone()).syncUninterruptibly().getNow();
+            double[] served =
+                    stage.loop.submit(() -> sums.served.clone()).syncUninterruptibly().getNow();
             double worth = stage.loop.submit(() -> sums.worth).syncUninterruptibly().getNow();
             long placed = stage.loop.submit(() -> sums.placed).syncUninterruptibly().getNow();
-            Thread.sleep(PATIENCE_MS + 2_500); // every answer is in; those asked for again are not counted as open
+            Thread.sleep(
+                    PATIENCE_MS
+                            + 2_500); // every answer is in; those asked for again are not counted
+            // as open
             stage.loop.submit(() -> end[0] = sums).syncUninterruptibly();
             double[] ratio = ratios(served);
-            return new Outcome(load, line, end[0].asked, placed, worth / seconds, jain(ratio), ratio,
-                end[0].answers.getValueAtPercentile(99), end[0].early, end[0].late, end[0].unanswered);
+            return new Outcome(
+                    load,
+                    line,
+                    end[0].asked,
+                    placed,
+                    worth / seconds,
+                    jain(ratio),
+                    ratio,
+                    end[0].answers.getValueAtPercentile(99),
+                    end[0].early,
+                    end[0].late,
+                    end[0].unanswered);
         }
     }
 
@@ -212,44 +315,76 @@
     }
 
     /** What became of large tasks among many small ones; {@code worthPerSecond} of all. */
-    public record Large(boolean gather, int asked, int placed, double worthPerSecond) { }
+    public record Large(boolean gather, int asked, int placed, double worthPerSecond) {}
 
-    /** At {@code load}, a large unsafe task (10 cores, worth 2, patience 8 s) every half second beside the small ones. */
+    /**
+     * At {@code load}, a large unsafe task (10 cores, worth 2, patience 8 s) every half second
+     * beside the small ones.
+     */
     public Large large(double load, boolean gather, int seconds) throws Exception {
-        try (Stage stage = new Stage(gather ? site : site.withLine(site.line().withoutGathering()))) {
+        try (Stage stage =
+                new Stage(gather ? site : site.withLine(site.line().withoutGathering()))) {
             stage.offer(load * borne(), 5);
             Sums sums = new Sums(tenants.size());
             int[] placed = {0};
             int asked = 2 * seconds;
             stage.loop.submit(() -> stage.sums = sums).syncUninterruptibly();
             for (int i = 0; i < asked; i++) {
-                Task large = Task.newBuilder().setId("large" + i).setTaskClass("levy-run").setService("levy").setCores(10)
-                    .setMemory(20).setRunsForMs(3_000).setPatienceMs(8_000).build();
-                stage.loop.schedule(() -> stage.clients.get(1).submit(large).whenCompleteAsync((news, e) -> {
-                    if (e == null && news.getResult().equals("placed")) {
-                        placed[0]++;
-                        sums.worth += 2;
-                    }
-                }, stage.loop), i * 500L, TimeUnit.MILLISECONDS);
+                Task large =
+                        Task.newBuilder()
+                                .setId("large" + i)
+                                .setTaskClass("levy-run")
+                                .setService("levy")
+                                .setCores(10)
+                                .setMemory(20)
+                                .setRunsForMs(3_000)
+                                .setPatienceMs(8_000)
+                                .build();
+                stage.loop.schedule(
+                        () ->
+                                stage.clients
+                                        .get(1)
+                                        .submit(large)
+                                        .whenCompleteAsync(
+                                                (news, e) -> {
+                                                    if (e == null
+                                                            && news.getResult().equals("placed")) {
+                                                        placed[0]++;
+                                                        sums.worth += 2;
+                                                    }
+                                                },
+                                                stage.loop),
+                        i * 500L,
+                        TimeUnit.MILLISECONDS);
             }
             stage.offer(load * borne(), seconds);
             double worth = stage.loop.submit(() -> sums.worth).syncUninterruptibly().getNow();
             Thread.sleep(9_000);
-            return new Large(gather, asked, stage.loop.submit(() -> placed[0]).syncUninterruptibly().getNow(), worth / seconds);
+            return new Large(
+                    gather,
+                    asked,
+                    stage.loop.submit(() -> placed[0]).syncUninterruptibly().getNow(),
+                    worth / seconds);
         }
     }
 
-    /** At half of what is borne, {@code tasks} come in one moment; how long until fresh tasks are served as before. */
+    /**
+     * At half of what is borne, {@code tasks} come in one moment; how long until fresh tasks are
+     * served as before.
+     */
     public Recovery storm(boolean line, int tasks, int seconds) throws Exception {
         try (Stage stage = new Stage(line ? site : site.withoutLine())) {
             double rate = 0.5 * borne();
             List<double[]> series = new ArrayList<>();
             stage.offer(rate, 5);
-            stage.loop.submit(() -> {
-                for (int i = 0; i < tasks; i++) {
-                    stage.ask(i % tenants.size());
-                }
-            }).syncUninterruptibly();
+            stage.loop
+                    .submit(
+                            () -> {
+                                for (int i = 0; i < tasks; i++) {
+                                    stage.ask(i % tenants.size());
+                                }
+                            })
+                    .syncUninterruptibly();
             long begin = System.nanoTime();
             double recovered = -1;
             for (int s = 0; s < seconds; s++) {
@@ -260,9 +395,12 @@
                 Sums judged = fresh;
                 double[] point = {at, 0};
                 series.add(point);
-                stage.loop.schedule(() -> {
-                    point[1] = judged.inTime / (double) Math.max(1, judged.asked);
-                }, (long) IN_TIME_MS, TimeUnit.MILLISECONDS);
+                stage.loop.schedule(
+                        () -> {
+                            point[1] = judged.inTime / (double) Math.max(1, judged.asked);
+                        },
+                        (long) IN_TIME_MS,
+                        TimeUnit.MILLISECONDS);
             }
             Thread.sleep((long) IN_TIME_MS + 500);
             for (int i = series.size() - 1; i >= 0 && series.get(i)[1] >= 0.95; i--) {
--- a/standin/src/main/java/thornferry/standin/Owners.java
+++ b/standin/src/main/java/thornferry/standin/Owners.java
@@ -16,13 +16,21 @@
 import thornferry.protocol.v1.TaskNews;
 
 /**
- * Those who ask, for one placer: a few clients, each an owner of its own, that ask for tasks, ask again after a
- * refusal or a loss, stop services and vanish. All on one event loop.
+ * Those who ask, for one placer: a few clients, each an owner of its own, that ask for tasks, ask
+ * again after a refusal or a loss, stop services and vanish. All on one event loop.
  */
 final class Owners {
     /** What became of the asks; for a report. */
-    record Tally(long tasks, long placed, long refused, long failed, long unanswered, long asked, long ended,
-                 long evicted, long lost) { }
+    record Tally(
+            long tasks,
+            long placed,
+            long refused,
+            long failed,
+            long unanswered,
+            long asked,
+            long ended,
+            long evicted,
+            long lost) {}
 
     private static final class Wish {
         final Task task;
@@ -54,7 +62,12 @@
     private final AtomicLong evicted = new AtomicLong();
     private final AtomicLong lost = new AtomicLong();
 
-    Owners(EventLoop loop, List<ClientConnection.Target> targets, Set<String> unsafe, String prefix, long seed) {
+    Owners(
+            EventLoop loop,
+            List<ClientConnection.Target> targets,
+            Set<String> unsafe,
+            String prefix,
+            long seed) {
         this.loop = loop;
         this.random = new SplittableRandom(seed);
         this.unsafe = new HashSet<>(unsafe);
@@ -64,7 +77,10 @@
         }
     }
 
-    /** Starts one stream of asks, until {@link #end}; {@code rate} tells how many a second at this moment. */
+    /**
+     * Starts one stream of asks, until {@link #end}; {@code rate} tells how many a second at this
+     * moment.
+     */
     void stream(DayFile.Traffic t, java.util.function.DoubleSupplier rate) {
         loop.execute(() -> next(t, rate));
     }
@@ -75,12 +91,15 @@
         }
         double perSecond = t.perSecond() * rate.getAsDouble();
         long wait = (long) (-Math.log(1 - random.nextDouble()) / perSecond * 1e6);
-        loop.schedule(() -> {
-            if (!over) {
-                ask(t);
-                next(t, rate);
-            }
-        }, wait, TimeUnit.MICROSECONDS);
+        loop.schedule(
+                () -> {
+                    if (!over) {
+                        ask(t);
+                        next(t, rate);
+                    }
+                },
+                wait,
+                TimeUnit.MICROSECONDS);
     }
 
     private double between(double least, double most) {
@@ -89,11 +108,18 @@
 
     private void ask(DayFile.Traffic t) {
         String id = prefix + ++number;
-        Task.Builder task = Task.newBuilder().setId(id).setTaskClass(t.taskClass()).setKey("key-" + id)
-            .setService(t.taskClass() + "-" + random.nextInt(t.services()))
-            .setCores(Math.round(4 * between(t.coresLeast(), t.coresMost())) / 4.0 + 0.25)
-            .setMemory(Math.round(4 * between(t.memoryLeast(), t.memoryMost())) / 4.0 + 0.25)
-            .setRunsForMs((long) between(t.runsLeast(), t.runsMost()));
+        Task.Builder task =
+                Task.newBuilder()
+                        .setId(id)
+                        .setTaskClass(t.taskClass())
+                        .setKey("key-" + id)
+                        .setService(t.taskClass() + "-" + random.nextInt(t.services()))
+                        .setCores(
+                                Math.round(4 * between(t.coresLeast(), t.coresMost())) / 4.0 + 0.25)
+                        .setMemory(
+                                Math.round(4 * between(t.memoryLeast(), t.memoryMost())) / 4.0
+                                        + 0.25)
+                        .setRunsForMs((long) between(t.runsLeast(), t.runsMost()));
         if (t.patience() != null) {
             task.setPatienceMs(t.patience());
         }
@@ -104,32 +130,39 @@
     private void submit(Wish wish) {
         asked.incrementAndGet();
         wish.asksLeft--;
-        clients.get(wish.client).submit(wish.task).whenCompleteAsync((news, e) -> {
-            if (e != null) {
-                unanswered.incrementAndGet();
-                return;
-            }
-            switch (news.getResult()) {
-                case "placed" -> {
-                    placedCount.incrementAndGet();
-                    placed.put(wish.task.getId(), wish);
-                }
-                case "refused" -> {
-                    refused.incrementAndGet();
-                    again(wish, Math.max(1, news.getRetryAfterMs()));
-                }
-                default -> failed.incrementAndGet();
-            }
-        }, loop);
+        clients.get(wish.client)
+                .submit(wish.task)
+                .whenCompleteAsync(
+                        (news, e) -> {
+                            if (e != null) {
+                                unanswered.incrementAndGet();
+                                return;
+                            }
+                            switch (news.getResult()) {
+                                case "placed" -> {
+                                    placedCount.incrementAndGet();
+                                    placed.put(wish.task.getId(), wish);
+                                }
+                                case "refused" -> {
+                                    refused.incrementAndGet();
+                                    again(wish, Math.max(1, news.getRetryAfterMs()));
+                                }
+                                default -> failed.incrementAndGet();
+                            }
+                        },
+                        loop);
     }
 
     private void again(Wish wish, long millis) {
         if (wish.asksLeft > 0 && !over) {
-            loop.schedule(() -> {
-                if (!over) {
-                    submit(wish);
-                }
-            }, millis, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> {
+                        if (!over) {
+                            submit(wish);
+                        }
+                    },
+                    millis,
+                    TimeUnit.MILLISECONDS);
         }
     }
 
@@ -143,42 +176,52 @@
                     again(wish, 1_000 + random.nextInt(1_000));
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
     /** Stops a part of the placed tasks and asks for as many anew, all within a second. */
     void restartServices(double part) {
-        loop.execute(() -> {
-            for (Wish wish : List.copyOf(placed.values())) {
-                if (random.nextDouble() < part && !unsafe.contains(wish.task.getTaskClass())) {
-                    clients.get(wish.client).stop(wish.task.getId());
-                    String id = prefix + ++number;
-                    tasks.incrementAndGet();
-                    Task anew = wish.task.toBuilder().setId(id).setKey("key-" + id).build();
-                    loop.schedule(() -> submit(new Wish(anew, wish.client, 3)), random.nextInt(1_000),
-                        TimeUnit.MILLISECONDS);
-                }
-            }
-        });
+        loop.execute(
+                () -> {
+                    for (Wish wish : List.copyOf(placed.values())) {
+                        if (random.nextDouble() < part
+                                && !unsafe.contains(wish.task.getTaskClass())) {
+                            clients.get(wish.client).stop(wish.task.getId());
+                            String id = prefix + ++number;
+                            tasks.incrementAndGet();
+                            Task anew = wish.task.toBuilder().setId(id).setKey("key-" + id).build();
+                            loop.schedule(
+                                    () -> submit(new Wish(anew, wish.client, 3)),
+                                    random.nextInt(1_000),
+                                    TimeUnit.MILLISECONDS);
+                        }
+                    }
+                });
     }
 
     void vanish(double part, long awayMs) {
-        loop.execute(() -> clients.forEach(c -> {
-            if (random.nextDouble() < part) {
-                c.vanish(awayMs);
-            }
-        }));
+        loop.execute(
+                () ->
+                        clients.forEach(
+                                c -> {
+                                    if (random.nextDouble() < part) {
+                                        c.vanish(awayMs);
+                                    }
+                                }));
     }
 
     /** One client vanishes every so often, at random. */
     void vanishEvery(double seconds, long awayMs) {
-        loop.schedule(() -> {
-            if (!over) {
-                clients.get(random.nextInt(clients.size())).vanish(awayMs);
-                vanishEvery(seconds, awayMs);
-            }
-        }, (long) (-Math.log(1 - random.nextDouble()) * seconds * 1e6), TimeUnit.MICROSECONDS);
+        loop.schedule(
+                () -> {
+                    if (!over) {
+                        clients.get(random.nextInt(clients.size())).vanish(awayMs);
+                        vanishEvery(seconds, awayMs);
+                    }
+                },
+                (long) (-Math.log(1 - random.nextDouble()) * seconds * 1e6),
+                TimeUnit.MICROSECONDS);
     }
 
     /** No new asks from now on. */
@@ -191,7 +234,15 @@
     }
 
     Tally tally() {
-        return new Tally(tasks.get(), placedCount.get(), refused.get(), failed.get(), unanswered.get(), asked.get(),
-            ended.get(), evicted.get(), lost.get());
+        return new Tally(
+                tasks.get(),
+                placedCount.get(),
+                refused.get(),
+                failed.get(),
+                unanswered.get(),
+                asked.get(),
+                ended.get(),
+                evicted.get(),
+                lost.get());
     }
 }
--- a/standin/src/main/java/thornferry/standin/Relay.java
+++ b/standin/src/main/java/thornferry/standin/Relay.java
@@ -31,8 +31,9 @@
 import thornferry.protocol.Framing;
 
 /**
- * Sits on every connection to one placer: passes octets on, records the frames among those that it passed on, and
- * does transport faults. It changes no frame; what it cuts off or swallows is not recorded.
+ * Sits on every connection to one placer: passes octets on, records the frames among those that it
+ * passed on, and does transport faults. It changes no frame; what it cuts off or swallows is not
+ * recorded.
  */
 public final class Relay implements AutoCloseable {
     private static final AtomicLong LINKS = new AtomicLong();
@@ -40,7 +41,8 @@
 
     private final String placer;
     private final Capture capture;
-    private final MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup loops =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Map<Long, Link> links = new ConcurrentHashMap<>();
     private final Channel listener;
     private final SslContext front;
@@ -53,28 +55,37 @@
     }
 
     /**
-     * The same over TLS: it ends TLS on both sides, or it could record nothing. So a peer's certificate does not pass it;
-     * logins and passcodes do.
+     * The same over TLS: it ends TLS on both sides, or it could record nothing. So a peer's
+     * certificate does not pass it; logins and passcodes do.
      *
      * @param front towards peers, {@code back} towards the placer; both null for plain text
      */
-    public Relay(String placer, SocketAddress target, Capture capture, SslContext front, SslContext back)
-        throws IOException {
+    public Relay(
+            String placer, SocketAddress target, Capture capture, SslContext front, SslContext back)
+            throws IOException {
         this.front = front;
         this.back = back;
         this.placer = placer;
         this.target = target;
         this.capture = capture;
         try {
-            listener = new ServerBootstrap().group(loops).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, 4096).childOption(ChannelOption.AUTO_READ, false)
-                .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel near) {
-                        new Link(near).dial();
-                    }
-                }).bind(new InetSocketAddress("127.0.0.1", 0)).sync().channel();
+            listener =
+                    new ServerBootstrap()
+                            .group(loops)
+                            .channel(NioServerSocketChannel.class)
+                            .option(ChannelOption.SO_BACKLOG, 4096)
+                            .childOption(ChannelOption.AUTO_READ, false)
+                            .childOption(ChannelOption.TCP_NODELAY, true)
+                            .childHandler(
+                                    new ChannelInitializer<Channel>() {
+                                        @Override
+                                        protected void initChannel(Channel near) {
+                                            new Link(near).dial();
+                                        }
+                                    })
+                            .bind(new InetSocketAddress("127.0.0.1", 0))
+                            .sync()
+                            .channel();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException(e);
@@ -133,7 +144,9 @@
                     capture.frame(link.number, placer, up, f);
                 }
             } catch (RuntimeException e) {
-                readable = false; // garbage on purpose: passed on, but there are no frames to record any more
+                readable =
+                        false; // garbage on purpose: passed on, but there are no frames to record
+                // any more
             }
         }
 
@@ -171,25 +184,36 @@
             }
             near.pipeline().addLast(up);
             // on the same loop, so that both ways and the record are in one order
-            new Bootstrap().group(near.eventLoop()).channel(NioSocketChannel.class)
-                .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 2_000)
-                .handler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        if (back != null) {
-                            channel.pipeline().addLast(back.newHandler(channel.alloc(), "127.0.0.1", 0));
-                        }
-                        channel.pipeline().addLast(down);
-                    }
-                }).connect(target).addListener((ChannelFutureListener) done -> {
-                    if (done.isSuccess()) {
-                        far = done.channel();
-                        up.to = far;
-                        near.config().setAutoRead(true);
-                    } else {
-                        close();
-                    }
-                });
+            new Bootstrap()
+                    .group(near.eventLoop())
+                    .channel(NioSocketChannel.class)
+                    .option(ChannelOption.TCP_NODELAY, true)
+                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 2_000)
+                    .handler(
+                            new ChannelInitializer<Channel>() {
+                                @Override
+                                protected void initChannel(Channel channel) {
+                                    if (back != null) {
+                                        channel.pipeline()
+                                                .addLast(
+                                                        back.newHandler(
+                                                                channel.alloc(), "127.0.0.1", 0));
+                                    }
+                                    channel.pipeline().addLast(down);
+                                }
+                            })
+                    .connect(target)
+                    .addListener(
+                            (ChannelFutureListener)
+                                    done -> {
+                                        if (done.isSuccess()) {
+                                            far = done.channel();
+                                            up.to = far;
+                                            near.config().setAutoRead(true);
+                                        } else {
+                                            close();
+                                        }
+                                    });
         }
 
         void close() {
@@ -209,14 +233,19 @@
     }
 
     /** Does {@code fault} to a share of the links, drawn by {@code random}. */
-    private int some(double part, SplittableRandom random, java.util.function.Consumer<Link> fault) {
+    private int some(
+            double part, SplittableRandom random, java.util.function.Consumer<Link> fault) {
         List<Link> all = new ArrayList<>(links.values());
         all.removeIf(l -> random.nextDouble() >= part);
-        all.forEach(l -> l.near.eventLoop().execute(() -> {
-            if (!l.closed) {
-                fault.accept(l);
-            }
-        }));
+        all.forEach(
+                l ->
+                        l.near.eventLoop()
+                                .execute(
+                                        () -> {
+                                            if (!l.closed) {
+                                                fault.accept(l);
+                                            }
+                                        }));
         return all.size();
     }
 
@@ -232,18 +261,27 @@
 
     /** The peer reads nothing for a time; what the placer sends it piles up. */
     public int slowReader(double part, long millis, SplittableRandom random) {
-        return some(part, random, l -> {
-            if (l.far != null) {
-                l.far.config().setAutoRead(false);
-                capture.slow(l.number, placer, millis * 1_000);
-                l.far.eventLoop().schedule(() -> l.far.config().setAutoRead(true), millis, TimeUnit.MILLISECONDS);
-            }
-        });
+        return some(
+                part,
+                random,
+                l -> {
+                    if (l.far != null) {
+                        l.far.config().setAutoRead(false);
+                        capture.slow(l.number, placer, millis * 1_000);
+                        l.far.eventLoop()
+                                .schedule(
+                                        () -> l.far.config().setAutoRead(true),
+                                        millis,
+                                        TimeUnit.MILLISECONDS);
+                    }
+                });
     }
 
     /** Ends every connection and waits, so that what follows is recorded after it. */
     public void closeAll() {
-        loops.next().submit(() -> new ArrayList<>(links.values()).forEach(Link::close)).syncUninterruptibly();
+        loops.next()
+                .submit(() -> new ArrayList<>(links.values()).forEach(Link::close))
+                .syncUninterruptibly();
     }
 
     @Override
--- a/standin/src/main/java/thornferry/standin/ScriptedNode.java
+++ b/standin/src/main/java/thornferry/standin/ScriptedNode.java
@@ -22,10 +22,14 @@
 import thornferry.protocol.v1.ProbeReply;
 import thornferry.protocol.v1.Register;
 
-/** A node that says exactly what its script tells it: so that the truth about it is known from outside. */
+/**
+ * A node that says exactly what its script tells it: so that the truth about it is known from
+ * outside.
+ */
 final class ScriptedNode implements ClientConnection.Listener, AutoCloseable {
     /** Shows as much room as it says, accepts and starts everything. */
     static final Function<Offer, Answer.Kind> WILLING = offer -> Answer.Kind.RUNS;
+
     /** Never says a word. */
     static final Function<Offer, Answer.Kind> MUTE = offer -> Answer.Kind.UNKNOWN;
 
@@ -44,7 +48,13 @@
     volatile double memoryFree;
     volatile long uptimeMs = 3_600_000;
 
-    ScriptedNode(EventLoop loop, SocketAddress placer, String name, String kind, double cores, double memory) {
+    ScriptedNode(
+            EventLoop loop,
+            SocketAddress placer,
+            String name,
+            String kind,
+            double cores,
+            double memory) {
         this.loop = loop;
         this.name = name;
         this.kind = kind;
@@ -71,9 +81,19 @@
     @Override
     public void connected(ClientConnection c) {
         c.subscribe("offers", Destinations.offers(name), "auto");
-        c.request(Destinations.REGISTER, Register.newBuilder().setNode(name).setIncarnation(1).setKind(kind)
-            .setZone("hall-a").setCores(cores).setMemory(memory).setUptimeMs(uptimeMs).setLoad(load()).build(),
-            error -> connected.countDown());
+        c.request(
+                Destinations.REGISTER,
+                Register.newBuilder()
+                        .setNode(name)
+                        .setIncarnation(1)
+                        .setKind(kind)
+                        .setZone("hall-a")
+                        .setCores(cores)
+                        .setMemory(memory)
+                        .setUptimeMs(uptimeMs)
+                        .setLoad(load())
+                        .build(),
+                error -> connected.countDown());
     }
 
     @Override
@@ -81,8 +101,13 @@
         try {
             Order order = Bodies.read(frame, Order.newBuilder());
             if (order.hasProbe()) {
-                c.send(Destinations.PROBES, ProbeReply.newBuilder().setNode(name).setNumber(order.getProbe().getNumber())
-                    .setLoad(load()).build());
+                c.send(
+                        Destinations.PROBES,
+                        ProbeReply.newBuilder()
+                                .setNode(name)
+                                .setNumber(order.getProbe().getNumber())
+                                .setLoad(load())
+                                .build());
             } else if (order.hasOffer()) {
                 Offer offer = order.getOffer();
                 Answer.Kind said = script.apply(offer);
@@ -102,8 +127,15 @@
     }
 
     private void say(String attempt, Answer.Kind kind) {
-        connection.send(Destinations.ANSWERS, Answer.newBuilder().setNode(name).setAttempt(attempt).setKind(kind)
-            .setReason(kind == Answer.Kind.REFUSED ? reason : Answer.Reason.NONE).setLoad(load()).build());
+        connection.send(
+                Destinations.ANSWERS,
+                Answer.newBuilder()
+                        .setNode(name)
+                        .setAttempt(attempt)
+                        .setKind(kind)
+                        .setReason(kind == Answer.Kind.REFUSED ? reason : Answer.Reason.NONE)
+                        .setLoad(load())
+                        .build());
     }
 
     /** Ends a task that it runs; its load then says what is free. */
--- a/standin/src/test/java/thornferry/standin/AuditorTest.java
+++ b/standin/src/test/java/thornferry/standin/AuditorTest.java
@@ -16,8 +16,7 @@
 class AuditorTest {
     private static final long MS = 1_000;
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
     private final List<String> lines = new ArrayList<>();
 
     private void line(long ms, String rest) {
@@ -25,58 +24,131 @@
     }
 
     private static String frame(int link, String dir, String cmd, String headers, String body) {
-        return "\"k\":\"frame\",\"link\":" + link + ",\"placer\":\"p\",\"dir\":\"" + dir + "\",\"cmd\":\"" + cmd
-            + "\",\"h\":{" + headers + "},\"b\":" + body;
+        return "\"k\":\"frame\",\"link\":"
+                + link
+                + ",\"placer\":\"p\",\"dir\":\""
+                + dir
+                + "\",\"cmd\":\""
+                + cmd
+                + "\",\"h\":{"
+                + headers
+                + "},\"b\":"
+                + body;
     }
 
     private static String send(int link, String destination, String body) {
-        return frame(link, "up", "SEND", "\"destination\":\"" + destination + "\",\"receipt\":\"r" + body.hashCode()
-            + "\"", body);
+        return frame(
+                link,
+                "up",
+                "SEND",
+                "\"destination\":\"" + destination + "\",\"receipt\":\"r" + body.hashCode() + "\"",
+                body);
     }
 
     private static String ask(String id, String cls) {
-        return send(1, "/tasks", "{\"id\":\"" + id + "\",\"taskClass\":\"" + cls
-            + "\",\"service\":\"s\",\"key\":\"k-" + id + "\",\"patienceMs\":\"2000\"}");
+        return send(
+                1,
+                "/tasks",
+                "{\"id\":\""
+                        + id
+                        + "\",\"taskClass\":\""
+                        + cls
+                        + "\",\"service\":\"s\",\"key\":\"k-"
+                        + id
+                        + "\",\"patienceMs\":\"2000\"}");
     }
 
     private static String result(int number, String id, String result) {
-        return frame(1, "down", "MESSAGE", "\"destination\":\"/tasks/results\",\"message-id\":\"n" + number
-            + "\",\"task\":\"" + id + "\",\"result\":\"" + result + "\"", "{}");
+        return frame(
+                1,
+                "down",
+                "MESSAGE",
+                "\"destination\":\"/tasks/results\",\"message-id\":\"n"
+                        + number
+                        + "\",\"task\":\""
+                        + id
+                        + "\",\"result\":\""
+                        + result
+                        + "\"",
+                "{}");
     }
 
     private static String offer(String node, String attempt, String id, String cls) {
-        return frame(node.equals("a1") ? 2 : 3, "down", "MESSAGE", "\"destination\":\"/nodes/" + node + "/offers\"",
-            "{\"offer\":{\"attempt\":\"" + attempt + "\",\"owner\":\"o\",\"task\":{\"id\":\"" + id
-                + "\",\"taskClass\":\"" + cls + "\",\"service\":\"s\",\"key\":\"k-" + id + "\"}}}");
+        return frame(
+                node.equals("a1") ? 2 : 3,
+                "down",
+                "MESSAGE",
+                "\"destination\":\"/nodes/" + node + "/offers\"",
+                "{\"offer\":{\"attempt\":\""
+                        + attempt
+                        + "\",\"owner\":\"o\",\"task\":{\"id\":\""
+                        + id
+                        + "\",\"taskClass\":\""
+                        + cls
+                        + "\",\"service\":\"s\",\"key\":\"k-"
+                        + id
+                        + "\"}}}");
     }
 
     private static String answer(String node, String attempt, String kind) {
-        return send(node.equals("a1") ? 2 : 3, "/nodes/answers", "{\"node\":\"" + node + "\",\"attempt\":\"" + attempt
-            + "\",\"kind\":\"" + kind + "\"}");
+        return send(
+                node.equals("a1") ? 2 : 3,
+                "/nodes/answers",
+                "{\"node\":\""
+                        + node
+                        + "\",\"attempt\":\""
+                        + attempt
+                        + "\",\"kind\":\""
+                        + kind
+                        + "\"}");
     }
 
     private static String register(int link, String node, String zone, long uptimeMs) {
-        return send(link, "/nodes/register", "{\"node\":\"" + node + "\",\"incarnation\":\"1\",\"zone\":\"" + zone
-            + "\",\"uptimeMs\":\"" + uptimeMs + "\"}");
+        return send(
+                link,
+                "/nodes/register",
+                "{\"node\":\""
+                        + node
+                        + "\",\"incarnation\":\"1\",\"zone\":\""
+                        + zone
+                        + "\",\"uptimeMs\":\""
+                        + uptimeMs
+                        + "\"}");
     }
 
     @BeforeEach
     void aGoodCapture() {
-        line(0, "\"k\":\"site\",\"rules\":{\"answerGrace\":8000,\"drainGrace\":500000,\"ramp\":10000000,"
-            + "\"coldFrom\":0.25,\"coldMultiple\":2,\"coldWindow\":3000000,\"coldOffers\":2,\"startsPerSecond\":0.1},"
-            + "\"classes\":["
-            + "{\"name\":\"safe\",\"effect\":\"SAFE\",\"keyScope\":\"ALL\",\"deadline\":8000000,\"spread\":\"NONE\"},"
-            + "{\"name\":\"keyed\",\"effect\":\"KEYED\",\"keyScope\":\"ZONE\",\"keyWindow\":5000000,"
-            + "\"deadline\":8000000,\"spread\":\"NONE\"},"
-            + "{\"name\":\"unsafe\",\"effect\":\"UNSAFE\",\"keyScope\":\"ALL\",\"deadline\":8000000,"
-            + "\"spread\":\"NONE\"},"
-            + "{\"name\":\"wide\",\"effect\":\"SAFE\",\"keyScope\":\"ALL\",\"deadline\":8000000,\"spread\":\"ZONE\","
-            + "\"spreadMost\":1}]");
+        line(
+                0,
+                "\"k\":\"site\",\"rules\":{\"answerGrace\":8000,\"drainGrace\":500000,\"ramp\":10000000,"
+                    + "\"coldFrom\":0.25,\"coldMultiple\":2,\"coldWindow\":3000000,\"coldOffers\":2,\"startsPerSecond\":0.1},"
+                    + "\"classes\":["
+                    + "{\"name\":\"safe\",\"effect\":\"SAFE\",\"keyScope\":\"ALL\",\"deadline\":8000000,\"spread\":\"NONE\"},"
+                    + "{\"name\":\"keyed\",\"effect\":\"KEYED\",\"keyScope\":\"ZONE\",\"keyWindow\":5000000,"
+                    + "\"deadline\":8000000,\"spread\":\"NONE\"},"
+                    + "{\"name\":\"unsafe\",\"effect\":\"UNSAFE\",\"keyScope\":\"ALL\",\"deadline\":8000000,"
+                    + "\"spread\":\"NONE\"},"
+                    + "{\"name\":\"wide\",\"effect\":\"SAFE\",\"keyScope\":\"ALL\",\"deadline\":8000000,\"spread\":\"ZONE\","
+                    + "\"spreadMost\":1}]");
         for (int link = 1; link <= 4; link++) {
             line(1, "\"k\":\"open\",\"link\":" + link + ",\"placer\":\"p\"");
-            line(1, frame(link, "up", "CONNECT", "\"login\":\"" + (link == 1 ? "o" : "x") + "\"", "{}"));
+            line(
+                    1,
+                    frame(
+                            link,
+                            "up",
+                            "CONNECT",
+                            "\"login\":\"" + (link == 1 ? "o" : "x") + "\"",
+                            "{}"));
         }
-        line(2, frame(1, "up", "SUBSCRIBE", "\"id\":\"1\",\"destination\":\"/tasks/results\"", "{}"));
+        line(
+                2,
+                frame(
+                        1,
+                        "up",
+                        "SUBSCRIBE",
+                        "\"id\":\"1\",\"destination\":\"/tasks/results\"",
+                        "{}"));
         line(3, register(2, "a1", "a", 3_600_000));
         line(3, register(3, "b1", "b", 3_600_000));
         line(10, ask("t1", "unsafe"));
@@ -136,11 +208,14 @@
     }
 
     private void finds(int rule, String what) throws IOException {
-        assertThat(audit()).singleElement().satisfies(b -> {
-            assertThat(b.rule()).isEqualTo(rule);
-            assertThat(b.what()).contains(what);
-            assertThat(b.line()).isPositive();
-        });
+        assertThat(audit())
+                .singleElement()
+                .satisfies(
+                        b -> {
+                            assertThat(b.rule()).isEqualTo(rule);
+                            assertThat(b.what()).contains(what);
+                            assertThat(b.line()).isPositive();
+                        });
     }
 
     @Test
@@ -168,14 +243,24 @@
 
     @Test
     void rule1AnOfferAfterTheResult() throws IOException {
-        lines.add(at("\"message-id\":\"n4\"") + 1, "{\"t\":4000000," + offer("b1", "x9", "t4", "safe") + "}");
+        lines.add(
+                at("\"message-id\":\"n4\"") + 1,
+                "{\"t\":4000000," + offer("b1", "x9", "t4", "safe") + "}");
         finds(1, "after its result refused");
     }
 
     @Test
     void rule2AnUnsafeTaskOfferedAgainWithoutProof() throws IOException {
-        lines.set(at(answer("a1", "x1", "REFUSED")), "{\"t\":12000," + frame(2, "down", "MESSAGE",
-            "\"destination\":\"/nodes/a1/offers\"", "{\"withdraw\":{\"attempt\":\"x1\"}}") + "}");
+        lines.set(
+                at(answer("a1", "x1", "REFUSED")),
+                "{\"t\":12000,"
+                        + frame(
+                                2,
+                                "down",
+                                "MESSAGE",
+                                "\"destination\":\"/nodes/a1/offers\"",
+                                "{\"withdraw\":{\"attempt\":\"x1\"}}")
+                        + "}");
         finds(2, "though it may have run on a1");
     }
 
@@ -188,16 +273,31 @@
 
     @Test
     void rule2AKeyedTaskOutsideItsHall() throws IOException {
-        lines.set(at(answer("a1", "x3", "ACCEPTED")), "{\"t\":32000," + frame(2, "down", "MESSAGE",
-            "\"destination\":\"/nodes/a1/offers\"", "{\"withdraw\":{\"attempt\":\"x3\"}}") + "}");
+        lines.set(
+                at(answer("a1", "x3", "ACCEPTED")),
+                "{\"t\":32000,"
+                        + frame(
+                                2,
+                                "down",
+                                "MESSAGE",
+                                "\"destination\":\"/nodes/a1/offers\"",
+                                "{\"withdraw\":{\"attempt\":\"x3\"}}")
+                        + "}");
         after("{\"withdraw\":{\"attempt\":\"x3\"}}", offer("b1", "x9", "t2", "keyed"));
         finds(2, "outside the group that drops its repeats");
     }
 
     @Test
     void rule1OneMessageThatSaysTwoThings() throws IOException {
-        after("\"message-id\":\"n1\"", frame(1, "down", "MESSAGE", "\"destination\":\"/tasks/results\",\"message-id\":"
-            + "\"n1\",\"task\":\"t1\",\"result\":\"failed\"", "{}"));
+        after(
+                "\"message-id\":\"n1\"",
+                frame(
+                        1,
+                        "down",
+                        "MESSAGE",
+                        "\"destination\":\"/tasks/results\",\"message-id\":"
+                                + "\"n1\",\"task\":\"t1\",\"result\":\"failed\"",
+                        "{}"));
         finds(1, "says 't1 failed' to one session of o and 't1 placed' to another");
     }
 
@@ -212,7 +312,13 @@
         lines.add("{\"t\":9010000," + ask("t1", "unsafe") + "}");
         lines.add("{\"t\":9020000," + result(1, "t1", "failed") + "}");
         assertThat(lines).hasSize((int) last + 3);
-        assertThat(audit()).anyMatch(b -> b.rule() == 1 && b.what().contains("is told failed after it was told placed"));
+        assertThat(audit())
+                .anyMatch(
+                        b ->
+                                b.rule() == 1
+                                        && b.what()
+                                                .contains(
+                                                        "is told failed after it was told placed"));
     }
 
     @Test
@@ -223,26 +329,37 @@
 
     @Test
     void rule2ARefusalThatIsNotHarmless() throws IOException {
-        replace("\"message-id\":\"n1\",\"task\":\"t1\",\"result\":\"placed\"",
-            "\"message-id\":\"n1\",\"task\":\"t1\",\"result\":\"refused\"");
+        replace(
+                "\"message-id\":\"n1\",\"task\":\"t1\",\"result\":\"placed\"",
+                "\"message-id\":\"n1\",\"task\":\"t1\",\"result\":\"refused\"");
         finds(2, "trying again is harmless");
     }
 
     @Test
     void rule3AnOfferToADrainedNode() throws IOException {
-        lines.add(at("\"id\":\"t2\",\"taskClass\":\"keyed\",\"service\":\"s\",\"key\":\"k-t2\",\"patienceMs\""),
-            "{\"t\":20000," + send(4, "/nodes/drain", "{\"node\":\"a1\",\"on\":true}") + "}");
-        lines.subList(at("\"t\":30000"), lines.size()).replaceAll(l -> {
-            long t = Long.parseLong(l.substring(5, l.indexOf(',')));
-            return l.replaceFirst("\"t\":" + t, "\"t\":" + (t < 50_000 ? t + 600_000 : t + 700_000));
-        });
-        assertThat(audit()).hasSize(3).allMatch(b -> b.rule() == 3 && b.what().contains("a1, which drains"));
+        lines.add(
+                at(
+                        "\"id\":\"t2\",\"taskClass\":\"keyed\",\"service\":\"s\",\"key\":\"k-t2\",\"patienceMs\""),
+                "{\"t\":20000," + send(4, "/nodes/drain", "{\"node\":\"a1\",\"on\":true}") + "}");
+        lines.subList(at("\"t\":30000"), lines.size())
+                .replaceAll(
+                        l -> {
+                            long t = Long.parseLong(l.substring(5, l.indexOf(',')));
+                            return l.replaceFirst(
+                                    "\"t\":" + t,
+                                    "\"t\":" + (t < 50_000 ? t + 600_000 : t + 700_000));
+                        });
+        assertThat(audit())
+                .hasSize(3)
+                .allMatch(b -> b.rule() == 3 && b.what().contains("a1, which drains"));
     }
 
     @Test
     void rule4AColdNodePushedOver() throws IOException {
         replace("\"zone\":\"a\",\"uptimeMs\":\"3600000\"", "\"zone\":\"a\",\"uptimeMs\":\"0\"");
-        assertThat(audit()).hasSize(2).allMatch(b -> b.rule() == 4 && b.what().contains("a1 is cold"));
+        assertThat(audit())
+                .hasSize(2)
+                .allMatch(b -> b.rule() == 4 && b.what().contains("a1 is cold"));
     }
 
     @Test
--- a/standin/src/test/java/thornferry/standin/DayTest.java
+++ b/standin/src/test/java/thornferry/standin/DayTest.java
@@ -13,14 +13,14 @@
 class DayTest {
     private static final Path SHORT = Path.of("../examples/days/short.toml");
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     @Test
     void aShortBadDayKeepsTheFiveRulesOnItsSockets() throws Exception {
         Path capture = folder.resolve("day.jsonl");
         Day.Outcome outcome = Day.play(DayFile.read(SHORT), capture);
-        // a machine that builds something else meanwhile may be late; a second is far under any patience here
+        // a machine that builds something else meanwhile may be late; a second is far under any
+        // patience here
         Auditor.Verdict verdict = Auditor.audit(capture, 1_000_000);
         assertThat(verdict.breaches()).isEmpty();
         assertThat(outcome.moduleFailures()).isZero();
@@ -29,15 +29,21 @@
         assertThat(verdict.starts()).isGreaterThan(300);
     }
 
-    /** The day of kills made short: six lives, with nodes that die beside the placer, in a third of a minute. */
+    /**
+     * The day of kills made short: six lives, with nodes that die beside the placer, in a third of
+     * a minute.
+     */
     @Test
     void aPlacerKilledWithAndWithoutItsNodesStartsNoUnsafeTaskTwice() throws Exception {
         String text = Files.readString(Path.of("../examples/days/many-kills.toml"));
-        text = text.replace("\nseconds = 610", "\nseconds = 14").replace("quiet-seconds = 40", "quiet-seconds = 10")
-            .replace("per-second = 65.0", "per-second = 25.0").replace("count = 18", "count = 6")
-            .replace("patience-ms = 20000", "patience-ms = 8000")
-            .replace("every-ms = 4500\ntimes = 134", "every-ms = 4500\ntimes = 3")
-            .replace("every-ms = 9000\ntimes = 66", "every-ms = 5500\ntimes = 2");
+        text =
+                text.replace("\nseconds = 610", "\nseconds = 14")
+                        .replace("quiet-seconds = 40", "quiet-seconds = 10")
+                        .replace("per-second = 65.0", "per-second = 25.0")
+                        .replace("count = 18", "count = 6")
+                        .replace("patience-ms = 20000", "patience-ms = 8000")
+                        .replace("every-ms = 4500\ntimes = 134", "every-ms = 4500\ntimes = 3")
+                        .replace("every-ms = 9000\ntimes = 66", "every-ms = 5500\ntimes = 2");
         Path script = Files.writeString(folder.resolve("kills.toml"), text);
         Path capture = folder.resolve("kills.jsonl");
         Day.Outcome outcome = Day.play(DayFile.read(script), capture);
@@ -51,17 +57,35 @@
     private static void complains(String from, String to, String... parts) throws Exception {
         String text = Files.readString(SHORT);
         assertThat(text).contains(from);
-        assertThatThrownBy(() -> DayFile.of(null, TomlFile.parse("day.toml", text.replaceFirst(from, to))))
-            .isInstanceOf(ConfigException.class).hasMessageContainingAll(parts);
+        assertThatThrownBy(
+                        () ->
+                                DayFile.of(
+                                        null,
+                                        TomlFile.parse("day.toml", text.replaceFirst(from, to))))
+                .isInstanceOf(ConfigException.class)
+                .hasMessageContainingAll(parts);
     }
 
     @Test
     void badScriptsAreNamedWithFileLineAndKey() throws Exception {
-        complains("kind = \"mute\"", "kind = \"moot\"", "day.toml:", "trouble[2].kind", "must be one of crash, pause");
+        complains(
+                "kind = \"mute\"",
+                "kind = \"moot\"",
+                "day.toml:",
+                "trouble[2].kind",
+                "must be one of crash, pause");
         complains("at-seconds = 2.0", "at-seconds = -2.0", "day.toml:", "trouble[0].at-seconds");
-        complains("at-seconds = 2.0", "at-seconds = 99.0", "trouble[0].at-seconds", "comes after the day's 24 seconds");
+        complains(
+                "at-seconds = 2.0",
+                "at-seconds = 99.0",
+                "trouble[0].at-seconds",
+                "comes after the day's 24 seconds");
         complains("kind = \"std-node\"", "kind = \"no-node\"", "fleet[0].kind", "no kind no-node");
-        complains("class = \"depot-sync\"", "class = \"nothing\"", "traffic[1].class", "no class nothing");
+        complains(
+                "class = \"depot-sync\"",
+                "class = \"nothing\"",
+                "traffic[1].class",
+                "no class nothing");
         complains("count = 8", "count = 8.5", "fleet[0].count", "whole number");
         complains("seconds = 24", "secs = 24", "day.secs", "is not known");
     }
--- a/standin/src/test/java/thornferry/standin/FullPathTest.java
+++ b/standin/src/test/java/thornferry/standin/FullPathTest.java
@@ -15,7 +15,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -50,7 +49,11 @@
         assertThat(placed.getNode()).isEqualTo("n1");
         eventually(() -> assertThat(rig.starts).hasSize(1));
         client.stop("t").get(10, TimeUnit.SECONDS);
-        eventually(() -> assertThat(rig.events).extracting(TaskNews::getEvent).containsExactly("stopped"));
+        eventually(
+                () ->
+                        assertThat(rig.events)
+                                .extracting(TaskNews::getEvent)
+                                .containsExactly("stopped"));
     }
 
     @Test
@@ -59,18 +62,38 @@
         rig.node("n1", "a");
         Vertx vertx = Vertx.vertx();
         try {
-            StompClient client = StompClient.create(vertx, new StompClientOptions().setHost("127.0.0.1")
-                .setPort(rig.port).setLogin("depot1").setPasscode("one"));
-            StompClientConnection c = client.connect().toCompletionStage().toCompletableFuture()
-                .get(10, TimeUnit.SECONDS);
+            StompClient client =
+                    StompClient.create(
+                            vertx,
+                            new StompClientOptions()
+                                    .setHost("127.0.0.1")
+                                    .setPort(rig.port)
+                                    .setLogin("depot1")
+                                    .setPasscode("one"));
+            StompClientConnection c =
+                    client.connect()
+                            .toCompletionStage()
+                            .toCompletableFuture()
+                            .get(10, TimeUnit.SECONDS);
             CompletableFuture<Map<String, String>> result = new CompletableFuture<>();
-            c.subscribe("/tasks/results", frame -> result.complete(frame.getHeaders())).toCompletionStage()
-                .toCompletableFuture().get(10, TimeUnit.SECONDS);
-            c.send("/tasks", new HashMap<>(Map.of("content-type", "application/json")), Buffer.buffer("""
-                {"id":"v1","taskClass":"gauge-relay","service":"s","cores":1,"memory":1,"patienceMs":2000}"""))
-                .toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS); // its receipt
-            assertThat(result.get(10, TimeUnit.SECONDS)).containsEntry("task", "v1").containsEntry("result", "placed")
-                .containsEntry("node", "n1");
+            c.subscribe("/tasks/results", frame -> result.complete(frame.getHeaders()))
+                    .toCompletionStage()
+                    .toCompletableFuture()
+                    .get(10, TimeUnit.SECONDS);
+            c.send(
+                            "/tasks",
+                            new HashMap<>(Map.of("content-type", "application/json")),
+                            Buffer.buffer(
+                                    """
+                                    {"id":"v1","taskClass":"gauge-relay","service":"s","cores":1,"memory":1,"patienceMs":2000}\
+                                    """))
+                    .toCompletionStage()
+                    .toCompletableFuture()
+                    .get(10, TimeUnit.SECONDS); // its receipt
+            assertThat(result.get(10, TimeUnit.SECONDS))
+                    .containsEntry("task", "v1")
+                    .containsEntry("result", "placed")
+                    .containsEntry("node", "n1");
         } finally {
             vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
         }
@@ -81,16 +104,22 @@
         rig = new Rig();
         rig.node("n1", "a");
         try (Rig.Peer first = rig.peer("depot1", "one")) {
-            first.send("SEND\ndestination:/tasks\nreceipt:1\n\n"
-                + "{\"id\":\"t\",\"taskClass\":\"levy-run\",\"service\":\"s\",\"cores\":1,\"memory\":1}^");
+            first.send(
+                    "SEND\n"
+                        + "destination:/tasks\n"
+                        + "receipt:1\n\n"
+                        + "{\"id\":\"t\",\"taskClass\":\"levy-run\",\"service\":\"s\",\"cores\":1,\"memory\":1}^");
             first.await("RECEIPT");
         } // it never subscribed, and is gone
-        try (Rig.Peer second = rig.peer("depot1", "one"); Rig.Peer other = rig.peer("depot2", "two")) {
+        try (Rig.Peer second = rig.peer("depot1", "one");
+                Rig.Peer other = rig.peer("depot2", "two")) {
             other.send("SUBSCRIBE\nid:1\ndestination:/tasks/results\n\n^");
             second.send("SUBSCRIBE\nid:1\ndestination:/tasks/results\n\n^");
             assertThat(second.await("task:t")).contains("result:placed").doesNotContain("repeat:");
-            second.send("SEND\ndestination:/tasks\n\n"
-                + "{\"id\":\"t\",\"taskClass\":\"levy-run\",\"service\":\"s\",\"cores\":1,\"memory\":1}^");
+            second.send(
+                    "SEND\n"
+                        + "destination:/tasks\n\n"
+                        + "{\"id\":\"t\",\"taskClass\":\"levy-run\",\"service\":\"s\",\"cores\":1,\"memory\":1}^");
             assertThat(second.await("task:t")).contains("result:placed").contains("repeat:true");
             // another owner's stop gets the answer that a task which does not exist gets
             other.send("SEND\ndestination:/tasks/stop\n\n{\"id\":\"t\"}^");
@@ -105,14 +134,21 @@
         rig.node("n1", "a");
         try (Rig.Peer first = rig.peer("depot1", "one")) {
             first.send("SUBSCRIBE\nid:1\ndestination:/tasks/results\nack:client-individual\n\n^");
-            first.send("SEND\ndestination:/tasks\n\n"
-                + "{\"id\":\"t\",\"taskClass\":\"gauge-relay\",\"service\":\"s\",\"cores\":1,\"memory\":1}^");
+            first.send(
+                    "SEND\n"
+                        + "destination:/tasks\n\n"
+                        + "{\"id\":\"t\",\"taskClass\":\"gauge-relay\",\"service\":\"s\",\"cores\":1,\"memory\":1}^");
             first.await("result:placed");
         }
         try (Rig.Peer second = rig.peer("depot1", "one")) {
             second.send("SUBSCRIBE\nid:1\ndestination:/tasks/results\nack:client-individual\n\n^");
             String message = second.await("result:placed");
-            String ack = message.lines().filter(l -> l.startsWith("ack:")).findFirst().orElseThrow().substring(4);
+            String ack =
+                    message.lines()
+                            .filter(l -> l.startsWith("ack:"))
+                            .findFirst()
+                            .orElseThrow()
+                            .substring(4);
             second.send("ACK\nid:" + ack + "\nreceipt:a\n\n^");
             second.await("RECEIPT");
         }
@@ -133,7 +169,8 @@
         n2.loseAnswers(1); // whoever takes it: the placer never hears that it was accepted
         TaskClient client = rig.client("depot1", "one");
         TaskNews news = get(client.submit(Rig.task("t", "depot-sync")));
-        assertThat(news.getResult()).isEqualTo("failed"); // it may have run outside what a refusal promises
+        assertThat(news.getResult())
+                .isEqualTo("failed"); // it may have run outside what a refusal promises
         assertThat(rig.starts).hasSizeLessThanOrEqualTo(1);
     }
 
@@ -146,7 +183,8 @@
         CompletableFuture<TaskNews> result = client.submit(Rig.task("t", "levy-run"));
         Thread.sleep(150); // the offer lies unread at one of them
         nodes.forEach(NodeAgent::cutConnections);
-        // back in the same life, its inventory proves that it never ran: the task is offered to the other
+        // back in the same life, its inventory proves that it never ran: the task is offered to the
+        // other
         assertThat(get(result).getResult()).isEqualTo("placed");
         eventually(() -> assertThat(rig.starts).hasSize(1));
     }
@@ -175,9 +213,14 @@
         TaskClient client = rig.client("depot1", "one");
         get(client.submit(Rig.task("t", "gauge-relay")));
         node.crash(300);
-        eventually(() -> assertThat(rig.events).extracting(TaskNews::getEvent).containsExactly("lost"));
+        eventually(
+                () ->
+                        assertThat(rig.events)
+                                .extracting(TaskNews::getEvent)
+                                .containsExactly("lost"));
         rig.eventuallyOnline("n1");
-        assertThat(get(client.submit(Rig.task("t", "gauge-relay"))).getResult()).isEqualTo("placed"); // asked anew
+        assertThat(get(client.submit(Rig.task("t", "gauge-relay"))).getResult())
+                .isEqualTo("placed"); // asked anew
     }
 
     @Test
@@ -189,11 +232,18 @@
         try (Rig.Peer ops = rig.peer("ops", "o")) {
             ops.send("SEND\ndestination:/nodes/drain\nreceipt:1\n\n{\"node\":\"n1\",\"on\":true}^");
             ops.await("RECEIPT");
-            eventually(() -> assertThat(rig.events).extracting(TaskNews::getEvent).containsExactly("evicted"));
-            assertThat(get(client.submit(Rig.task("u", "gauge-relay"))).getResult()).isEqualTo("refused");
-            ops.send("SEND\ndestination:/nodes/drain\nreceipt:2\n\n{\"node\":\"n1\",\"on\":false}^");
+            eventually(
+                    () ->
+                            assertThat(rig.events)
+                                    .extracting(TaskNews::getEvent)
+                                    .containsExactly("evicted"));
+            assertThat(get(client.submit(Rig.task("u", "gauge-relay"))).getResult())
+                    .isEqualTo("refused");
+            ops.send(
+                    "SEND\ndestination:/nodes/drain\nreceipt:2\n\n{\"node\":\"n1\",\"on\":false}^");
             ops.await("RECEIPT");
-            assertThat(get(client.submit(Rig.task("w", "gauge-relay"))).getResult()).isEqualTo("placed");
+            assertThat(get(client.submit(Rig.task("w", "gauge-relay"))).getResult())
+                    .isEqualTo("placed");
         }
     }
 
@@ -205,12 +255,27 @@
         String[][] bad = {
             {"SEND\ndestination:/nowhere\nreceipt:9\n\n^", "unknown destination /nowhere"},
             {"SEND\ndestination:/tasks\nreceipt:9\n\nnot json^", "malformed body"},
-            {"SEND\ndestination:/tasks\nreceipt:9\ncontent-type:text/xml\n\n<a/>^", "unknown content-type"},
-            {"SEND\ndestination:/tasks\nreceipt:9\n\n{\"id\":\"x\",\"taskClass\":\"odd\"}^", "taskClass odd"},
-            {"SEND\ndestination:/nodes/drain\nreceipt:9\n\n{\"node\":\"n1\",\"on\":true}^", "may not use"},
-            {"SEND\ndestination:/nodes/register\nreceipt:9\n\n{\"node\":\"n1\"}^", "may not use /nodes/register"},
+            {
+                "SEND\ndestination:/tasks\nreceipt:9\ncontent-type:text/xml\n\n<a/>^",
+                "unknown content-type"
+            },
+            {
+                "SEND\ndestination:/tasks\nreceipt:9\n\n{\"id\":\"x\",\"taskClass\":\"odd\"}^",
+                "taskClass odd"
+            },
+            {
+                "SEND\ndestination:/nodes/drain\nreceipt:9\n\n{\"node\":\"n1\",\"on\":true}^",
+                "may not use"
+            },
+            {
+                "SEND\ndestination:/nodes/register\nreceipt:9\n\n{\"node\":\"n1\"}^",
+                "may not use /nodes/register"
+            },
             {"SUBSCRIBE\nid:1\ndestination:/nodes\nreceipt:9\n\n^", "may not use /nodes"},
-            {"SEND\ndestination:/tasks\ncontent-length:99999999\nreceipt:9\n\nx", "frame too large"},
+            {
+                "SEND\ndestination:/tasks\ncontent-length:99999999\nreceipt:9\n\nx",
+                "frame too large"
+            },
             {"FROB\n\n^", "malformed frame"},
             {"SEND\nreceipt:9\n\n^", "needs the header destination"},
         };
@@ -222,7 +287,8 @@
                 peer.await("END");
             }
         }
-        assertThat(get(client.submit(Rig.task("t", "gauge-relay"))).getResult()).isEqualTo("placed");
+        assertThat(get(client.submit(Rig.task("t", "gauge-relay"))).getResult())
+                .isEqualTo("placed");
         assertThat(rig.placer.totals().moduleFailures()).isZero();
     }
 
@@ -234,19 +300,31 @@
         get(client.submit(Rig.task("t", "gauge-relay")));
         String attempt = rig.starts.isEmpty() ? "" : rig.starts.get(0).split(" ")[1];
         try (Rig.Peer old = rig.peer("node", "n")) {
-            old.send("SUBSCRIBE\nid:1\ndestination:/nodes/n1/offers\n\n^"
-                + "SEND\ndestination:/nodes/register\n\n{\"node\":\"n1\",\"incarnation\":\"5\",\"kind\":\"std\","
-                + "\"zone\":\"a\",\"cores\":16,\"memory\":32}^");
+            old.send(
+                    "SUBSCRIBE\n"
+                            + "id:1\n"
+                            + "destination:/nodes/n1/offers\n\n"
+                            + "^SEND\n"
+                            + "destination:/nodes/register\n\n"
+                            + "{\"node\":\"n1\",\"incarnation\":\"5\",\"kind\":\"std\","
+                            + "\"zone\":\"a\",\"cores\":16,\"memory\":32}^");
             assertThat(old.await("ERROR")).contains("is older than");
         }
         try (Rig.Peer liar = rig.peer("node", "n")) {
-            liar.send("SUBSCRIBE\nid:1\ndestination:/nodes/n2/offers\n\n^"
-                + "SEND\ndestination:/nodes/register\n\n{\"node\":\"n2\",\"incarnation\":\"5\",\"kind\":\"std\","
-                + "\"zone\":\"a\",\"cores\":16,\"memory\":32}^");
+            liar.send(
+                    "SUBSCRIBE\n"
+                            + "id:1\n"
+                            + "destination:/nodes/n2/offers\n\n"
+                            + "^SEND\n"
+                            + "destination:/nodes/register\n\n"
+                            + "{\"node\":\"n2\",\"incarnation\":\"5\",\"kind\":\"std\","
+                            + "\"zone\":\"a\",\"cores\":16,\"memory\":32}^");
             eventually(() -> assertThat(rig.starts).hasSize(1));
             attempt = rig.starts.get(0).split(" ")[1];
-            liar.send("SEND\ndestination:/nodes/answers\n\n{\"node\":\"n2\",\"attempt\":\"" + attempt
-                + "\",\"kind\":\"ENDED\"}^");
+            liar.send(
+                    "SEND\ndestination:/nodes/answers\n\n{\"node\":\"n2\",\"attempt\":\""
+                            + attempt
+                            + "\",\"kind\":\"ENDED\"}^");
             assertThat(liar.await("ERROR")).contains("was not offered to this node");
         }
         assertThat(rig.events).isEmpty(); // the task runs on
@@ -257,8 +335,14 @@
     void aRegistrationThatIsTurnedAwayGetsNoReceiptAfterItsError() throws Exception {
         rig = new Rig();
         try (Rig.Peer node = rig.peer("node", "n")) {
-            node.send("SUBSCRIBE\nid:1\ndestination:/nodes/n9/offers\n\n^"
-                + "SEND\ndestination:/nodes/register\nreceipt:7\n\n{\"node\":\"n9\",\"kind\":\"odd\",\"zone\":\"a\"}^");
+            node.send(
+                    "SUBSCRIBE\n"
+                            + "id:1\n"
+                            + "destination:/nodes/n9/offers\n\n"
+                            + "^SEND\n"
+                            + "destination:/nodes/register\n"
+                            + "receipt:7\n\n"
+                            + "{\"node\":\"n9\",\"kind\":\"odd\",\"zone\":\"a\"}^");
             assertThat(node.next()).startsWith("ERROR").contains("kind odd");
             assertThat(node.next()).isEqualTo("END");
         }
@@ -278,14 +362,22 @@
             peer.await("END");
             peer.close();
         }
-        assertThat(get(client.submit(Rig.task("u", "gauge-relay"))).getResult()).isEqualTo("placed");
+        assertThat(get(client.submit(Rig.task("u", "gauge-relay"))).getResult())
+                .isEqualTo("placed");
     }
 
     @Test
     void aSilentPeerIsDeadToUs() throws Exception {
         rig = new Rig();
         try (Rig.Peer peer = rig.new Peer()) {
-            peer.send("CONNECT\naccept-version:1.2\nhost:h\nlogin:depot1\npasscode:one\nheart-beat:300,0\n\n^");
+            peer.send(
+                    "CONNECT\n"
+                            + "accept-version:1.2\n"
+                            + "host:h\n"
+                            + "login:depot1\n"
+                            + "passcode:one\n"
+                            + "heart-beat:300,0\n\n"
+                            + "^");
             peer.await("CONNECTED");
             assertThat(peer.await("ERROR")).contains("silent for longer");
         }
@@ -296,6 +388,7 @@
         rig = new Rig();
         TaskClient client = rig.client("depot1", "wrong");
         assertThatThrownBy(() -> get(client.submit(Rig.task("t", "gauge-relay"))))
-            .hasRootCauseInstanceOf(TaskClient.NotTaken.class).hasMessageContaining("not accepted");
+                .hasRootCauseInstanceOf(TaskClient.NotTaken.class)
+                .hasMessageContaining("not accepted");
     }
 }
--- a/standin/src/test/java/thornferry/standin/Rig.java
+++ b/standin/src/test/java/thornferry/standin/Rig.java
@@ -34,61 +34,63 @@
 
 /** A placer with nodes on loopback, and peers of every kind, for tests of the whole path. */
 final class Rig implements AutoCloseable {
-    static final String SITE = """
-        [connections]
-        heart-beat-ms = 300
-        handshake-ms = 500
-        most = 60
-        [membership]
-        gone-after-ms = 2000
-        flaps = 100
-        [intake]
-        settle-ms = %d
-        retry-least-ms = 50
-        [frames]
-        unwritten-octets = 16384
-        [[kind]]
-        name = "std"
-        cores = 16.0
-        memory = 32.0
-        [[class]]
-        name = "gauge-relay"
-        effect = "safe"
-        deadline-ms = 3000
-        [[class]]
-        name = "depot-sync"
-        effect = "keyed"
-        key-scope = "zone"
-        key-window-ms = 5000
-        deadline-ms = 3000
-        worth = 5.0
-        [[class]]
-        name = "levy-run"
-        effect = "unsafe"
-        deadline-ms = 6000
-        [[account]]
-        login = "depot1"
-        passcode = "one"
-        role = "owner"
-        [[account]]
-        login = "depot2"
-        passcode = "two"
-        role = "owner"
-        [[account]]
-        login = "node"
-        passcode = "n"
-        role = "agent"
-        [[account]]
-        login = "ops"
-        passcode = "o"
-        role = "operator"
-        """;
+    static final String SITE =
+            """
+            [connections]
+            heart-beat-ms = 300
+            handshake-ms = 500
+            most = 60
+            [membership]
+            gone-after-ms = 2000
+            flaps = 100
+            [intake]
+            settle-ms = %d
+            retry-least-ms = 50
+            [frames]
+            unwritten-octets = 16384
+            [[kind]]
+            name = "std"
+            cores = 16.0
+            memory = 32.0
+            [[class]]
+            name = "gauge-relay"
+            effect = "safe"
+            deadline-ms = 3000
+            [[class]]
+            name = "depot-sync"
+            effect = "keyed"
+            key-scope = "zone"
+            key-window-ms = 5000
+            deadline-ms = 3000
+            worth = 5.0
+            [[class]]
+            name = "levy-run"
+            effect = "unsafe"
+            deadline-ms = 6000
+            [[account]]
+            login = "depot1"
+            passcode = "one"
+            role = "owner"
+            [[account]]
+            login = "depot2"
+            passcode = "two"
+            role = "owner"
+            [[account]]
+            login = "node"
+            passcode = "n"
+            role = "agent"
+            [[account]]
+            login = "ops"
+            passcode = "o"
+            role = "operator"
+            """;
 
     final SiteFile file;
     Placer placer;
     final int port;
     final AgentPool pool = new AgentPool(1);
-    final MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    final MultiThreadIoEventLoopGroup loops =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     final List<String> starts = new CopyOnWriteArrayList<>();
     final List<TaskNews> events = new CopyOnWriteArrayList<>();
     final List<AutoCloseable> opened = new ArrayList<>();
@@ -103,8 +105,25 @@
         placer = Placer.start(file.site(), "127.0.0.1", 0, 1);
         port = placer.addresses().get(0).getPort();
         Behaviour b = Behaviour.usual(Map.of("depot-sync", 5_000_000L));
-        behaviour = new Behaviour(1_000, 2_000, 100, 16, 5_000, 2, 8, b.ramp(), b.coldFrom(), b.coldMultiple(),
-            b.coldWindow(), b.coldOffers(), 0.5, 0.9, 60_000_000, 0, b.keyWindows());
+        behaviour =
+                new Behaviour(
+                        1_000,
+                        2_000,
+                        100,
+                        16,
+                        5_000,
+                        2,
+                        8,
+                        b.ramp(),
+                        b.coldFrom(),
+                        b.coldMultiple(),
+                        b.coldWindow(),
+                        b.coldOffers(),
+                        0.5,
+                        0.9,
+                        60_000_000,
+                        0,
+                        b.keyWindows());
     }
 
     InetSocketAddress address() {
@@ -118,16 +137,25 @@
     }
 
     NodeAgent node(String name, String zone) throws Exception {
-        NodeAgent.Watcher watcher = new NodeAgent.Watcher() {
-            @Override
-            public void said(String node, Answer answer) {
-                if (answer.getKind() == Answer.Kind.RUNS) {
-                    starts.add(node + " " + answer.getAttempt());
-                }
-            }
-        };
-        NodeAgent node = pool.add(new NodeShape(name, "std", zone, 1, 16, 32), behaviour,
-            List.<SocketAddress>of(address()), "node", "n", new Heartbeat(300, 300), 1, watcher);
+        NodeAgent.Watcher watcher =
+                new NodeAgent.Watcher() {
+                    @Override
+                    public void said(String node, Answer answer) {
+                        if (answer.getKind() == Answer.Kind.RUNS) {
+                            starts.add(node + " " + answer.getAttempt());
+                        }
+                    }
+                };
+        NodeAgent node =
+                pool.add(
+                        new NodeShape(name, "std", zone, 1, 16, 32),
+                        behaviour,
+                        List.<SocketAddress>of(address()),
+                        "node",
+                        "n",
+                        new Heartbeat(300, 300),
+                        1,
+                        watcher);
         eventuallyOnline(name);
         return node;
     }
@@ -140,20 +168,35 @@
     }
 
     TaskClient client(String login, String passcode) {
-        TaskClient client = TaskClient.connect(new ClientConnection.Target(address(), login, passcode,
-            new Heartbeat(300, 300)), loops.next(), events::add);
+        TaskClient client =
+                TaskClient.connect(
+                        new ClientConnection.Target(
+                                address(), login, passcode, new Heartbeat(300, 300)),
+                        loops.next(),
+                        events::add);
         opened.add(client);
         return client;
     }
 
     static Task task(String id, String cls) {
-        return Task.newBuilder().setId(id).setTaskClass(cls).setService(cls).setKey("key-" + id).setCores(1)
-            .setMemory(1).build();
+        return Task.newBuilder()
+                .setId(id)
+                .setTaskClass(cls)
+                .setService(cls)
+                .setKey("key-" + id)
+                .setCores(1)
+                .setMemory(1)
+                .build();
     }
 
     Peer peer(String login, String passcode) throws IOException {
         Peer peer = new Peer();
-        peer.send("CONNECT\naccept-version:1.2\nhost:h\nlogin:" + login + "\npasscode:" + passcode + "\n\n^");
+        peer.send(
+                "CONNECT\naccept-version:1.2\nhost:h\nlogin:"
+                        + login
+                        + "\npasscode:"
+                        + passcode
+                        + "\n\n^");
         peer.await("CONNECTED");
         return peer;
     }
@@ -189,15 +232,21 @@
         }
 
         void send(String text) throws IOException {
-            // asked for once: the server may have answered, and the reader closed the socket, before a second call
+            // asked for once: the server may have answered, and the reader closed the socket,
+            // before a second call
             OutputStream out = socket.getOutputStream();
             out.write(text.replace('^', '\0').getBytes(StandardCharsets.UTF_8));
         }
 
-        /** The next frame that holds {@code part}; fails after ten seconds or at the connection's end. */
+        /**
+         * The next frame that holds {@code part}; fails after ten seconds or at the connection's
+         * end.
+         */
         String await(String part) {
             try {
-                for (String f = frames.poll(10, TimeUnit.SECONDS); f != null; f = frames.poll(10, TimeUnit.SECONDS)) {
+                for (String f = frames.poll(10, TimeUnit.SECONDS);
+                        f != null;
+                        f = frames.poll(10, TimeUnit.SECONDS)) {
                     if (f.contains(part)) {
                         return f;
                     }
@@ -223,25 +272,31 @@
     }
 
     /** A connection of the protocol's own, with what came in. */
-    ClientConnection connection(String login, String passcode, List<Frame> got) throws InterruptedException {
+    ClientConnection connection(String login, String passcode, List<Frame> got)
+            throws InterruptedException {
         java.util.concurrent.CountDownLatch up = new java.util.concurrent.CountDownLatch(1);
-        ClientConnection c = ClientConnection.open(loops.next(), new ClientConnection.Target(address(), login,
-            passcode, new Heartbeat(300, 300)), FrameLimits.USUAL, new ClientConnection.Listener() {
-                @Override
-                public void connected(ClientConnection connection) {
-                    up.countDown();
-                }
+        ClientConnection c =
+                ClientConnection.open(
+                        loops.next(),
+                        new ClientConnection.Target(
+                                address(), login, passcode, new Heartbeat(300, 300)),
+                        FrameLimits.USUAL,
+                        new ClientConnection.Listener() {
+                            @Override
+                            public void connected(ClientConnection connection) {
+                                up.countDown();
+                            }
 
-                @Override
-                public void message(ClientConnection connection, Frame frame) {
-                    got.add(frame);
-                }
+                            @Override
+                            public void message(ClientConnection connection, Frame frame) {
+                                got.add(frame);
+                            }
 
-                @Override
-                public void closed(ClientConnection connection, String why) {
-                    up.countDown();
-                }
-            });
+                            @Override
+                            public void closed(ClientConnection connection, String why) {
+                                up.countDown();
+                            }
+                        });
         up.await(10, TimeUnit.SECONDS);
         return c;
     }
--- a/standin/src/test/java/thornferry/standin/ScenariosTest.java
+++ b/standin/src/test/java/thornferry/standin/ScenariosTest.java
@@ -9,7 +9,10 @@
 import thornferry.protocol.v1.Reason.Kind;
 
 class ScenariosTest {
-    /** Each scenario fails where another reason than the true one is shown, or where its end does not end it. */
+    /**
+     * Each scenario fails where another reason than the true one is shown, or where its end does
+     * not end it.
+     */
     @Test
     void everyReasonIsShownWhereItIsTrueAndEndsWithWhatItSays() throws Exception {
         List<Scenarios.Shown> shown = Scenarios.play();
--- a/state/src/main/java/thornferry/state/Durability.java
+++ b/state/src/main/java/thornferry/state/Durability.java
@@ -4,7 +4,10 @@
 public enum Durability {
     /** Nothing is written: a placer's restart relies on what nodes remember. */
     NONE,
-    /** Handed to the operating system: outlasts the end of the process, however it ends, but not that of the machine. */
+    /**
+     * Handed to the operating system: outlasts the end of the process, however it ends, but not
+     * that of the machine.
+     */
     OS,
     /** Forced to the disk, together with what came meanwhile: outlasts a power loss. */
     DISK
--- a/state/src/main/java/thornferry/state/Journal.java
+++ b/state/src/main/java/thornferry/state/Journal.java
@@ -4,7 +4,9 @@
 import java.util.function.Supplier;
 import thornferry.decisions.recovery.Promise;
 
-/** Where promises are written. Calls come from one thread; what is called back may come from any. */
+/**
+ * Where promises are written. Calls come from one thread; what is called back may come from any.
+ */
 public interface Journal extends AutoCloseable {
     /** Keeps nothing, and says that it is kept: for a placer that promises nothing over its end. */
     Journal NONE = unwritten(null);
@@ -41,14 +43,14 @@
     /**
      * Appends a line; lines become durable in the order of the calls.
      *
-     * @param done hears null once the line is as durable as configured, or what is wrong: then it may be lost, and what
-     *             depends on it must not be done
+     * @param done hears null once the line is as durable as configured, or what is wrong: then it
+     *     may be lost, and what depends on it must not be done
      */
     void append(Promise promise, Consumer<String> done);
 
     /**
-     * To be called now and then: where the file has grown enough, it is written anew with only what still counts; and
-     * where it could not be written, that is tried again.
+     * To be called now and then: where the file has grown enough, it is written anew with only what
+     * still counts; and where it could not be written, that is tried again.
      */
     void compact(Supplier<Iterable<Promise>> snapshot);
 
--- a/state/src/main/java/thornferry/state/JournalFile.java
+++ b/state/src/main/java/thornferry/state/JournalFile.java
@@ -24,15 +24,17 @@
 import thornferry.state.v1.Line;
 
 /**
- * The journal of one placer instance in a folder of its own, with one process at a time as its owner.
+ * The journal of one placer instance in a folder of its own, with one process at a time as its
+ * owner.
  *
- * <p>The newest {@code journal-N.tfj} counts. A file begins with all that still counts, written beside it and renamed
- * when it is whole and forced; then lines are appended. So a file that stands under its name always has its beginning,
- * and at most its end can be torn.
+ * <p>The newest {@code journal-N.tfj} counts. A file begins with all that still counts, written
+ * beside it and renamed when it is whole and forced; then lines are appended. So a file that stands
+ * under its name always has its beginning, and at most its end can be torn.
  *
- * <p><b>Order kept:</b> lines are written in the order of {@link #append}; with {@link Durability#DISK} one thread
- * writes and forces what has come up since its last force, so a line waits for at most two forces; a rewritten file is
- * forced before it takes its name, and its folder before the former file is deleted.
+ * <p><b>Order kept:</b> lines are written in the order of {@link #append}; with {@link
+ * Durability#DISK} one thread writes and forces what has come up since its last force, so a line
+ * waits for at most two forces; a rewritten file is forced before it takes its name, and its folder
+ * before the former file is deleted.
  */
 public final class JournalFile implements Journal {
     /** Another process, or another instance of this one, uses the folder. */
@@ -40,21 +42,31 @@
         private static final long serialVersionUID = 1;
 
         InUse(Path folder) {
-            super("state folder " + folder + " is in use by another placer; each instance needs a folder of its own");
+            super(
+                    "state folder "
+                            + folder
+                            + " is in use by another placer; each instance needs a folder of its"
+                            + " own");
         }
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(JournalFile.class);
-    /** A file is written anew when it has grown to so many octets, and to twice what it began with. */
+
+    /**
+     * A file is written anew when it has grown to so many octets, and to twice what it began with.
+     */
     private static final long COMPACT_FROM = 8L << 20;
+
     /** After a failed write, the next is tried no earlier. */
     private static final long TRY_AGAIN_NANOS = 1_000_000_000;
+
     /** Lines of one force. */
     private static final int BATCH_OCTETS = 1 << 20;
+
     /** Octets of one write of a file that is written anew. */
     private static final int PIECE = 1 << 18;
 
-    private record Pending(byte[] octets, Consumer<String> done) { }
+    private record Pending(byte[] octets, Consumer<String> done) {}
 
     private final Path folder;
     private final String placer;
@@ -65,7 +77,8 @@
     private final Closeable lock;
     private final Reading read;
     private final String restartTrouble;
-    private final ArrayDeque<Pending> queue = new ArrayDeque<>(); // for the writer thread; guarded by itself
+    private final ArrayDeque<Pending> queue =
+            new ArrayDeque<>(); // for the writer thread; guarded by itself
     private final Thread writer;
     long compactFrom = COMPACT_FROM;
     private Storage.Out out; // from here on guarded by this
@@ -78,9 +91,19 @@
     private long triedAt;
     private boolean closed;
 
-    /** @param threads whether forces and rewriting have threads of their own; else all is done where it is asked for */
-    JournalFile(Path folder, String placer, Durability durability, Storage storage, LongSupplier nanos, boolean threads,
-                Closeable lock) throws IOException {
+    /**
+     * @param threads whether forces and rewriting have threads of their own; else all is done where
+     *     it is asked for
+     */
+    JournalFile(
+            Path folder,
+            String placer,
+            Durability durability,
+            Storage storage,
+            LongSupplier nanos,
+            boolean threads,
+            Closeable lock)
+            throws IOException {
         this.folder = folder;
         this.placer = placer;
         this.durability = durability;
@@ -100,7 +123,9 @@
             }
             if (!found.whole()) {
                 // kept for whoever looks into it; never read again
-                Path aside = newest.resolveSibling(newest.getFileName() + ".aside-" + System.currentTimeMillis());
+                Path aside =
+                        newest.resolveSibling(
+                                newest.getFileName() + ".aside-" + System.currentTimeMillis());
                 storage.rename(newest, aside);
                 file = null;
                 LOG.warn("it is kept as {}", aside);
@@ -108,30 +133,38 @@
         }
         read = found;
         restartTrouble = lacks(found);
-        writer = threads && durability == Durability.DISK ? new Thread(this::write, "journal-" + placer) : null;
+        writer =
+                threads && durability == Durability.DISK
+                        ? new Thread(this::write, "journal-" + placer)
+                        : null;
     }
 
     /**
-     * Opens the journal of a placer instance, or begins one. Reads what is there; nothing is written before
-     * {@link #begin}.
+     * Opens the journal of a placer instance, or begins one. Reads what is there; nothing is
+     * written before {@link #begin}.
      *
      * @param durability {@link Durability#OS} or {@link Durability#DISK}
      * @throws InUse where another has it open
      * @throws IOException where the folder cannot be made, read or written
      */
-    public static JournalFile open(Path folder, String placer, Durability durability) throws IOException {
+    public static JournalFile open(Path folder, String placer, Durability durability)
+            throws IOException {
         if (durability == Durability.NONE) {
             throw new IllegalArgumentException("nothing is written with durability none");
         }
         Files.createDirectories(folder);
-        FileChannel channel = FileChannel.open(folder.resolve("lock"), StandardOpenOption.CREATE,
-            StandardOpenOption.WRITE);
+        FileChannel channel =
+                FileChannel.open(
+                        folder.resolve("lock"),
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE);
         try {
             FileLock lock = channel.tryLock();
             if (lock == null) {
                 throw new InUse(folder);
             }
-            return new JournalFile(folder, placer, durability, Storage.SYSTEM, System::nanoTime, true, channel);
+            return new JournalFile(
+                    folder, placer, durability, Storage.SYSTEM, System::nanoTime, true, channel);
         } catch (OverlappingFileLockException e) {
             channel.close();
             throw new InUse(folder);
@@ -147,8 +180,10 @@
     }
 
     private static List<Path> files(Storage storage, Path folder) throws IOException {
-        return storage.list(folder).stream().filter(f -> f.getFileName().toString().matches("journal-\\d{1,18}\\.tfj"))
-            .sorted((a, b) -> Long.compare(number(a), number(b))).toList();
+        return storage.list(folder).stream()
+                .filter(f -> f.getFileName().toString().matches("journal-\\d{1,18}\\.tfj"))
+                .sorted((a, b) -> Long.compare(number(a), number(b)))
+                .toList();
     }
 
     private static long number(Path file) {
@@ -160,9 +195,11 @@
     private String lacks(Reading found) {
         if (!found.whole()) { // a foreign one is never whole
             return "the journal found " + found.trouble();
-        } else if (found.last() != null && found.last().getDurability().equals(Durability.OS.name())
-            && !found.last().getBoot().equals(boot())) {
-            return "the machine was started anew, and with durability os its last lines may be lost";
+        } else if (found.last() != null
+                && found.last().getDurability().equals(Durability.OS.name())
+                && !found.last().getBoot().equals(boot())) {
+            return "the machine was started anew, and with durability os its last lines may be"
+                    + " lost";
         } else if (found.last() == null) {
             return "there was no journal before";
         }
@@ -179,7 +216,10 @@
         return restartTrouble;
     }
 
-    /** Begins this life with a file that holds what still counts; from now on {@link #append} may be called. */
+    /**
+     * Begins this life with a file that holds what still counts; from now on {@link #append} may be
+     * called.
+     */
     public void begin(Iterable<Promise> snapshot) throws IOException {
         rewrite(snapshot);
         if (writer != null) {
@@ -193,7 +233,8 @@
         try {
             return Files.readString(Path.of("/proc/sys/kernel/random/boot_id")).strip();
         } catch (IOException e) {
-            return ""; // not told here: then a new start of the machine goes unseen, as the operator's page says
+            return ""; // not told here: then a new start of the machine goes unseen, as the
+            // operator's page says
         }
     }
 
@@ -225,7 +266,8 @@
         }
         try {
             if (!trouble.isEmpty()) {
-                // guards against a half line in the middle: what a failed write left is cut off before the next
+                // guards against a half line in the middle: what a failed write left is cut off
+                // before the next
                 out.truncate(good);
             }
             out.write(good, octets);
@@ -297,17 +339,23 @@
         Iterable<Promise> lines;
         synchronized (this) {
             if (!trouble.isEmpty()) {
-                // the module offers nothing that needs us while we are in trouble, so nothing else would try
+                // the module offers nothing that needs us while we are in trouble, so nothing else
+                // would try
                 byte[] life = life();
                 put(life, List.of(life));
             }
-            if (closed || meanwhile != null || good < compactFrom || good < 2 * began || !trouble.isEmpty()) {
+            if (closed
+                    || meanwhile != null
+                    || good < compactFrom
+                    || good < 2 * began
+                    || !trouble.isEmpty()) {
                 return;
             }
             meanwhile = new ArrayList<>();
             lines = snapshot.get();
         }
-        // off the caller's thread: what still counts may be many megabytes, and placing goes on meanwhile
+        // off the caller's thread: what still counts may be many megabytes, and placing goes on
+        // meanwhile
         if (!threads) {
             rewritten(lines);
             return;
@@ -321,7 +369,10 @@
         try {
             rewrite(lines);
         } catch (IOException e) {
-            LOG.error("journal {} could not be written anew and goes on growing: {}", file, e.getMessage());
+            LOG.error(
+                    "journal {} could not be written anew and goes on growing: {}",
+                    file,
+                    e.getMessage());
         }
     }
 
@@ -345,7 +396,7 @@
     }
 
     /** A file made beside, open, of this size. */
-    private record Beside(Path path, Storage.Out out, long size) { }
+    private record Beside(Path path, Storage.Out out, long size) {}
 
     private Beside beside(Iterable<Promise> lines) throws IOException {
         Path made = folder.resolve("journal-new.tmp");
@@ -353,7 +404,12 @@
         try {
             ByteArrayOutputStream buffer = new ByteArrayOutputStream(PIECE);
             buffer.write(Reading.MAGIC);
-            buffer.write(Lines.framed(Header.newBuilder().setVersion(Reading.VERSION).setPlacer(placer).build()));
+            buffer.write(
+                    Lines.framed(
+                            Header.newBuilder()
+                                    .setVersion(Reading.VERSION)
+                                    .setPlacer(placer)
+                                    .build()));
             long size = 0;
             for (Promise p : lines) {
                 buffer.write(Lines.framed(Lines.of(p)));
@@ -374,8 +430,10 @@
     }
 
     private byte[] life() {
-        return Lines.framed(Line.newBuilder().setLife(Life.newBuilder().setBoot(boot()).setDurability(durability.name()))
-            .build());
+        return Lines.framed(
+                Line.newBuilder()
+                        .setLife(Life.newBuilder().setBoot(boot()).setDurability(durability.name()))
+                        .build());
     }
 
     /** The file made beside takes over, with what was appended meanwhile. */
@@ -391,7 +449,8 @@
                 size += line.length;
             }
         }
-        // whole on the disk before it has its name, and its name on the disk before the former file goes
+        // whole on the disk before it has its name, and its name on the disk before the former file
+        // goes
         made.out().force();
         storage.rename(made.path(), named);
         // from here on the new file is the newest, so it takes the lines whatever fails below
--- a/state/src/main/java/thornferry/state/Reading.java
+++ b/state/src/main/java/thornferry/state/Reading.java
@@ -14,21 +14,31 @@
 import thornferry.state.v1.Line;
 
 /**
- * What stands in one journal file: its lines up to the first that is not whole. Read piece by piece, so that a file of
- * any size costs no more memory than its good lines.
+ * What stands in one journal file: its lines up to the first that is not whole. Read piece by
+ * piece, so that a file of any size costs no more memory than its good lines.
  *
- * @param placer  whose it is; empty where that cannot be read
- * @param whole   nothing is lacking but, at most, a last line that was being written
- * @param trouble what is wrong, empty for nothing; with {@code foreign} the lines are not ours to use
+ * @param placer whose it is; empty where that cannot be read
+ * @param whole nothing is lacking but, at most, a last line that was being written
+ * @param trouble what is wrong, empty for nothing; with {@code foreign} the lines are not ours to
+ *     use
  * @param foreign of another placer, of a later version, or no journal at all
- * @param last    the last start of a placer with it; null where there was none
- * @param good    octets up to the end of the last whole line
+ * @param last the last start of a placer with it; null where there was none
+ * @param good octets up to the end of the last whole line
  */
-public record Reading(String placer, List<Promise> promises, boolean whole, boolean foreign, String trouble, Life last, long good) {
+public record Reading(
+        String placer,
+        List<Promise> promises,
+        boolean whole,
+        boolean foreign,
+        String trouble,
+        Life last,
+        long good) {
     static final int VERSION = 1;
     static final byte[] MAGIC = {'T', 'F', 'J', '\n'};
 
-    /** @param placer whose journal it must be; null for anyone's */
+    /**
+     * @param placer whose journal it must be; null for anyone's
+     */
     public static Reading of(Path file, String placer) throws IOException {
         return of(Storage.SYSTEM, file, placer);
     }
@@ -38,7 +48,8 @@
         Life last = null;
         long good = MAGIC.length;
         long size = storage.size(file);
-        try (DataInputStream in = new DataInputStream(new BufferedInputStream(storage.read(file), 1 << 16))) {
+        try (DataInputStream in =
+                new DataInputStream(new BufferedInputStream(storage.read(file), 1 << 16))) {
             byte[] magic = in.readNBytes(MAGIC.length);
             byte[] first = java.util.Arrays.equals(magic, MAGIC) ? next(in) : null;
             if (first == null) {
@@ -46,7 +57,8 @@
             }
             Header header = Header.parseFrom(first);
             if (header.getVersion() != VERSION) {
-                return foreign("is of version " + header.getVersion() + "; this program reads " + VERSION);
+                return foreign(
+                        "is of version " + header.getVersion() + "; this program reads " + VERSION);
             }
             if (placer != null && !header.getPlacer().equals(placer)) {
                 return foreign("is that of placer " + header.getPlacer() + ", not of " + placer);
@@ -56,8 +68,18 @@
                 byte[] body = next(in);
                 if (body == null) {
                     boolean torn = restIsNoLine(in);
-                    return new Reading(header.getPlacer(), promises, torn, false, (torn ? "its last line was not whole and is cut off"
-                        : "is damaged") + " at octet " + good + " of " + size, last, good);
+                    return new Reading(
+                            header.getPlacer(),
+                            promises,
+                            torn,
+                            false,
+                            (torn ? "its last line was not whole and is cut off" : "is damaged")
+                                    + " at octet "
+                                    + good
+                                    + " of "
+                                    + size,
+                            last,
+                            good);
                 }
                 Line line = Line.parseFrom(body);
                 if (line.hasLife()) {
@@ -93,8 +115,9 @@
     }
 
     /**
-     * After a line that is not whole: whether nothing of any worth follows. A kill leaves at most one unfinished line,
-     * a power loss may leave a piece of zeros; more than that is damage, and lines behind it may be lost.
+     * After a line that is not whole: whether nothing of any worth follows. A kill leaves at most
+     * one unfinished line, a power loss may leave a piece of zeros; more than that is damage, and
+     * lines behind it may be lost.
      */
     private static boolean restIsNoLine(DataInputStream in) throws IOException {
         byte[] rest = in.readNBytes(Lines.MOST + 1);
--- a/state/src/main/java/thornferry/state/Storage.java
+++ b/state/src/main/java/thornferry/state/Storage.java
@@ -15,7 +15,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The few things that a journal asks of a file system, so that tests can lose power between any two of them. */
+/**
+ * The few things that a journal asks of a file system, so that tests can lose power between any two
+ * of them.
+ */
 interface Storage {
     /** An open file. */
     interface Out extends Closeable {
@@ -45,77 +48,84 @@
     InputStream read(Path file) throws IOException;
 
     /** The system's own. */
-    Storage SYSTEM = new Storage() {
-        private static final Logger LOG = LoggerFactory.getLogger(Storage.class);
-
-        @Override
-        public Out create(Path file) throws IOException {
-            FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING,
-                StandardOpenOption.WRITE);
-            return new Out() {
+    Storage SYSTEM =
+            new Storage() {
+                private static final Logger LOG = LoggerFactory.getLogger(Storage.class);
+
+                @Override
+                public Out create(Path file) throws IOException {
+                    FileChannel channel =
+                            FileChannel.open(
+                                    file,
+                                    StandardOpenOption.CREATE,
+                                    StandardOpenOption.TRUNCATE_EXISTING,
+                                    StandardOpenOption.WRITE);
+                    return new Out() {
+                        @Override
+                        public void write(long at, byte[] octets) throws IOException {
+                            ByteBuffer buffer = ByteBuffer.wrap(octets);
+                            for (long to = at; buffer.hasRemaining(); ) {
+                                to += channel.write(buffer, to);
+                            }
+                        }
+
+                        @Override
+                        public void truncate(long size) throws IOException {
+                            channel.truncate(size);
+                        }
+
+                        @Override
+                        public void force() throws IOException {
+                            channel.force(
+                                    false); // the data and what is needed to find it, such as the
+                            // file's length
+                        }
+
+                        @Override
+                        public void close() throws IOException {
+                            channel.close();
+                        }
+                    };
+                }
+
+                @Override
+                public void rename(Path from, Path to) throws IOException {
+                    try {
+                        Files.move(from, to, StandardCopyOption.ATOMIC_MOVE);
+                    } catch (AtomicMoveNotSupportedException e) {
+                        Files.move(from, to);
+                    }
+                }
+
                 @Override
-                public void write(long at, byte[] octets) throws IOException {
-                    ByteBuffer buffer = ByteBuffer.wrap(octets);
-                    for (long to = at; buffer.hasRemaining();) {
-                        to += channel.write(buffer, to);
+                public void forceFolder(Path folder) {
+                    try (FileChannel dir = FileChannel.open(folder, StandardOpenOption.READ)) {
+                        dir.force(true);
+                    } catch (IOException e) {
+                        LOG.debug("this system does not force folders: {}", e.getMessage());
                     }
                 }
 
                 @Override
-                public void truncate(long size) throws IOException {
-                    channel.truncate(size);
+                public void delete(Path file) throws IOException {
+                    Files.deleteIfExists(file);
+                }
+
+                @Override
+                public List<Path> list(Path folder) throws IOException {
+                    try (Stream<Path> all = Files.list(folder)) {
+                        return all.toList();
+                    }
                 }
 
                 @Override
-                public void force() throws IOException {
-                    channel.force(false); // the data and what is needed to find it, such as the file's length
+                public long size(Path file) throws IOException {
+                    return Files.size(file);
                 }
 
                 @Override
-                public void close() throws IOException {
-                    channel.close();
+                public InputStream read(Path file) throws IOException {
+                    return Files.newInputStream(file);
                 }
             };
-        }
-
-        @Override
-        public void rename(Path from, Path to) throws IOException {
-            try {
-                Files.move(from, to, StandardCopyOption.ATOMIC_MOVE);
-            } catch (AtomicMoveNotSupportedException e) {
-                Files.move(from, to);
-            }
-        }
-
-        @Override
-        public void forceFolder(Path folder) {
-            try (FileChannel dir = FileChannel.open(folder, StandardOpenOption.READ)) {
-                dir.force(true);
-            } catch (IOException e) {
-                LOG.debug("this system does not force folders: {}", e.getMessage());
-            }
-        }
-
-        @Override
-        public void delete(Path file) throws IOException {
-            Files.deleteIfExists(file);
-        }
-
-        @Override
-        public List<Path> list(Path folder) throws IOException {
-            try (Stream<Path> all = Files.list(folder)) {
-                return all.toList();
-            }
-        }
-
-        @Override
-        public long size(Path file) throws IOException {
-            return Files.size(file);
-        }
-
-        @Override
-        public InputStream read(Path file) throws IOException {
-            return Files.newInputStream(file);
-        }
-    };
 }
--- a/state/src/test/java/thornferry/state/CrashingStorage.java
+++ b/state/src/test/java/thornferry/state/CrashingStorage.java
@@ -14,8 +14,9 @@
 import java.util.TreeMap;
 
 /**
- * A file system in memory that loses power, or is full, at a chosen step. What was not forced then may be there or not:
- * writes reach the disk in any order and torn anywhere, names up to some point of their order.
+ * A file system in memory that loses power, or is full, at a chosen step. What was not forced then
+ * may be there or not: writes reach the disk in any order and torn anywhere, names up to some point
+ * of their order.
  */
 final class CrashingStorage implements Storage {
     /** The power is gone; an Error, so that nothing takes it for a failure that can be handled. */
@@ -23,7 +24,7 @@
         private static final long serialVersionUID = 1;
     }
 
-    private record Write(long at, byte[] octets) { }
+    private record Write(long at, byte[] octets) {}
 
     private static final class Inode {
         byte[] seen = new byte[0];
@@ -63,8 +64,12 @@
     /** The process is gone; with {@code power} the machine too. */
     void crash(boolean power) {
         if (power) {
-            names = unforcedNames.isEmpty() ? forcedNames : random.nextBoolean() ? forcedNames
-                : unforcedNames.get(random.nextInt(unforcedNames.size()));
+            names =
+                    unforcedNames.isEmpty()
+                            ? forcedNames
+                            : random.nextBoolean()
+                                    ? forcedNames
+                                    : unforcedNames.get(random.nextInt(unforcedNames.size()));
             for (Inode i : names.values()) {
                 List<Write> left = new ArrayList<>(i.unforced);
                 for (int k = left.size(); k > 1; k--) {
@@ -73,7 +78,11 @@
                 left = left.subList(0, random.nextInt(left.size() + 1));
                 byte[] content = i.forced;
                 for (Write w : left) {
-                    content = applied(content, w, w.octets() == null ? 0 : random.nextInt(w.octets().length + 1));
+                    content =
+                            applied(
+                                    content,
+                                    w,
+                                    w.octets() == null ? 0 : random.nextInt(w.octets().length + 1));
                 }
                 i.seen = content;
             }
@@ -115,7 +124,10 @@
             public void write(long at, byte[] octets) throws IOException {
                 int length = octets.length;
                 if (steps + 1 == losesPowerAt) {
-                    length = random.nextInt(length + 1); // a kill in the middle of a write leaves a part of it
+                    length =
+                            random.nextInt(
+                                    length + 1); // a kill in the middle of a write leaves a part
+                    // of it
                     inode.seen = applied(inode.seen, new Write(at, octets), length);
                     inode.unforced.add(new Write(at, Arrays.copyOf(octets, length)));
                 }
--- a/state/src/test/java/thornferry/state/JournalFileTest.java
+++ b/state/src/test/java/thornferry/state/JournalFileTest.java
@@ -23,12 +23,18 @@
 class JournalFileTest {
     private static final Path FOLDER = Path.of("f");
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private static Promise.Offered offered(int n) {
-        return new Promise.Offered(n, "a" + n, "o", "tenant", new Wish("t" + n, "levy-run", "s", "", 1, 2, null, 300),
-            Effect.UNSAFE, "n1", 7);
+        return new Promise.Offered(
+                n,
+                "a" + n,
+                "o",
+                "tenant",
+                new Wish("t" + n, "levy-run", "s", "", 1, 2, null, 300),
+                Effect.UNSAFE,
+                "n1",
+                7);
     }
 
     private static List<String> attempts(Iterable<Promise> promises) {
@@ -37,14 +43,21 @@
         return all;
     }
 
-    private static JournalFile open(Storage storage, Durability durability, long[] nanos) throws IOException {
-        JournalFile file = new JournalFile(FOLDER, "p-0", durability, storage, () -> nanos[0], false, () -> { });
+    private static JournalFile open(Storage storage, Durability durability, long[] nanos)
+            throws IOException {
+        JournalFile file =
+                new JournalFile(
+                        FOLDER, "p-0", durability, storage, () -> nanos[0], false, () -> {});
         file.compactFrom = 2_000;
         return file;
     }
 
-    /** Plays one journal with a crash at some step; what was acknowledged must be there afterwards, in order. */
-    private static void crashOnce(long seed, Durability durability, boolean power) throws IOException {
+    /**
+     * Plays one journal with a crash at some step; what was acknowledged must be there afterwards,
+     * in order.
+     */
+    private static void crashOnce(long seed, Durability durability, boolean power)
+            throws IOException {
         SplittableRandom random = new SplittableRandom(seed);
         CrashingStorage storage = new CrashingStorage(random);
         Set<String> acknowledged = new LinkedHashSet<>();
@@ -52,24 +65,33 @@
         int number = 0;
         for (int life = 0; life < 4; life++) {
             storage.losesPowerAt = storage.steps + 1 + random.nextInt(60);
-            storage.fullFrom = random.nextInt(4) == 0 ? storage.steps + random.nextInt(40) : Integer.MAX_VALUE;
-            storage.fullUntil = storage.fullFrom == Integer.MAX_VALUE ? Integer.MAX_VALUE : storage.fullFrom + 6;
+            storage.fullFrom =
+                    random.nextInt(4) == 0 ? storage.steps + random.nextInt(40) : Integer.MAX_VALUE;
+            storage.fullUntil =
+                    storage.fullFrom == Integer.MAX_VALUE
+                            ? Integer.MAX_VALUE
+                            : storage.fullFrom + 6;
             long[] nanos = {0};
             try {
                 JournalFile file = open(storage, durability, nanos);
                 List<String> read = attempts(file.promises());
-                assertThat(read).as("seed %d life %d", seed, life).containsAll(acknowledged)
-                    .isSubsetOf(attempts(appended)).isSorted();
+                assertThat(read)
+                        .as("seed %d life %d", seed, life)
+                        .containsAll(acknowledged)
+                        .isSubsetOf(attempts(appended))
+                        .isSorted();
                 appended.removeIf(p -> !read.contains(((Promise.Offered) p).attempt()));
                 file.begin(file.promises());
                 for (int i = 0; i < 100; i++) {
                     Promise.Offered p = offered(1_000 + ++number);
                     appended.add(p);
-                    file.append(p, wrong -> {
-                        if (wrong == null) {
-                            acknowledged.add(p.attempt());
-                        }
-                    });
+                    file.append(
+                            p,
+                            wrong -> {
+                                if (wrong == null) {
+                                    acknowledged.add(p.attempt());
+                                }
+                            });
                     nanos[0] += 400_000_000;
                     if (random.nextInt(10) == 0) {
                         file.compact(() -> List.copyOf(appended));
@@ -101,11 +123,16 @@
 
     @Test
     void theTestFindsAJournalThatDoesNotForce() {
-        assertThatThrownBy(() -> {
-            for (long seed = 1; seed <= 3_000; seed++) {
-                crashOnce(seed, Durability.OS, true); // os promises nothing over a power loss
-            }
-        }).isInstanceOf(AssertionError.class);
+        assertThatThrownBy(
+                        () -> {
+                            for (long seed = 1; seed <= 3_000; seed++) {
+                                crashOnce(
+                                        seed,
+                                        Durability.OS,
+                                        true); // os promises nothing over a power loss
+                            }
+                        })
+                .isInstanceOf(AssertionError.class);
     }
 
     private static byte[] some() throws IOException {
@@ -113,7 +140,7 @@
         JournalFile file = open(storage, Durability.OS, new long[1]);
         file.begin(List.of());
         for (int i = 0; i < 5; i++) {
-            file.append(offered(i), wrong -> { });
+            file.append(offered(i), wrong -> {});
         }
         return storage.content(FOLDER.resolve("journal-1.tfj"));
     }
@@ -132,7 +159,8 @@
             Reading reading = read(Arrays.copyOf(all, length), "p-0");
             assertThat(reading.promises().size()).isBetween(most, most + 1);
             most = Math.max(most, reading.promises().size());
-            // a kill leaves no more than one line that is not whole, so nothing is lacking but that one
+            // a kill leaves no more than one line that is not whole, so nothing is lacking but that
+            // one
             assertThat(reading.whole()).isEqualTo(!reading.foreign());
         }
         assertThat(most).isEqualTo(5);
@@ -147,15 +175,18 @@
             wrong[at] ^= 0x41;
             Reading reading = read(wrong, "p-0");
             assertThat(reading.trouble()).as("octet %d", at).isNotEmpty();
-            assertThat(attempts(reading.promises())).isEqualTo(List.of("a0", "a1", "a2", "a3", "a4")
-                .subList(0, reading.promises().size()));
+            assertThat(attempts(reading.promises()))
+                    .isEqualTo(
+                            List.of("a0", "a1", "a2", "a3", "a4")
+                                    .subList(0, reading.promises().size()));
         }
     }
 
     @Test
     void aForeignALaterAndANoisyFileAreKeptAsideAndSaid() throws IOException {
         assertThat(read(some(), "p-1").trouble()).contains("is that of placer p-0, not of p-1");
-        assertThat(read("no journal at all".getBytes(), "p-0").trouble()).isEqualTo("is no journal");
+        assertThat(read("no journal at all".getBytes(), "p-0").trouble())
+                .isEqualTo("is no journal");
         Files.write(Files.createDirectories(folder).resolve("journal-7.tfj"), some());
         try (JournalFile file = JournalFile.open(folder, "p-1", Durability.DISK)) {
             assertThat(file.promises()).isEmpty();
@@ -163,8 +194,8 @@
             file.begin(List.of());
         }
         try (var left = Files.list(folder)) {
-            assertThat(left.map(f -> f.getFileName().toString().replaceAll("aside-\\d+", "aside"))).contains(
-                "journal-7.tfj.aside", "journal-8.tfj");
+            assertThat(left.map(f -> f.getFileName().toString().replaceAll("aside-\\d+", "aside")))
+                    .contains("journal-7.tfj.aside", "journal-8.tfj");
         }
     }
 
@@ -175,7 +206,8 @@
             assertThat(file.lacking()).isEqualTo("there was no journal before");
             file.begin(List.of());
             assertThatThrownBy(() -> JournalFile.open(folder, "p-0", Durability.DISK))
-                .isInstanceOf(JournalFile.InUse.class).hasMessageContaining("is in use by another placer");
+                    .isInstanceOf(JournalFile.InUse.class)
+                    .hasMessageContaining("is in use by another placer");
             for (int i = 10; i < 30; i++) {
                 file.append(offered(i), wrong -> done.countDown());
             }
--- a/state/src/test/java/thornferry/state/StoredJournalTest.java
+++ b/state/src/test/java/thornferry/state/StoredJournalTest.java
@@ -20,48 +20,111 @@
 import thornferry.state.v1.Line;
 
 /**
- * Journals of version 0.2.0 in {@code src/test/resources/journal-v1}, written by that version's {@link JournalFile}:
- * every later version reads the same records from them and writes the same bytes.
+ * Journals of version 0.2.0 in {@code src/test/resources/journal-v1}, written by that version's
+ * {@link JournalFile}: every later version reads the same records from them and writes the same
+ * bytes.
  */
 class StoredJournalTest {
     private static final Path FIXTURES = Path.of("src/test/resources/journal-v1");
+
     /** Written anew by a second start, then appended to. */
     private static final Path REWRITTEN = FIXTURES.resolve("placer-0/journal-2.tfj");
+
     /** Its last line was cut in the middle. */
     private static final Path TORN = FIXTURES.resolve("placer-1/journal-1.tfj");
 
-    private static final Wish UNSAFE = new Wish("pump-7", "levy-run", "pumps", "", 2.5, 4.25, null, 300_000);
-    private static final Wish KEYED = new Wish("ledger-3", "ledger-post", "ledger", "key-19", 0.5, 1, null, 0);
-    private static final Wish FAILED = new Wish("pump-8", "levy-run", "pumps", "", 1, 1, null, 1_000_000);
+    private static final Wish UNSAFE =
+            new Wish("pump-7", "levy-run", "pumps", "", 2.5, 4.25, null, 300_000);
+    private static final Wish KEYED =
+            new Wish("ledger-3", "ledger-post", "ledger", "key-19", 0.5, 1, null, 0);
+    private static final Wish FAILED =
+            new Wish("pump-8", "levy-run", "pumps", "", 1, 1, null, 1_000_000);
     private static final Wish OPEN = new Wish("zähler-1", "levy-run", "zähler", "", 3, 6, null, 0);
 
-    /** What the first start wrote, except for the attempt that never ran, which the rewritten file leaves out. */
-    private static final List<Promise> CARRIED_OVER = List.of(
-        new Promise.Answered(1_700_000_000_000_200L, "depot1", "north", UNSAFE, Effect.UNSAFE, Result.PLACED, "node-1", ""),
-        new Promise.Answered(1_700_000_000_000_300L, "depot2", "", KEYED, Effect.KEYED, Result.PLACED, "node-2", ""),
-        new Promise.Answered(1_700_000_000_000_400L, "depot1", "north", FAILED, Effect.UNSAFE, Result.FAILED, "",
-            "an earlier attempt may have run"));
+    /**
+     * What the first start wrote, except for the attempt that never ran, which the rewritten file
+     * leaves out.
+     */
+    private static final List<Promise> CARRIED_OVER =
+            List.of(
+                    new Promise.Answered(
+                            1_700_000_000_000_200L,
+                            "depot1",
+                            "north",
+                            UNSAFE,
+                            Effect.UNSAFE,
+                            Result.PLACED,
+                            "node-1",
+                            ""),
+                    new Promise.Answered(
+                            1_700_000_000_000_300L,
+                            "depot2",
+                            "",
+                            KEYED,
+                            Effect.KEYED,
+                            Result.PLACED,
+                            "node-2",
+                            ""),
+                    new Promise.Answered(
+                            1_700_000_000_000_400L,
+                            "depot1",
+                            "north",
+                            FAILED,
+                            Effect.UNSAFE,
+                            Result.FAILED,
+                            "",
+                            "an earlier attempt may have run"));
 
-    /** What the second start appended: one record of every kind, and each way in which a task ends. */
-    private static final List<Promise> APPENDED = List.of(
-        new Promise.Offered(1_700_000_001_000_000L, "p0.a-1", "depot1", "north", OPEN, Effect.UNSAFE, "node-3",
-            1_699_999_000_000_000L),
-        new Promise.NeverRan(1_700_000_001_000_100L, "depot1", "zähler-1", "p0.a-1"),
-        new Promise.Offered(1_700_000_001_000_200L, "p0.a-2", "depot1", "north", OPEN, Effect.UNSAFE, "node-1", -1),
-        new Promise.Finished(1_700_000_001_000_300L, "depot1", "pump-7", Fate.ENDED),
-        new Promise.Finished(1_700_000_001_000_400L, "depot2", "ledger-3", Fate.EVICTED),
-        new Promise.Answered(1_700_000_001_000_500L, "depot2", "", KEYED, Effect.KEYED, Result.PLACED, "node-1", ""),
-        new Promise.Finished(1_700_000_001_000_600L, "depot2", "ledger-3", Fate.LOST),
-        new Promise.Finished(1_700_000_001_000_700L, "depot2", "ledger-3", Fate.MOVED),
-        new Promise.Finished(1_700_000_001_000_800L, "depot2", "ledger-3", Fate.STOPPED));
+    /**
+     * What the second start appended: one record of every kind, and each way in which a task ends.
+     */
+    private static final List<Promise> APPENDED =
+            List.of(
+                    new Promise.Offered(
+                            1_700_000_001_000_000L,
+                            "p0.a-1",
+                            "depot1",
+                            "north",
+                            OPEN,
+                            Effect.UNSAFE,
+                            "node-3",
+                            1_699_999_000_000_000L),
+                    new Promise.NeverRan(1_700_000_001_000_100L, "depot1", "zähler-1", "p0.a-1"),
+                    new Promise.Offered(
+                            1_700_000_001_000_200L,
+                            "p0.a-2",
+                            "depot1",
+                            "north",
+                            OPEN,
+                            Effect.UNSAFE,
+                            "node-1",
+                            -1),
+                    new Promise.Finished(1_700_000_001_000_300L, "depot1", "pump-7", Fate.ENDED),
+                    new Promise.Finished(
+                            1_700_000_001_000_400L, "depot2", "ledger-3", Fate.EVICTED),
+                    new Promise.Answered(
+                            1_700_000_001_000_500L,
+                            "depot2",
+                            "",
+                            KEYED,
+                            Effect.KEYED,
+                            Result.PLACED,
+                            "node-1",
+                            ""),
+                    new Promise.Finished(1_700_000_001_000_600L, "depot2", "ledger-3", Fate.LOST),
+                    new Promise.Finished(1_700_000_001_000_700L, "depot2", "ledger-3", Fate.MOVED),
+                    new Promise.Finished(
+                            1_700_000_001_000_800L, "depot2", "ledger-3", Fate.STOPPED));
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
-    private static byte[] encoded(String placer, List<Promise> first, Life life, List<Promise> then) throws IOException {
+    private static byte[] encoded(String placer, List<Promise> first, Life life, List<Promise> then)
+            throws IOException {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         all.write(Reading.MAGIC);
-        all.write(Lines.framed(Header.newBuilder().setVersion(Reading.VERSION).setPlacer(placer).build()));
+        all.write(
+                Lines.framed(
+                        Header.newBuilder().setVersion(Reading.VERSION).setPlacer(placer).build()));
         for (Promise p : first) {
             all.write(Lines.framed(Lines.of(p)));
         }
@@ -87,7 +150,8 @@
     @Test
     void encodesTheSameRecordsToTheSameBytes() throws IOException {
         Life life = Reading.of(REWRITTEN, "placer-0").last();
-        assertThat(encoded("placer-0", CARRIED_OVER, life, APPENDED)).isEqualTo(Files.readAllBytes(REWRITTEN));
+        assertThat(encoded("placer-0", CARRIED_OVER, life, APPENDED))
+                .isEqualTo(Files.readAllBytes(REWRITTEN));
     }
 
     @Test
