--- a/app/src/main/java/thornferry/app/ConfigCommand.java
+++ b/app/src/main/java/thornferry/app/ConfigCommand.java
@@ -27,7 +27,7 @@
                             + ": good; "
                             + read.site().module().classes().size()
                             + " classes, "
-                            + read.site().module().kinds().size()
+                            + read.site().module().machineKinds().size()
                             + " kinds, "
                             + read.site().accounts().size()
                             + " accounts");
--- a/app/src/main/java/thornferry/app/StateCommand.java
+++ b/app/src/main/java/thornferry/app/StateCommand.java
@@ -14,10 +14,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import thornferry.decisions.recovery.Promise;
+import thornferry.decisions.recovery.JournalRecord;
 import thornferry.decisions.recovery.Recovery;
 import thornferry.state.Durability;
 import thornferry.state.JournalFile;
+import thornferry.state.JournalWords;
 import thornferry.state.Reading;
 
 @Command(
@@ -62,37 +63,37 @@
         return found;
     }
 
-    private static Recovery recovery(List<Promise> promises) {
+    private static Recovery recovery(List<JournalRecord> promises) {
         Recovery recovery =
                 new Recovery(new Recovery.Limits(EVER, EVER, EVER, Integer.MAX_VALUE, true));
-        promises.forEach(recovery::note);
+        promises.forEach(recovery::apply);
         return recovery;
     }
 
     private record Row(String owner, String task, String taskClass, String state, String node) {}
 
-    private static List<Row> rows(List<Promise> snapshot) {
+    private static List<Row> rows(List<JournalRecord> snapshot) {
         Map<String, Row> rows = new LinkedHashMap<>();
-        for (Promise p : snapshot) {
-            if (p instanceof Promise.Offered o) {
+        for (JournalRecord p : snapshot) {
+            if (p instanceof JournalRecord.Offered o) {
                 put(
                         rows,
                         new Row(
                                 o.owner(),
-                                o.wish().id(),
-                                o.wish().taskClass(),
+                                o.spec().id(),
+                                o.spec().taskClass(),
                                 "offered",
                                 o.machine()));
-            } else if (p instanceof Promise.Answered a) {
+            } else if (p instanceof JournalRecord.Completed a) {
                 put(
                         rows,
                         new Row(
                                 a.owner(),
-                                a.wish().id(),
-                                a.wish().taskClass(),
-                                a.result().name().toLowerCase(Locale.ROOT),
+                                a.spec().id(),
+                                a.spec().taskClass(),
+                                JournalWords.of(a.result()).toLowerCase(Locale.ROOT),
                                 a.machine()));
-            } else if (p instanceof Promise.Finished f) {
+            } else if (p instanceof JournalRecord.Finished f) {
                 Row before = rows.get(f.owner() + "\n" + f.task());
                 put(
                         rows,
@@ -100,7 +101,7 @@
                                 f.owner(),
                                 f.task(),
                                 before == null ? "" : before.taskClass(),
-                                f.fate().name().toLowerCase(Locale.ROOT),
+                                JournalWords.of(f.terminationCause()).toLowerCase(Locale.ROOT),
                                 before == null ? "" : before.node()));
             }
         }
@@ -224,7 +225,7 @@
                             ? Durability.OS
                             : Durability.valueOf(reading.last().getDurability());
             try (JournalFile journal = JournalFile.open(folder, reading.placer(), durability)) {
-                List<Promise> left = recovery(journal.promises()).snapshot();
+                List<JournalRecord> left = recovery(journal.promises()).snapshot();
                 journal.begin(left);
                 System.out.println(
                         folder
--- a/bench-adapter/src/main/java/thornferry/bench/SimHost.java
+++ b/bench-adapter/src/main/java/thornferry/bench/SimHost.java
@@ -16,10 +16,10 @@
 import java.util.Map;
 import java.util.function.Function;
 import thornferry.bench.WireCodec.WireException;
-import thornferry.decisions.Placement;
-import thornferry.decisions.Placement.MachineEntry;
-import thornferry.decisions.Placement.Settings;
-import thornferry.decisions.Policy;
+import thornferry.decisions.placement.Placement;
+import thornferry.decisions.placement.Placement.MachineEntry;
+import thornferry.decisions.placement.Placement.Settings;
+import thornferry.decisions.placement.Policy;
 
 /**
  * Hosts placement modules for the simulator: reads its batches, writes the modules' replies,
--- a/bench-adapter/src/test/java/thornferry/bench/SimHostTest.java
+++ b/bench-adapter/src/test/java/thornferry/bench/SimHostTest.java
@@ -12,9 +12,9 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
-import thornferry.decisions.Placement;
-import thornferry.decisions.Placement.*;
-import thornferry.decisions.Policy;
+import thornferry.decisions.placement.Placement;
+import thornferry.decisions.placement.Placement.Settings;
+import thornferry.decisions.placement.Policy;
 
 class SimHostTest {
     private static final String CONFIG =
--- a/client/src/main/java/thornferry/client/TaskClient.java
+++ b/client/src/main/java/thornferry/client/TaskClient.java
@@ -23,7 +23,6 @@
 import thornferry.protocol.ProtocolException;
 import thornferry.protocol.v1.Limits;
 import thornferry.protocol.v1.LimitsQuery;
-import thornferry.protocol.v1.Reason;
 import thornferry.protocol.v1.StopTask;
 import thornferry.protocol.v1.Task;
 import thornferry.protocol.v1.TaskNews;
@@ -217,7 +216,7 @@
     /**
      * Why a task of one's own waits, or what became of it, with the history of its reasons. The
      * state is {@code unknown} where the placer knows no such task of this owner's; the kinds of
-     * reasons are those of {@link Reason.Kind}.
+     * reasons are those of {@link OutcomeReason.Kind}.
      */
     public CompletableFuture<Why> why(String task) {
         return question(
--- a/config/src/main/java/thornferry/config/LineSection.java
+++ b/config/src/main/java/thornferry/config/LineSection.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.Set;
 import thornferry.config.TomlFile.Section;
-import thornferry.decisions.LineSettings;
-import thornferry.decisions.LineSettings.Limit;
-import thornferry.decisions.Placement;
+import thornferry.decisions.admission.AdmissionSettings;
+import thornferry.decisions.admission.Quota;
+import thornferry.decisions.placement.Placement;
 
 /**
  * The table {@code [line]}, the tables {@code [[limit]]}, the shares of tenants and what classes do
@@ -27,33 +27,33 @@
 
     private LineSection() {}
 
-    static LineSettings read(Section root, Placement.Settings module) {
-        LineSettings usual = LineSettings.usual();
+    static AdmissionSettings read(Section root, Placement.Settings module) {
+        AdmissionSettings usual = AdmissionSettings.defaults();
         Section s = root.table("line");
-        long least = s.millis("retry-least-ms", 1, HOUR_MS, usual.retryLeast() / 1e3);
-        long most = s.millis("retry-most-ms", 1, HOUR_MS, usual.retryMost() / 1e3);
+        long least = s.millis("retry-least-ms", 1, HOUR_MS, usual.minRetryAfterMicros() / 1e3);
+        long most = s.millis("retry-most-ms", 1, HOUR_MS, usual.maxRetryAfterMicros() / 1e3);
         if (most < least) {
             s.complain("retry-most-ms", "must not be under retry-least-ms");
         }
-        Limit[] all = {Limit.NONE, Limit.NONE, Limit.NONE};
-        Map<String, Limit> owners = new HashMap<>();
-        Map<String, Limit> tenants = new HashMap<>();
+        Quota[] all = {Quota.UNLIMITED, Quota.UNLIMITED, Quota.UNLIMITED};
+        Map<String, Quota> owners = new HashMap<>();
+        Map<String, Quota> tenants = new HashMap<>();
         limits(root, module, all, owners, tenants);
         Map<String, Double> shares = new HashMap<>();
         module.tenants().forEach(t -> shares.put(t.name(), Math.max(1e-6, t.share())));
-        return new LineSettings(
+        return new AdmissionSettings(
                 s.flag("on", true),
-                s.whole("length", 1, 10_000_000, usual.length()),
-                s.whole("window", 1, 1_000_000, usual.window()),
-                s.millis("take-back-ms", 1, HOUR_MS, usual.takeBack() / 1e3),
-                s.millis("look-again-ms", 1, HOUR_MS, usual.lookAgain() / 1e3),
-                s.number("overload-from", 0.01, 1, usual.target()),
-                s.millis("overload-interval-ms", 10, HOUR_MS, usual.interval() / 1e3),
-                s.whole("oldest-turn", 2, 1_000_000, usual.oldestTurn()),
-                s.number("large-from", 0.01, 1, usual.large()),
-                s.millis("gather-after-ms", 1, HOUR_MS, usual.gatherAfter() / 1e3),
-                s.millis("gather-for-ms", 0, HOUR_MS, usual.gatherFor() / 1e3),
-                s.number("retry-share", 0, 100, usual.retryShare()),
+                s.whole("length", 1, 10_000_000, usual.maxQueued()),
+                s.whole("window", 1, 1_000_000, usual.maxDispatched()),
+                s.millis("take-back-ms", 1, HOUR_MS, usual.recallAfterMicros() / 1e3),
+                s.millis("look-again-ms", 1, HOUR_MS, usual.backoffMicros() / 1e3),
+                s.number("overload-from", 0.01, 1, usual.targetWaitFraction()),
+                s.millis("overload-interval-ms", 10, HOUR_MS, usual.intervalMicros() / 1e3),
+                s.whole("oldest-turn", 2, 1_000_000, usual.oldestEvery()),
+                s.number("large-from", 0.01, 1, usual.largeTaskFraction()),
+                s.millis("gather-after-ms", 1, HOUR_MS, usual.reserveAfterMicros() / 1e3),
+                s.millis("gather-for-ms", 0, HOUR_MS, usual.reserveForMicros() / 1e3),
+                s.number("retry-share", 0, 100, usual.retryRatio()),
                 s.number("retry-per-second", 0, 1e6, usual.retryPerSecond()),
                 least,
                 Math.max(least, most),
@@ -79,9 +79,9 @@
     private static void limits(
             Section root,
             Placement.Settings module,
-            Limit[] all,
-            Map<String, Limit> owners,
-            Map<String, Limit> tenants) {
+            Quota[] all,
+            Map<String, Quota> owners,
+            Map<String, Quota> tenants) {
         List<String> logins = new ArrayList<>();
         root.tables("account").forEach(a -> logins.add(a.text("login", "")));
         Set<String> seen = new HashSet<>();
@@ -105,7 +105,7 @@
                         site ? "site" : owner.isEmpty() ? "tenant" : "owner",
                         "its limit stands already");
             }
-            Limit limit = limit(s);
+            Quota limit = limit(s);
             if (site) {
                 all[2] = limit;
             } else if (!owner.isEmpty()) {
@@ -122,7 +122,7 @@
         }
     }
 
-    private static Limit limit(Section s) {
+    private static Quota limit(Section s) {
         double perSecond = s.number("per-second", 1e-3, 1e9, NONE);
         double burst =
                 s.number(
@@ -130,7 +130,7 @@
                         1,
                         1e9,
                         Double.isFinite(perSecond) ? Math.max(1, perSecond) : NONE);
-        return new Limit(
+        return new Quota(
                 s.number("waiting", 0, 1e9, NONE),
                 s.number("tasks", 1, 1e9, NONE),
                 perSecond,
--- a/config/src/main/java/thornferry/config/SiteFile.java
+++ b/config/src/main/java/thornferry/config/SiteFile.java
@@ -3,12 +3,14 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashSet;
+import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Map;
 import java.util.Set;
 import thornferry.config.TomlFile.Section;
-import thornferry.decisions.Intake;
-import thornferry.decisions.Membership;
-import thornferry.decisions.Placement;
+import thornferry.decisions.membership.Membership;
+import thornferry.decisions.placement.Placement;
+import thornferry.decisions.requests.RequestTracker;
 import thornferry.placer.Account;
 import thornferry.placer.Site;
 import thornferry.protocol.FrameLimits;
@@ -22,6 +24,7 @@
  */
 public record SiteFile(Site site, String host, int port, int instances) {
     private static final long HOUR_MS = 3_600_000;
+    private static final Map<String, Placement.Idempotency> EFFECTS = effects();
 
     public static SiteFile read(Path path) throws ConfigException {
         return of(TomlFile.read(path));
@@ -87,14 +90,14 @@
                 s.whole("nodes", 1, 1_000_000, 20_000));
     }
 
-    private static Intake.Limits intake(Section root) {
+    private static RequestTracker.Limits intake(Section root) {
         Section s = root.table("intake");
         long least = s.millis("retry-least-ms", 1, HOUR_MS, 1_000);
         long most = s.millis("retry-most-ms", 1, HOUR_MS, 30_000);
         if (most < least) {
             s.complain("retry-most-ms", "must not be under retry-least-ms");
         }
-        return new Intake.Limits(
+        return new RequestTracker.Limits(
                 s.whole("in-hand", 1, 10_000_000, 20_000),
                 s.whole("kept", 1, 50_000_000, 200_000),
                 s.millis("keep-ms", 1, 24 * HOUR_MS, 120_000),
@@ -117,8 +120,8 @@
         }
         Section asks = root.table("asks");
         Section p = root.table("prices");
-        Placement.Prices prices =
-                new Placement.Prices(
+        Placement.CostWeights prices =
+                new Placement.CostWeights(
                         price(p, "fleet", 0),
                         price(p, "moves", 0.08),
                         price(p, "waste", 0.03),
@@ -160,7 +163,7 @@
                 classes,
                 kinds,
                 tenants,
-                Placement.Reports.WITH_ANSWERS,
+                Placement.LoadReportMode.WITH_RESPONSES,
                 List.of("x0", "x1", "waiting"),
                 false,
                 true,
@@ -187,8 +190,8 @@
     private static Placement.TaskClass nothing() {
         return new Placement.TaskClass(
                 "none",
-                Placement.Effect.SAFE,
-                Placement.Scope.ALL,
+                Placement.Idempotency.IDEMPOTENT,
+                Placement.TopologyScope.ALL,
                 0,
                 1,
                 1,
@@ -199,7 +202,7 @@
                 1,
                 0,
                 -1,
-                Placement.Scope.NONE,
+                Placement.TopologyScope.NONE,
                 0);
     }
 
@@ -229,15 +232,18 @@
             if (!names.add(name)) {
                 s.complain("name", "class " + name + " stands already");
             }
-            Placement.Effect effect = s.choice("effect", Placement.Effect.class, null);
-            Placement.Scope scope =
-                    s.choice("key-scope", Placement.Scope.class, Placement.Scope.ALL);
+            Placement.Idempotency effect = s.choice("effect", EFFECTS, null);
+            Placement.TopologyScope scope =
+                    s.choice(
+                            "key-scope",
+                            Placement.TopologyScope.class,
+                            Placement.TopologyScope.ALL);
             long window =
                     s.millis(
                             "key-window-ms",
                             0,
                             HOUR_MS,
-                            effect == Placement.Effect.KEYED ? Double.NaN : 0);
+                            effect == Placement.Idempotency.IDEMPOTENT_WITH_KEY ? Double.NaN : 0);
             long aim = s.millis("aim-ms", 1, HOUR_MS, 1_000);
             long deadline = s.millis("deadline-ms", 1, 24 * HOUR_MS, Double.NaN);
             if (deadline < aim) {
@@ -248,10 +254,10 @@
             if (needs < 0 && !kind.equals("any")) {
                 s.complain("kind", "no kind " + kind + " stands in this file");
             }
-            Placement.Scope spread =
-                    s.choice("spread", Placement.Scope.class, Placement.Scope.NONE);
+            Placement.TopologyScope spread =
+                    s.choice("spread", Placement.TopologyScope.class, Placement.TopologyScope.NONE);
             int most = s.whole("spread-most", 0, 1_000_000, 0);
-            if (spread != Placement.Scope.NONE && most == 0) {
+            if (spread != Placement.TopologyScope.NONE && most == 0) {
                 s.complain("spread-most", "must be above 0 where spread is set");
             }
             classes.add(
@@ -316,4 +322,12 @@
         }
         return accounts;
     }
+
+    private static Map<String, Placement.Idempotency> effects() {
+        Map<String, Placement.Idempotency> effects = new LinkedHashMap<>();
+        effects.put("safe", Placement.Idempotency.IDEMPOTENT);
+        effects.put("keyed", Placement.Idempotency.IDEMPOTENT_WITH_KEY);
+        effects.put("unsafe", Placement.Idempotency.NON_IDEMPOTENT);
+        return effects;
+    }
 }
--- a/config/src/main/java/thornferry/config/TomlFile.java
+++ b/config/src/main/java/thornferry/config/TomlFile.java
@@ -235,20 +235,33 @@
 
         /** One of the constants of an enum, written in lower case with hyphens. */
         public <E extends Enum<E>> E choice(String key, Class<E> of, E otherwise) {
+            Map<String, E> words = new LinkedHashMap<>();
+            for (E each : of.getEnumConstants()) {
+                words.put(word(each), each);
+            }
+            return choice(key, words, otherwise);
+        }
+
+        /**
+         * One of some words, each with its value; the first value where what is there is not one of
+         * them.
+         */
+        public <T> T choice(String key, Map<String, T> words, T otherwise) {
+            String known = String.join(", ", words.keySet());
+            T first = words.values().iterator().next();
             JsonNode value = value(key);
             if (value == null) {
                 if (otherwise == null) {
-                    complain(key, "is missing; one of " + words(of));
+                    complain(key, "is missing; one of " + known);
                 }
-                return otherwise == null ? of.getEnumConstants()[0] : otherwise;
+                return otherwise == null ? first : otherwise;
             }
-            for (E each : of.getEnumConstants()) {
-                if (value.isTextual() && word(each).equals(value.textValue())) {
-                    return each;
-                }
+            T chosen = value.isTextual() ? words.get(value.textValue()) : null;
+            if (chosen == null) {
+                complain(key, "must be one of " + known + ", not " + value.asText());
+                return first;
             }
-            complain(key, "must be one of " + words(of) + ", not " + value.asText());
-            return of.getEnumConstants()[0];
+            return chosen;
         }
 
         private void unknown() {
@@ -271,11 +284,6 @@
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    private static <E extends Enum<E>> String words(Class<E> of) {
-        return String.join(
-                ", ", java.util.Arrays.stream(of.getEnumConstants()).map(TomlFile::word).toList());
-    }
-
     private static String plain(double number) {
         return number == Math.rint(number) && Math.abs(number) < 1e15
                 ? Long.toString((long) number)
--- a/decisions/src/main/java/thornferry/decisions/Line.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/AdmissionQueue.java
@@ -1,4 +1,4 @@
-package thornferry.decisions;
+package thornferry.decisions.admission;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Consumer;
-import thornferry.decisions.LineSettings.Limit;
+import thornferry.decisions.membership.ClusterView;
 
 /**
  * The waiting line: which task the module is asked to place next, which waits, and which is refused
@@ -18,101 +18,62 @@
  *
  * <p>Between tenants the one with the lowest dominant share for its weight comes next, within a
  * tenant the class of most worth, then first asks, then the earliest deadline; every {@link
- * LineSettings#oldestTurn}-th turn is the oldest's. So <b>a task that no limit holds is asked for
- * after at most {@code oldestTurn * (n + 1)} others</b>, n being those that came before it and wait
- * still. The line never says where a task goes. Times are microseconds.
+ * AdmissionSettings#oldestEvery}-th turn is the oldest's. So <b>a task that no limit holds is asked
+ * for after at most {@code oldestTurn * (n + 1)} others</b>, n being those that came before it and
+ * wait still. The line never says where a task goes. Times are microseconds.
  */
-public final class Line {
-    /**
-     * One ask. {@code turnedBy} is the machine that turned the task down last time, empty for none;
-     * {@code runsFor} 0 if unknown.
-     */
-    public record Item(
-            String request,
-            String owner,
-            String tenant,
-            String taskClass,
-            double worth,
-            double cores,
-            double memory,
-            long deadline,
-            long runsFor,
-            boolean again,
-            String turnedBy) {}
-
+public final class AdmissionQueue {
     /** Where a task stands. */
-    public enum Where {
-        NOWHERE,
-        LINE,
-        PARKED,
-        ASKED,
+    public enum Stage {
+        UNKNOWN,
+        QUEUED,
+        BACKING_OFF,
+        DISPATCHED,
         OFFERED,
         PLACED
     }
 
     /**
-     * A limit that holds a task back: whose ({@link Scope}), which, how much it allows, and until
-     * when if by time.
-     */
-    public record Hold(Scope scope, String limit, double allows, double uses, long until) {}
-
-    public enum Scope {
-        OWNER,
-        TENANT,
-        ALL
-    }
-
-    /**
-     * @param hold the limit that holds it, or null
-     * @param nextLook of a parked one: when it is asked for again at the latest
-     * @param behind its tenant is above its share and others come first
-     * @param gathering room is kept for a larger task
+     * @param quotaBlock the limit that holds it, or null
+     * @param nextRetryAtMicros of a parked one: when it is asked for again at the latest
+     * @param aboveFairShare its tenant is above its share and others come first
+     * @param capacityReserved room is kept for a larger task
      */
-    public record Standing(
-            Where where,
-            Hold hold,
-            long nextLook,
-            boolean behind,
-            boolean gathering,
-            long arrived) {}
+    public record Status(
+            Stage stage,
+            QuotaBlock quotaBlock,
+            long nextRetryAtMicros,
+            boolean aboveFairShare,
+            boolean capacityReserved,
+            long arrivedAtMicros) {}
 
     public sealed interface Action {}
 
     /** Ask the module; so much patience is left. */
-    public record Release(String request, long patience) implements Action {}
+    public record Dispatch(String requestId, long maxWaitMicros) implements Action {}
 
     /** The module no longer needs to hold it: it was never offered and waits in the line again. */
-    public record TakeBack(String request) implements Action {}
+    public record Recall(String requestId) implements Action {}
 
     /** Refuse it now rather than late. */
-    public record Turn(String request, String why, long retryAfter) implements Action {}
+    public record Shed(String requestId, String reason, long retryAfterMicros) implements Action {}
 
-    /** Sums for operators. {@code overload} whether tasks are being shed. */
-    public record Counts(
-            int line,
-            int parked,
-            int asked,
+    /** Sums for operators. {@code overloaded} whether tasks are being shed. */
+    public record QueueCounts(
+            int queued,
+            int backingOff,
+            int dispatched,
             int offered,
             int placed,
-            boolean overload,
+            boolean overloaded,
             long shed) {}
 
-    /** A tenant's or owner's use of its limits. */
-    public record Use(
-            String name,
-            int waiting,
-            int tasks,
-            double cores,
-            double memory,
-            double share,
-            Limit limit) {}
-
     private static final class Entry {
-        final Item item;
+        final QueuedRequest item;
         final long seq;
         final long arrived;
         Owner owner;
-        Where where = Where.LINE;
+        Stage where = Stage.QUEUED;
         boolean couldFit; // some machine known at its coming is large enough
         boolean first = true; // not asked for yet
         boolean offeredEver;
@@ -122,7 +83,7 @@
         boolean again; // asked for because its time came
         boolean forRetry; // parked by the budget of asks again, not for room
 
-        Entry(Item item, long seq, long arrived) {
+        Entry(QueuedRequest item, long seq, long arrived) {
             this.item = item;
             this.seq = seq;
             this.arrived = arrived;
@@ -130,7 +91,7 @@
 
         /** The part of its patience that is over. */
         double waited(long now) {
-            return (now - arrived) / (double) Math.max(1, item.deadline() - arrived);
+            return (now - arrived) / (double) Math.max(1, item.deadlineMicros() - arrived);
         }
     }
 
@@ -157,7 +118,7 @@
         final Tenant tenant;
         final TreeSet<Entry> queue = new TreeSet<>(ORDER);
         final TreeSet<Entry> byAge = new TreeSet<>(AGE);
-        Hold hold;
+        QuotaBlock hold;
         long wakeAt = Long.MIN_VALUE;
         Entry head; // as listed with the tenant
         Entry oldest;
@@ -186,9 +147,9 @@
      * what is left.
      */
     private static final Comparator<Entry> ORDER =
-            Comparator.<Entry>comparingDouble(e -> -e.item.worth())
-                    .thenComparing(e -> e.item.again())
-                    .thenComparingLong(e -> e.item.deadline())
+            Comparator.<Entry>comparingDouble(e -> -e.item.priorityWeight())
+                    .thenComparing(e -> e.item.retry())
+                    .thenComparingLong(e -> e.item.deadlineMicros())
                     .thenComparing(AGE);
 
     /**
@@ -206,8 +167,8 @@
     /** A tick later than this tells that we stood still; that time is not held against the line. */
     private static final long TICK_LATE = 250_000;
 
-    private final Fleet fleet;
-    private LineSettings settings;
+    private final ClusterView fleet;
+    private AdmissionSettings settings;
     private final Map<String, Entry> entries = new HashMap<>();
     private final Map<String, Owner> owners = new HashMap<>();
     private final Map<String, Tenant> tenants = new LinkedHashMap<>();
@@ -222,19 +183,19 @@
             new PriorityQueue<>(Comparator.comparingLong(Due::at));
     private final PriorityQueue<Long> ownerWakes = new PriorityQueue<>();
     private final LinkedHashMap<String, Entry> asked = new LinkedHashMap<>(); // in the order asked
-    private final Buckets ownerRate = new Buckets(0, Double.POSITIVE_INFINITY);
-    private final Map<String, Buckets> ownRates =
+    private final TokenBuckets ownerRate = new TokenBuckets(0, Double.POSITIVE_INFINITY);
+    private final Map<String, TokenBuckets> ownRates =
             new HashMap<>(); // of owners and tenants with a limit of their own
-    private final Buckets tenantRate = new Buckets(0, Double.POSITIVE_INFINITY);
-    private final Buckets allRate = new Buckets(0, Double.POSITIVE_INFINITY);
-    private final Buckets retries = new Buckets(0, 1);
+    private final TokenBuckets tenantRate = new TokenBuckets(0, Double.POSITIVE_INFINITY);
+    private final TokenBuckets allRate = new TokenBuckets(0, Double.POSITIVE_INFINITY);
+    private final TokenBuckets retries = new TokenBuckets(0, 1);
     private long seq;
-    private int offered;
+    private int attemptStarted;
     private int placed;
     private int lookedAgain; // of those asked: ones whose time came
     private long releases;
     private boolean pumping;
-    private final Overload overload;
+    private final OverloadController overloaded;
     private long shedTotal;
     private long lastTick = Long.MIN_VALUE;
     // large tasks
@@ -247,35 +208,37 @@
     /**
      * @param seed for the spread of retry-after
      */
-    public Line(LineSettings settings, Fleet fleet, long seed) {
+    public AdmissionQueue(AdmissionSettings settings, ClusterView fleet, long seed) {
         this.fleet = fleet;
-        this.overload = new Overload(settings, seed);
+        this.overloaded = new OverloadController(settings, seed);
         use(settings);
     }
 
-    private void use(LineSettings s) {
+    private void use(AdmissionSettings s) {
         settings = s;
-        overload.use(s);
-        ownerRate.set(s.owner().perSecond(), s.owner().burst());
-        tenantRate.set(s.tenant().perSecond(), s.tenant().burst());
-        allRate.set(s.all().perSecond(), s.all().burst());
+        overloaded.use(s);
+        ownerRate.set(s.ownerQuota().perSecond(), s.ownerQuota().burst());
+        tenantRate.set(s.tenantQuota().perSecond(), s.tenantQuota().burst());
+        allRate.set(s.siteQuota().perSecond(), s.siteQuota().burst());
         retries.set(s.retryPerSecond(), Math.max(5, 2 * s.retryPerSecond()));
         ownRates.clear();
-        s.owners()
+        s.ownerQuotas()
                 .forEach(
                         (name, l) ->
-                                ownRates.put("o" + name, new Buckets(l.perSecond(), l.burst())));
-        s.tenants()
+                                ownRates.put(
+                                        "o" + name, new TokenBuckets(l.perSecond(), l.burst())));
+        s.tenantQuotas()
                 .forEach(
                         (name, l) ->
-                                ownRates.put("t" + name, new Buckets(l.perSecond(), l.burst())));
+                                ownRates.put(
+                                        "t" + name, new TokenBuckets(l.perSecond(), l.burst())));
     }
 
     /**
      * Other settings from now on. What waits keeps its place and what runs goes on, also above a
      * new limit.
      */
-    public void reload(long now, LineSettings s, Consumer<Action> actions) {
+    public void reload(long now, AdmissionSettings s, Consumer<Action> actions) {
         use(s);
         for (Owner o : owners.values()) {
             list(now, o);
@@ -285,48 +248,50 @@
 
     // ---- what comes and goes ----
     /** A task is asked for. It is released, waits, or is refused at once. */
-    public void arrived(long now, Item item, Consumer<Action> actions) {
+    public void arrived(long now, QueuedRequest item, Consumer<Action> actions) {
         Entry e = new Entry(item, seq++, now);
-        Entry before = entries.put(item.request(), e);
+        Entry before = entries.put(item.requestId(), e);
         if (before != null) {
             drop(now, before);
         }
         e.owner = owner(item);
-        e.couldFit = fleet.everFits(item.cores(), item.memory());
-        if (!settings.on()) {
+        e.couldFit = fleet.couldEverFit(item.cores(), item.memory());
+        if (!settings.enabled()) {
             release(now, e, actions);
             return;
         }
-        if (!item.again()) {
-            overload.firstAsk();
-            retries.add(now, "o" + item.owner(), settings.retryShare());
+        if (!item.retry()) {
+            overloaded.firstAsk();
+            retries.add(now, "o" + item.owner(), settings.retryRatio());
         }
         String no = turnedAway(now, e);
         if (no != null) {
-            entries.remove(item.request());
+            entries.remove(item.requestId());
             forgetIdle(e.owner);
-            actions.accept(new Turn(item.request(), no, overload.retryAfter(now)));
+            actions.accept(new Shed(item.requestId(), no, overloaded.retryAfter(now)));
             return;
         }
         count(e, 1);
-        deadlines.add(new Due(item.deadline() - EARLY, e));
-        if (!item.again() || withinRetries(now, e)) {
+        deadlines.add(new Due(item.deadlineMicros() - EARLY, e));
+        if (!item.retry() || withinRetries(now, e)) {
             enqueue(now, e);
         } else {
             // guards against owners who ask again and again, and machines that turn down again and
             // again
-            park(now, e, Math.min(retryReady(now, e), item.deadline() - 2 * EARLY), true);
+            park(now, e, Math.min(retryReady(now, e), item.deadlineMicros() - 2 * EARLY), true);
         }
         pump(now, actions);
-        if (all.waiting > settings.length()) {
-            shedWorst(now, "the line is full: " + settings.length() + " tasks wait", actions);
+        if (all.waiting > settings.maxQueued()) {
+            shedWorst(now, "the line is full: " + settings.maxQueued() + " tasks wait", actions);
         }
-        if (item.deadline() - now <= EARLY && entries.get(item.request()) == e && waits(e)) {
+        if (item.deadlineMicros() - now <= EARLY
+                && entries.get(item.requestId()) == e
+                && waits(e)) {
             turn(now, e, "no time was left to place it", actions);
         }
     }
 
-    private Owner owner(Item item) {
+    private Owner owner(QueuedRequest item) {
         Owner o = owners.get(item.owner());
         if (o == null) {
             Tenant t = tenants.computeIfAbsent(item.tenant(), Tenant::new);
@@ -338,40 +303,40 @@
 
     /** Why it may not even wait, or null. */
     private String turnedAway(long now, Entry e) {
-        Item i = e.item;
-        Limit own = settings.ofOwner(i.owner());
-        Limit tenant = settings.ofTenant(i.tenant());
-        if (i.cores() > own.cores() || i.memory() > own.memory()) {
+        QueuedRequest i = e.item;
+        Quota own = settings.quotaOfOwner(i.owner());
+        Quota tenant = settings.quotaOfTenant(i.tenant());
+        if (i.cores() > own.maxCores() || i.memory() > own.maxMemory()) {
             return "it asks for more than your limit of "
-                    + Words.number(own.cores())
+                    + Amounts.format(own.maxCores())
                     + " cores and "
-                    + Words.number(own.memory())
+                    + Amounts.format(own.maxMemory())
                     + " memory";
-        } else if (i.cores() > tenant.cores()
-                || i.memory() > tenant.memory()
-                || i.cores() > settings.all().cores()
-                || i.memory() > settings.all().memory()) {
+        } else if (i.cores() > tenant.maxCores()
+                || i.memory() > tenant.maxMemory()
+                || i.cores() > settings.siteQuota().maxCores()
+                || i.memory() > settings.siteQuota().maxMemory()) {
             return "it asks for more than your tenant or the site may have at all";
-        } else if (e.owner.use.waiting >= own.waiting()) {
-            return "your limit of waiting tasks: " + Words.number(own.waiting());
-        } else if (e.owner.tenant.use.waiting >= tenant.waiting()) {
-            return "your tenant's limit of waiting tasks: " + Words.number(tenant.waiting());
+        } else if (e.owner.use.waiting >= own.maxWaiting()) {
+            return "your limit of waiting tasks: " + Amounts.format(own.maxWaiting());
+        } else if (e.owner.tenant.use.waiting >= tenant.maxWaiting()) {
+            return "your tenant's limit of waiting tasks: " + Amounts.format(tenant.maxWaiting());
         }
-        if (settings.refuse().contains(i.taskClass())) {
-            Hold hold = hold(now, e);
+        if (settings.shedClasses().contains(i.taskClass())) {
+            QuotaBlock hold = hold(now, e);
             if (hold != null) {
-                return words(hold)
+                return describe(hold)
                         + ", and tasks of class "
                         + i.taskClass()
                         + " do not wait for it";
             }
         }
-        if (overload.pressed(now)) {
+        if (overloaded.pressed(now)) {
             // guards against answering late what can be answered early: it would wait in vain
             double ahead = wouldWait(e);
-            if (ahead > i.deadline() - now) {
+            if (ahead > i.deadlineMicros() - now) {
                 return "the placer is overloaded: about "
-                        + Words.number(Math.rint(ahead / 1e5) / 10)
+                        + Amounts.format(Math.rint(ahead / 1e5) / 10)
                         + " s would pass before its turn";
             }
         }
@@ -382,33 +347,33 @@
     private double part(Tenant of) {
         double sum = 0;
         for (Tenant t : tenants.values()) {
-            sum += t == of || t.use.waiting > 0 ? settings.share(t.use.name) : 0;
+            sum += t == of || t.use.waiting > 0 ? settings.shareOf(t.use.name) : 0;
         }
-        return settings.share(of.use.name) / sum;
+        return settings.shareOf(of.use.name) / sum;
     }
 
     /** The module offers it to a machine. */
-    public void offered(long now, String request, String machine, boolean repeat) {
+    public void attemptStarted(long now, String request, String machine, boolean repeat) {
         Entry e = entries.get(request);
-        if (repeat || e != null && e.item.again()) {
+        if (repeat || e != null && e.item.retry()) {
             retries.take(now, "m" + machine);
         } else {
-            retries.add(now, "m" + machine, settings.retryShare());
+            retries.add(now, "m" + machine, settings.retryRatio());
         }
-        if (e != null && e.where == Where.ASKED) {
+        if (e != null && e.where == Stage.DISPATCHED) {
             unask(e);
-            e.where = Where.OFFERED;
+            e.where = Stage.OFFERED;
             e.offeredEver = true;
-            offered++;
+            attemptStarted++;
         }
     }
 
     /** The attempt is over and the module holds the task again, or offers it elsewhere next. */
-    public void attemptOver(long now, String request) {
+    public void attemptEnded(long now, String request) {
         Entry e = entries.get(request);
-        if (e != null && e.where == Where.OFFERED) {
-            offered--;
-            e.where = Where.ASKED;
+        if (e != null && e.where == Stage.OFFERED) {
+            attemptStarted--;
+            e.where = Stage.DISPATCHED;
             e.askedAt = now;
             asked.put(request, e);
         }
@@ -416,22 +381,22 @@
 
     public void placed(long now, String request, Consumer<Action> actions) {
         Entry e = entries.get(request);
-        if (e == null || e.where != Where.ASKED && e.where != Where.OFFERED) {
+        if (e == null || e.where != Stage.DISPATCHED && e.where != Stage.OFFERED) {
             return;
         }
         leave(now, e);
-        e.where = Where.PLACED;
+        e.where = Stage.PLACED;
         placed++;
-        overload.placed();
+        overloaded.placed();
         pump(now, actions);
     }
 
     /** Work that runs already, taken over: it counts against its owner's and tenant's limits. */
-    public void adopted(long now, Item item) {
+    public void adopted(long now, QueuedRequest item) {
         Entry e = new Entry(item, seq++, now);
-        entries.put(item.request(), e);
+        entries.put(item.requestId(), e);
         e.owner = owner(item);
-        e.where = Where.PLACED;
+        e.where = Stage.PLACED;
         placed++;
         busy(e, 1);
     }
@@ -440,10 +405,10 @@
      * Nothing is owed for the request any more: refused, failed, stopped, or its placed task is
      * over.
      */
-    public void over(long now, String request, Consumer<Action> actions) {
+    public void finished(long now, String request, Consumer<Action> actions) {
         Entry e = entries.remove(request);
         if (e != null) {
-            if (e.where == Where.ASKED && now >= e.item.deadline() - EARLY) {
+            if (e.where == Stage.DISPATCHED && now >= e.item.deadlineMicros() - EARLY) {
                 late(now, e);
             }
             drop(now, e);
@@ -453,25 +418,25 @@
 
     /** Only what waited long, could have been taken and was held by no limit tells of overload. */
     private void late(long now, Entry e) {
-        boolean hasty = e.item.deadline() - e.arrived < settings.interval() / 2;
+        boolean hasty = e.item.deadlineMicros() - e.arrived < settings.intervalMicros() / 2;
         if (e.couldFit
                 && !hasty
                 && !e.forRetry
-                && (e.where != Where.LINE || e.owner.hold == null)) {
-            overload.late(now);
+                && (e.where != Stage.QUEUED || e.owner.hold == null)) {
+            overloaded.late(now);
         }
     }
 
     private void drop(long now, Entry e) {
         leave(now, e);
-        if (e.where == Where.PLACED) {
+        if (e.where == Stage.PLACED) {
             placed--;
         }
         if (!waits(e)) {
             busy(e, -1);
             list(now, e.owner);
         }
-        e.where = Where.NOWHERE;
+        e.where = Stage.UNKNOWN;
         if (gatherFor == e) {
             gatherFor = null;
         }
@@ -484,29 +449,29 @@
      */
     private void leave(long now, Entry e) {
         switch (e.where) {
-            case LINE -> {
+            case QUEUED -> {
                 unqueue(now, e);
                 count(e, -1);
             }
-            case PARKED -> {
+            case BACKING_OFF -> {
                 parked.remove(e);
                 due.remove(e);
                 count(e, -1);
             }
-            case ASKED -> unask(e);
-            case OFFERED -> offered--;
+            case DISPATCHED -> unask(e);
+            case OFFERED -> attemptStarted--;
             default -> {}
         }
     }
 
     private void unask(Entry e) {
-        asked.remove(e.item.request());
+        asked.remove(e.item.requestId());
         lookedAgain -= e.again ? 1 : 0;
         e.again = false;
     }
 
     private static boolean waits(Entry e) {
-        return e.where == Where.LINE || e.where == Where.PARKED;
+        return e.where == Stage.QUEUED || e.where == Stage.BACKING_OFF;
     }
 
     private void count(Entry e, int sign) {
@@ -515,7 +480,9 @@
         all.waiting += sign;
         if (e.couldFit) {
             e.owner.tenant.byWorth.merge(
-                    e.item.worth(), sign, (a, b) -> a + b == 0 ? null : Integer.valueOf(a + b));
+                    e.item.priorityWeight(),
+                    sign,
+                    (a, b) -> a + b == 0 ? null : Integer.valueOf(a + b));
         }
     }
 
@@ -538,7 +505,7 @@
 
     // ---- the order ----
     private void enqueue(long now, Entry e) {
-        e.where = Where.LINE;
+        e.where = Stage.QUEUED;
         e.owner.queue.add(e);
         e.owner.byAge.add(e);
         list(now, e.owner);
@@ -576,55 +543,70 @@
             }
             o.oldest = old;
         }
-        if (o.hold != null && o.hold.until() < Long.MAX_VALUE / 8 && o.wakeAt <= now) {
-            o.wakeAt = o.hold.until();
+        if (o.hold != null && o.hold.untilMicros() < Long.MAX_VALUE / 8 && o.wakeAt <= now) {
+            o.wakeAt = o.hold.untilMicros();
             ownerWakes.add(o.wakeAt);
         }
     }
 
-    private Hold hold(long now, Entry e) {
-        Hold own = ownHold(now, e);
+    private QuotaBlock hold(long now, Entry e) {
+        QuotaBlock own = ownHold(now, e);
         return own != null ? own : sharedHold(now, e);
     }
 
-    private Hold ownHold(long now, Entry e) {
+    private QuotaBlock ownHold(long now, Entry e) {
         String name = e.item.owner();
         return hold(
-                now, Scope.OWNER, settings.ofOwner(name), e.owner.use, e, ownerRate(name), name);
+                now,
+                QuotaScope.OWNER,
+                settings.quotaOfOwner(name),
+                e.owner.use,
+                e,
+                ownerRate(name),
+                name);
     }
 
-    private Hold sharedHold(long now, Entry e) {
+    private QuotaBlock sharedHold(long now, Entry e) {
         Tenant t = e.owner.tenant;
-        Hold hold =
+        QuotaBlock hold =
                 hold(
                         now,
-                        Scope.TENANT,
-                        settings.ofTenant(t.use.name),
+                        QuotaScope.TENANT,
+                        settings.quotaOfTenant(t.use.name),
                         t.use,
                         e,
                         tenantRate(t.use.name),
                         t.use.name);
-        return hold != null ? hold : hold(now, Scope.ALL, settings.all(), all, e, allRate, "");
+        return hold != null
+                ? hold
+                : hold(now, QuotaScope.SITE, settings.siteQuota(), all, e, allRate, "");
     }
 
-    private Buckets ownerRate(String name) {
+    private TokenBuckets ownerRate(String name) {
         return ownRates.isEmpty() ? ownerRate : ownRates.getOrDefault("o" + name, ownerRate);
     }
 
-    private Buckets tenantRate(String name) {
+    private TokenBuckets tenantRate(String name) {
         return ownRates.isEmpty() ? tenantRate : ownRates.getOrDefault("t" + name, tenantRate);
     }
 
-    private static Hold hold(
-            long now, Scope scope, Limit limit, Group use, Entry e, Buckets rate, String name) {
-        if (use.tasks + 1 > limit.tasks()) {
-            return new Hold(scope, "tasks", limit.tasks(), use.tasks, Long.MAX_VALUE / 4);
-        } else if (use.cores + e.item.cores() > limit.cores() + 1e-9) {
-            return new Hold(scope, "cores", limit.cores(), use.cores, Long.MAX_VALUE / 4);
-        } else if (use.memory + e.item.memory() > limit.memory() + 1e-9) {
-            return new Hold(scope, "memory", limit.memory(), use.memory, Long.MAX_VALUE / 4);
+    private static QuotaBlock hold(
+            long now,
+            QuotaScope scope,
+            Quota limit,
+            Group use,
+            Entry e,
+            TokenBuckets rate,
+            String name) {
+        if (use.tasks + 1 > limit.maxTasks()) {
+            return new QuotaBlock(scope, "tasks", limit.maxTasks(), use.tasks, Long.MAX_VALUE / 4);
+        } else if (use.cores + e.item.cores() > limit.maxCores() + 1e-9) {
+            return new QuotaBlock(scope, "cores", limit.maxCores(), use.cores, Long.MAX_VALUE / 4);
+        } else if (use.memory + e.item.memory() > limit.maxMemory() + 1e-9) {
+            return new QuotaBlock(
+                    scope, "memory", limit.maxMemory(), use.memory, Long.MAX_VALUE / 4);
         } else if (limit.perSecond() < Double.POSITIVE_INFINITY && !rate.has(now, name)) {
-            return new Hold(
+            return new QuotaBlock(
                     scope,
                     "tasks a second",
                     limit.perSecond(),
@@ -635,7 +617,8 @@
     }
 
     private boolean withinRetries(long now, Entry e) {
-        boolean machine = e.item.turnedBy().isEmpty() || retries.has(now, "m" + e.item.turnedBy());
+        boolean machine =
+                e.item.rejectedBy().isEmpty() || retries.has(now, "m" + e.item.rejectedBy());
         if (!machine || !retries.has(now, "o" + e.item.owner())) {
             return false;
         }
@@ -647,9 +630,9 @@
 
     private long retryReady(long now, Entry e) {
         long own = retries.ready(now, "o" + e.item.owner());
-        return e.item.turnedBy().isEmpty()
+        return e.item.rejectedBy().isEmpty()
                 ? own
-                : Math.max(own, retries.ready(now, "m" + e.item.turnedBy()));
+                : Math.max(own, retries.ready(now, "m" + e.item.rejectedBy()));
     }
 
     /**
@@ -683,7 +666,8 @@
             return;
         }
         for (Entry e : due.stream().limit(SCAN).toList()) {
-            if (2 * lookedAgain >= settings.window() || asked.size() >= settings.window()) {
+            if (2 * lookedAgain >= settings.maxDispatched()
+                    || asked.size() >= settings.maxDispatched()) {
                 break;
             }
             if (due.contains(e) && hold(now, e) == null && !gathersAgainst(now, e)) {
@@ -698,10 +682,10 @@
     }
 
     private Entry next(long now) {
-        if (asked.size() >= settings.window()) {
+        if (asked.size() >= settings.maxDispatched()) {
             return null;
         }
-        if ((releases + 1) % settings.oldestTurn() == 0) {
+        if ((releases + 1) % settings.oldestEvery() == 0) {
             for (Entry e : oldest) {
                 if (sharedHold(now, e) == null && !gathersAgainst(now, e)) {
                     return e;
@@ -724,7 +708,7 @@
     }
 
     private double dominant(Tenant t) {
-        return fleet.dominant(t.use.cores, t.use.memory) / settings.share(t.use.name);
+        return fleet.dominantShare(t.use.cores, t.use.memory) / settings.shareOf(t.use.name);
     }
 
     private Entry firstOf(long now, Tenant t) {
@@ -736,20 +720,21 @@
     }
 
     private void release(long now, Entry e, Consumer<Action> actions) {
-        e.where = Where.ASKED;
+        e.where = Stage.DISPATCHED;
         e.askedAt = now;
-        asked.put(e.item.request(), e);
+        asked.put(e.item.requestId(), e);
         busy(e, 1);
         if (e.first) {
             e.first = false;
-            overload.waited(e.waited(now));
+            overloaded.waited(e.waited(now));
             String tenant = e.owner.tenant.use.name;
             ownerRate(e.item.owner()).take(now, e.item.owner());
             tenantRate(tenant).take(now, tenant);
             allRate.take(now, "");
         }
         list(now, e.owner);
-        actions.accept(new Release(e.item.request(), Math.max(0, e.item.deadline() - now)));
+        actions.accept(
+                new Dispatch(e.item.requestId(), Math.max(0, e.item.deadlineMicros() - now)));
     }
 
     // ---- time ----
@@ -759,7 +744,7 @@
         lastTick = now;
         while (!deadlines.isEmpty() && deadlines.peek().at() <= now) {
             Entry e = deadlines.poll().entry();
-            if (waits(e) && entries.get(e.item.request()) == e) {
+            if (waits(e) && entries.get(e.item.requestId()) == e) {
                 late(now, e);
                 turn(now, e, "no room came before its patience ended", actions);
             }
@@ -776,7 +761,7 @@
             takeBack(now, actions);
             shed(now, actions);
         } else {
-            overload.begin(now);
+            overloaded.begin(now);
         }
         gather(now);
         pump(now, actions);
@@ -785,7 +770,7 @@
     private void wake(long now) {
         while (!wakes.isEmpty() && wakes.peek().at() <= now) {
             Entry e = wakes.poll().entry();
-            if (e.where == Where.PARKED && now >= e.notBefore) {
+            if (e.where == Stage.BACKING_OFF && now >= e.notBefore) {
                 if (e.forRetry) {
                     unpark(now, e);
                 } else {
@@ -793,9 +778,9 @@
                 }
             }
         }
-        if (fleet.takeNews() && !parked.isEmpty()) {
+        if (fleet.takeCapacityGained() && !parked.isEmpty()) {
             for (Entry e : firstParked()) {
-                if (!e.forRetry && fleet.mayFit(e.item.cores(), e.item.memory())) {
+                if (!e.forRetry && fleet.hasCapacity(e.item.cores(), e.item.memory())) {
                     unpark(now, e);
                 }
             }
@@ -807,7 +792,7 @@
     }
 
     private void park(long now, Entry e, long until, boolean forRetry) {
-        e.where = Where.PARKED;
+        e.where = Stage.BACKING_OFF;
         e.notBefore = Math.max(now + 1, until);
         e.forRetry = forRetry;
         parked.add(e);
@@ -815,9 +800,11 @@
     }
 
     private void unpark(long now, Entry e) {
-        if (e.forRetry && !withinRetries(now, e) && e.item.deadline() - now > 3 * EARLY) {
+        if (e.forRetry && !withinRetries(now, e) && e.item.deadlineMicros() - now > 3 * EARLY) {
             e.notBefore =
-                    Math.max(now + 1, Math.min(retryReady(now, e), e.item.deadline() - 2 * EARLY));
+                    Math.max(
+                            now + 1,
+                            Math.min(retryReady(now, e), e.item.deadlineMicros() - 2 * EARLY));
             wakes.add(new Due(e.notBefore, e));
             return;
         }
@@ -833,26 +820,26 @@
      * attempts is lost.
      */
     private void takeBack(long now, Consumer<Action> actions) {
-        if (asked.size() < settings.window() || all.waiting == 0) {
+        if (asked.size() < settings.maxDispatched() || all.waiting == 0) {
             return;
         }
         for (Entry e : new ArrayList<>(asked.values())) {
-            if (now - e.askedAt < settings.takeBack()) {
+            if (now - e.askedAt < settings.recallAfterMicros()) {
                 break; // in the order asked
             }
-            if (!e.offeredEver && e.item.deadline() - now > 2 * EARLY) {
+            if (!e.offeredEver && e.item.deadlineMicros() - now > 2 * EARLY) {
                 unask(e);
                 busy(e, -1);
                 count(e, 1);
-                long most = settings.lookAgain() * LOOK_AGAIN_FACTOR;
-                long wait = e.couldFit ? settings.lookAgain() << Math.min(4, e.looks++) : most;
+                long most = settings.backoffMicros() * LOOK_AGAIN_FACTOR;
+                long wait = e.couldFit ? settings.backoffMicros() << Math.min(4, e.looks++) : most;
                 park(
                         now,
                         e,
-                        Math.min(now + Math.min(wait, most), e.item.deadline() - 2 * EARLY),
+                        Math.min(now + Math.min(wait, most), e.item.deadlineMicros() - 2 * EARLY),
                         false);
                 list(now, e.owner);
-                actions.accept(new TakeBack(e.item.request()));
+                actions.accept(new Recall(e.item.requestId()));
             }
         }
     }
@@ -860,8 +847,8 @@
     // ---- overload ----
     private void shed(long now, Consumer<Action> actions) {
         if (all.waiting == 0) {
-            overload.waited(0);
-        } else if (overload.untold()) {
+            overloaded.waited(0);
+        } else if (overloaded.untold()) {
             // nothing was released: what would be next tells how it stands
             Entry next =
                     oldest.stream()
@@ -870,17 +857,17 @@
                             .findFirst()
                             .orElse(parked.isEmpty() ? null : parked.first());
             double waited = next == null ? 0 : next.waited(now);
-            if (waited < settings.target() || overload.intervalOver(now)) {
-                overload.waited(waited);
+            if (waited < settings.targetWaitFraction() || overloaded.intervalOver(now)) {
+                overloaded.waited(waited);
             }
         }
-        overload.tick(now);
-        while (all.waiting > 0 && overload.sheds(now)) {
+        overloaded.tick(now);
+        while (all.waiting > 0 && overloaded.sheds(now)) {
             shedWorst(now, "the placer is overloaded: tasks of more worth come first", actions);
         }
-        for (int i = 0; i < SCAN && overload.pressed(now); i++) {
+        for (int i = 0; i < SCAN && overloaded.pressed(now); i++) {
             Entry worst = worst();
-            if (worst == null || wouldWait(worst) <= worst.item.deadline() - now) {
+            if (worst == null || wouldWait(worst) <= worst.item.deadlineMicros() - now) {
                 break;
             }
             shedTotal++;
@@ -895,10 +882,10 @@
     private double wouldWait(Entry e) {
         Tenant t = e.owner.tenant;
         int ahead =
-                t.byWorth.tailMap(e.item.worth(), true).values().stream()
+                t.byWorth.tailMap(e.item.priorityWeight(), true).values().stream()
                         .mapToInt(Integer::intValue)
                         .sum();
-        return ahead * 1e6 / Math.max(0.1, overload.placedPerSecond() * part(t));
+        return ahead * 1e6 / Math.max(0.1, overloaded.placedPerSecond() * part(t));
     }
 
     private void shedWorst(long now, String why, Consumer<Action> actions) {
@@ -929,18 +916,18 @@
     }
 
     private double pressure(Tenant t) {
-        return (t.use.waiting + t.use.tasks) / settings.share(t.use.name);
+        return (t.use.waiting + t.use.tasks) / settings.shareOf(t.use.name);
     }
 
     private void turn(long now, Entry e, String why, Consumer<Action> actions) {
-        entries.remove(e.item.request());
+        entries.remove(e.item.requestId());
         drop(now, e);
-        actions.accept(new Turn(e.item.request(), why, overload.retryAfter(now)));
+        actions.accept(new Shed(e.item.requestId(), why, overloaded.retryAfter(now)));
     }
 
     /** After how long one who is turned away now is to ask again, spread by chance. */
     public long retryAfter(long now) {
-        return overload.retryAfter(now);
+        return overloaded.retryAfter(now);
     }
 
     // ---- large tasks ----
@@ -952,24 +939,26 @@
         if (gatherFor == null
                 || now >= gatherUntil
                 || e == gatherFor
-                || e.item.worth() >= gatherFor.item.worth()) {
+                || e.item.priorityWeight() >= gatherFor.item.priorityWeight()) {
             return false;
         }
-        boolean backfill = e.item.runsFor() > 0 && now + e.item.runsFor() <= gatherUntil;
-        return !backfill && !fleet.large(e.item.cores(), e.item.memory(), settings.large());
+        boolean backfill =
+                e.item.expectedRunMicros() > 0 && now + e.item.expectedRunMicros() <= gatherUntil;
+        return !backfill
+                && !fleet.isLarge(e.item.cores(), e.item.memory(), settings.largeTaskFraction());
     }
 
     private void gather(long now) {
         if (gatherFor != null
                 && (now >= gatherUntil
-                        || gatherFor.where == Where.PLACED
-                        || gatherFor.where == Where.OFFERED)) {
+                        || gatherFor.where == Stage.PLACED
+                        || gatherFor.where == Stage.OFFERED)) {
             gatherFor = null;
         }
         if (gatherFor != null
                 || now < gatherNext
-                || settings.gatherFor() <= 0
-                || settings.large() >= 1) {
+                || settings.reserveForMicros() <= 0
+                || settings.largeTaskFraction() >= 1) {
             return;
         }
         Entry largest = null;
@@ -977,49 +966,52 @@
         candidates.addAll(firstParked());
         for (Entry e : candidates) {
             boolean waitsForRoom =
-                    now - e.arrived >= settings.gatherAfter()
+                    now - e.arrived >= settings.reserveAfterMicros()
                             && !e.forRetry
-                            && fleet.large(e.item.cores(), e.item.memory(), settings.large());
+                            && fleet.isLarge(
+                                    e.item.cores(), e.item.memory(), settings.largeTaskFraction());
             if (waitsForRoom && (largest == null || ORDER.compare(e, largest) < 0)) {
                 largest = e;
             }
         }
         if (largest != null) {
             gatherFor = largest;
-            gatherUntil = now + settings.gatherFor();
-            gatherNext = gatherUntil + GATHER_REST * settings.gatherFor();
+            gatherUntil = now + settings.reserveForMicros();
+            gatherNext = gatherUntil + GATHER_REST * settings.reserveForMicros();
         }
     }
 
     // ---- to be read ----
     /** Where a request stands, and what holds it. */
-    public Standing standing(long now, String request) {
+    public Status status(long now, String request) {
         Entry e = entries.get(request);
         if (e == null) {
-            return new Standing(Where.NOWHERE, null, 0, false, false, 0);
+            return new Status(Stage.UNKNOWN, null, 0, false, false, 0);
         }
-        Hold hold = null;
+        QuotaBlock hold = null;
         boolean behind = false;
         boolean gathering = false;
-        if (e.where == Where.LINE) {
+        if (e.where == Stage.QUEUED) {
             hold = e.owner.hold != null ? e.owner.hold : sharedHold(now, e);
             gathering = gathersAgainst(now, e);
             double own = dominant(e.owner.tenant);
             for (Tenant t : tenants.values()) {
                 behind |= t != e.owner.tenant && !t.heads.isEmpty() && dominant(t) < own;
             }
-        } else if (e.where == Where.PARKED && e.forRetry) {
-            hold = new Hold(Scope.OWNER, "asks again", settings.retryShare(), 0, e.notBefore);
-        } else if (e.where == Where.PARKED && due.contains(e)) {
+        } else if (e.where == Stage.BACKING_OFF && e.forRetry) {
+            hold =
+                    new QuotaBlock(
+                            QuotaScope.OWNER, "asks again", settings.retryRatio(), 0, e.notBefore);
+        } else if (e.where == Stage.BACKING_OFF && due.contains(e)) {
             hold = hold(now, e);
         }
-        return new Standing(e.where, hold, e.notBefore, behind, gathering, e.arrived);
+        return new Status(e.where, hold, e.notBefore, behind, gathering, e.arrived);
     }
 
     /** How many of its tenant come before it, counted up to {@code most}. */
-    public int ahead(String request, int most) {
+    public int countAhead(String request, int most) {
         Entry e = entries.get(request);
-        if (e == null || e.where != Where.LINE) {
+        if (e == null || e.where != Stage.QUEUED) {
             return 0;
         }
         int n = 0;
@@ -1036,78 +1028,78 @@
         return n;
     }
 
-    public boolean overload() {
-        return overload.on();
+    public boolean overloaded() {
+        return overloaded.on();
     }
 
     /** Tasks in the line and parked. */
-    public int waiting() {
+    public int waitingCount() {
         return all.waiting;
     }
 
-    public Counts counts() {
-        return new Counts(
+    public QueueCounts counts() {
+        return new QueueCounts(
                 all.waiting - parked.size(),
                 parked.size(),
                 asked.size(),
-                offered,
+                attemptStarted,
                 placed,
-                overload.on(),
+                overloaded.on(),
                 shedTotal);
     }
 
-    public List<Use> tenantUse() {
+    public List<QuotaUsage> tenantUsage() {
         return tenants.values().stream()
                 .map(
                         t ->
-                                new Use(
+                                new QuotaUsage(
                                         t.use.name,
                                         t.use.waiting,
                                         t.use.tasks,
                                         t.use.cores,
                                         t.use.memory,
-                                        fleet.dominant(t.use.cores, t.use.memory),
-                                        settings.ofTenant(t.use.name)))
+                                        fleet.dominantShare(t.use.cores, t.use.memory),
+                                        settings.quotaOfTenant(t.use.name)))
                 .toList();
     }
 
     /** An owner's use; zeros where nothing of it is in hand. */
-    public Use ownerUse(String name) {
+    public QuotaUsage ownerUsage(String name) {
         Owner o = owners.get(name);
         Group g = o == null ? new Group(name) : o.use;
-        return new Use(
+        return new QuotaUsage(
                 name,
                 g.waiting,
                 g.tasks,
                 g.cores,
                 g.memory,
-                fleet.dominant(g.cores, g.memory),
-                settings.ofOwner(name));
+                fleet.dominantShare(g.cores, g.memory),
+                settings.quotaOfOwner(name));
     }
 
-    public Use allUse() {
-        return new Use(
+    public QuotaUsage siteUsage() {
+        return new QuotaUsage(
                 "",
                 all.waiting,
                 all.tasks,
                 all.cores,
                 all.memory,
-                fleet.dominant(all.cores, all.memory),
-                settings.all());
+                fleet.dominantShare(all.cores, all.memory),
+                settings.siteQuota());
     }
 
     /** A hold in words, as an owner may read it. */
-    public static String words(Hold h) {
+    public static String describe(QuotaBlock h) {
         String whose =
-                h.scope() == Scope.OWNER
+                h.scope() == QuotaScope.OWNER
                         ? "your limit of "
-                        : h.scope() == Scope.TENANT
+                        : h.scope() == QuotaScope.TENANT
                                 ? "your tenant's limit of "
                                 : "the site's limit of ";
         return whose
-                + (h.limit().equals("asks again")
+                + (h.quota().equals("asks again")
                         ? "asks again"
-                        : Words.number(h.allows()) + " " + h.limit())
+                        : Amounts.format(h.limit()) + " " + h.quota())
                 + " is reached";
     }
 }
--- /dev/null
+++ b/decisions/src/main/java/thornferry/decisions/admission/Amounts.java
@@ -0,0 +1,15 @@
+package thornferry.decisions.admission;
+
+import java.util.Locale;
+
+/** Formats amounts for people: whole numbers without a fraction, others with two decimals. */
+public final class Amounts {
+    private Amounts() {}
+
+    /** The amount as text. */
+    public static String format(double amount) {
+        return amount == Math.rint(amount)
+                ? Long.toString((long) amount)
+                : String.format(Locale.ROOT, "%.2f", amount);
+    }
+}
--- a/decisions/src/main/java/thornferry/decisions/Throttle.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/LoginRateLimiter.java
@@ -1,4 +1,4 @@
-package thornferry.decisions;
+package thornferry.decisions.admission;
 
 import java.util.LinkedHashMap;
 
@@ -7,21 +7,30 @@
  * login waits: the rightful owner elsewhere, and others at the same address, notice nothing. Times
  * are microseconds.
  */
-public final class Throttle {
+public final class LoginRateLimiter {
     /**
-     * @param free failures that cost nothing
-     * @param first the wait after the next; doubles with each further one
-     * @param most the longest wait
-     * @param forget after so long without a try the failures are forgotten
-     * @param known pairs of address and login remembered; beyond, those tried longest ago are
+     * @param freeFailures failures that cost nothing
+     * @param firstDelayMicros the wait after the next; doubles with each further one
+     * @param maxDelayMicros the longest wait
+     * @param forgetAfterMicros after so long without a try the failures are forgotten
+     * @param maxTracked pairs of address and login remembered; beyond, those tried longest ago are
      *     forgotten
      */
-    public record Settings(int free, long first, long most, long forget, int known) {
-        public static final Settings USUAL =
+    public record Settings(
+            int freeFailures,
+            long firstDelayMicros,
+            long maxDelayMicros,
+            long forgetAfterMicros,
+            int maxTracked) {
+        public static final Settings DEFAULTS =
                 new Settings(3, 200_000, 10_000_000, 600_000_000, 20_000);
 
         public Settings {
-            if (free < 0 || first <= 0 || most < first || forget <= 0 || known < 1) {
+            if (freeFailures < 0
+                    || firstDelayMicros <= 0
+                    || maxDelayMicros < firstDelayMicros
+                    || forgetAfterMicros <= 0
+                    || maxTracked < 1) {
                 throw new IllegalArgumentException("the throttle's settings are out of range");
             }
         }
@@ -45,7 +54,7 @@
     private final LinkedHashMap<String, Tries> pairs =
             new LinkedHashMap<>(); // tried longest ago first
 
-    public Throttle(Settings settings) {
+    public LoginRateLimiter(Settings settings) {
         this.settings = settings;
     }
 
@@ -58,17 +67,17 @@
      *
      * @return when it may be looked at, or -1 where it is to be refused unseen
      */
-    public long begins(long now, String address, String login) {
+    public long attemptStarted(long now, String address, String login) {
         String pair = pair(address, login);
         Tries t = pairs.remove(pair);
-        if (t == null || t.pending == 0 && now - t.last > settings.forget()) {
+        if (t == null || t.pending == 0 && now - t.last > settings.forgetAfterMicros()) {
             t = new Tries();
         }
         pairs.put(pair, t);
-        while (pairs.size() > settings.known()) {
+        while (pairs.size() > settings.maxTracked()) {
             pairs.remove(pairs.keySet().iterator().next());
         }
-        boolean slowed = t.failures > settings.free();
+        boolean slowed = t.failures > settings.freeFailures();
         if (slowed && t.pending >= MOST_PENDING) {
             return NEVER;
         }
@@ -77,12 +86,14 @@
         if (!slowed) {
             return now;
         }
-        long wait = settings.first() << Math.min(30, t.failures - settings.free() - 1);
-        return now + Math.min(settings.most(), wait);
+        long wait =
+                settings.firstDelayMicros()
+                        << Math.min(30, t.failures - settings.freeFailures() - 1);
+        return now + Math.min(settings.maxDelayMicros(), wait);
     }
 
     /** The try has been looked at. A good one makes up for all failures. */
-    public void ended(long now, String address, String login, boolean good) {
+    public void attemptEnded(long now, String address, String login, boolean good) {
         Tries t = pairs.get(pair(address, login));
         if (t != null) {
             t.pending = Math.max(0, t.pending - 1);
--- a/decisions/src/main/java/thornferry/decisions/Overload.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/OverloadController.java
@@ -1,4 +1,4 @@
-package thornferry.decisions;
+package thornferry.decisions.admission;
 
 import java.util.SplittableRandom;
 
@@ -11,11 +11,11 @@
  * are taken as parts of each task's patience, since patience here differs by orders of magnitude.
  * Times are microseconds.
  */
-final class Overload {
+final class OverloadController {
     private static final long RATED_EVERY = 200_000;
 
     private final SplittableRandom random;
-    private LineSettings settings;
+    private AdmissionSettings settings;
     private double leastWaited = Double.POSITIVE_INFINITY;
     private long intervalEnd = Long.MIN_VALUE;
     private boolean on;
@@ -29,12 +29,12 @@
     private long nextSlot;
     private long lateAt = Long.MIN_VALUE / 2;
 
-    Overload(LineSettings settings, long seed) {
+    OverloadController(AdmissionSettings settings, long seed) {
         this.settings = settings;
         this.random = new SplittableRandom(seed ^ 0x11e);
     }
 
-    void use(LineSettings s) {
+    void use(AdmissionSettings s) {
         settings = s;
     }
 
@@ -53,7 +53,7 @@
     }
 
     void tick(long now) {
-        if (leastWaited < settings.target()) {
+        if (leastWaited < settings.targetWaitFraction()) {
             on = false;
             begin(now);
         } else if (now >= intervalEnd) {
@@ -70,7 +70,7 @@
     /** Guards against calling a pause of our own an overload: the interval begins anew. */
     void begin(long now) {
         leastWaited = Double.POSITIVE_INFINITY;
-        intervalEnd = now + settings.interval();
+        intervalEnd = now + settings.intervalMicros();
     }
 
     /** Whether a task is to be shed now; each time sooner after the last. */
@@ -78,7 +78,7 @@
         if (!on || now < nextShed) {
             return false;
         }
-        nextShed += (long) (settings.interval() / Math.sqrt(++sheds));
+        nextShed += (long) (settings.intervalMicros() / Math.sqrt(++sheds));
         return true;
     }
 
@@ -97,7 +97,7 @@
      * refusals that came late do.
      */
     boolean pressed(long now) {
-        return on || now - lateAt < 2 * settings.interval();
+        return on || now - lateAt < 2 * settings.intervalMicros();
     }
 
     void placed() {
@@ -133,8 +133,8 @@
         double spare = Math.max(placedPerSecond / 4, placedPerSecond - firstPerSecond);
         nextSlot = Math.max(nextSlot, now) + (long) (1e6 / Math.max(1, spare));
         long wait = nextSlot - now;
-        long most = settings.retryMost();
-        long least = settings.retryLeast();
+        long most = settings.maxRetryAfterMicros();
+        long least = settings.minRetryAfterMicros();
         if (wait > most) {
             // more than can be promised turns: spread over the whole time, for any crowd within it
             // is a second storm
--- /dev/null
+++ b/decisions/src/main/java/thornferry/decisions/admission/QuotaScope.java
@@ -0,0 +1,7 @@
+package thornferry.decisions.admission;
+
+public enum QuotaScope {
+    OWNER,
+    TENANT,
+    SITE
+}
--- a/decisions/src/main/java/thornferry/decisions/Buckets.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/TokenBuckets.java
@@ -1,4 +1,4 @@
-package thornferry.decisions;
+package thornferry.decisions.admission;
 
 import java.util.HashMap;
 import java.util.Iterator;
@@ -8,7 +8,7 @@
  * Token buckets by name, filled by time, by deed, or by both. Bounded: a bucket that is full again
  * is forgotten, for it would begin full. Times are microseconds.
  */
-final class Buckets {
+final class TokenBuckets {
     private static final class Bucket {
         double tokens;
         long at;
@@ -24,7 +24,7 @@
     /**
      * @param most what a bucket holds at the most, and at first
      */
-    Buckets(double perSecond, double most) {
+    TokenBuckets(double perSecond, double most) {
         set(perSecond, most);
     }
 
--- a/decisions/src/main/java/thornferry/decisions/Attempts.java
+++ b/decisions/src/main/java/thornferry/decisions/attempts/AttemptTracker.java
@@ -1,4 +1,4 @@
-package thornferry.decisions;
+package thornferry.decisions.attempts;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -8,13 +8,14 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import thornferry.decisions.Placement.Effect;
-import thornferry.decisions.Placement.Ended;
-import thornferry.decisions.Placement.NoteKind;
-import thornferry.decisions.Placement.Noted;
-import thornferry.decisions.Placement.Outcome;
-import thornferry.decisions.Placement.Placed;
-import thornferry.decisions.Placement.Reason;
+import thornferry.decisions.placement.Placement;
+import thornferry.decisions.placement.Placement.AttemptAccepted;
+import thornferry.decisions.placement.Placement.AttemptEnded;
+import thornferry.decisions.placement.Placement.AttemptOutcome;
+import thornferry.decisions.placement.Placement.Idempotency;
+import thornferry.decisions.placement.Placement.ObservationKind;
+import thornferry.decisions.placement.Placement.OutcomeReason;
+import thornferry.decisions.placement.Placement.TaskObserved;
 
 /**
  * What each attempt has come to, and above all <b>what proves that it never ran</b>: its octets
@@ -22,57 +23,41 @@
  * after a reconnect, does not hold it. A broken connection proves nothing, so an attempt whose
  * second start could do harm then stays open until the machine is back or its time is up.
  *
- * <p>Each attempt ends with exactly one {@link Ended} for the module. Times are microseconds.
+ * <p>Each attempt ends with exactly one {@link AttemptEnded} for the module. Times are
+ * microseconds.
  */
-public final class Attempts {
-    /** What a machine says of an attempt. */
-    public enum Word {
-        ACCEPTED,
-        REFUSED,
-        RUNS,
-        ENDED,
-        EVICTED,
-        SENT_AWAY,
-        WITHDRAWN
-    }
-
-    /** How a placed task came to its end, as its owner is told. */
-    public enum Fate {
-        ENDED,
-        EVICTED,
-        LOST,
-        MOVED,
-        STOPPED
-    }
-
+public final class AttemptTracker {
     public sealed interface Action {}
 
     /** To the module. */
-    public record Tell(Placement.Event event) implements Action {}
+    public record NotifyPolicy(Placement.Event event) implements Action {}
 
     /** Tell the machine to drop the attempt, whatever became of it. */
-    public record Withdraw(String machine, String attempt) implements Action {}
+    public record CancelAttempt(String machine, String attempt) implements Action {}
 
     /**
-     * The attempt is proven never to have run; before its {@link Tell}. Not said of what may be
-     * repeated freely.
+     * The attempt is proven never to have run; before its {@link NotifyPolicy}. Not said of what
+     * may be repeated freely.
      */
-    public record NeverRan(String request, String attempt) implements Action {}
+    public record NeverRan(String requestId, String attempt) implements Action {}
 
     /** The request is placed: its owner's result. */
-    public record IsPlaced(String request, String machine) implements Action {}
+    public record RequestPlaced(String requestId, String machine) implements Action {}
 
     /** A placed task is over. */
-    public record Over(String request, String machine, Fate fate) implements Action {}
+    public record TaskTerminated(
+            String requestId, String machine, TerminationCause terminationCause)
+            implements Action {}
 
     /** The machine refused; for the reason that the owner may be given. */
-    public record Turned(String request, String machine, Reason reason) implements Action {}
+    public record OfferRejected(String requestId, String machine, OutcomeReason reason)
+            implements Action {}
 
     /** The machine holds work of a former life of this placer: look after it from now on. */
-    public record Adopt(String machine, String attempt) implements Action {}
+    public record AdoptTask(String machine, String attempt) implements Action {}
 
     /** The machine spoke of an attempt that it was never offered. */
-    public record Guilty(String machine, String why) implements Action {}
+    public record ProtocolViolation(String machine, String description) implements Action {}
 
     private enum State {
         OPEN,
@@ -85,12 +70,13 @@
         final int number;
         final String machine;
         final long incarnation;
-        final Effect effect;
+        final Idempotency effect;
         final long sentAt;
         final long until;
         State state = State.OPEN;
         boolean runs;
-        Fate wanted; // what the owner or the module asked for a placed task, to be named when it
+        TerminationCause
+                wanted; // what the owner or the module asked for a placed task, to be named when it
 
         // ends
 
@@ -100,7 +86,7 @@
                 int number,
                 String machine,
                 long incarnation,
-                Effect effect,
+                Idempotency effect,
                 long sentAt,
                 long until) {
             this.id = id;
@@ -141,18 +127,18 @@
      * @param life names this life of this placer, unlike any earlier one; attempts are named after
      *     it
      */
-    public Attempts(String life) {
+    public AttemptTracker(String life) {
         this.life = life;
     }
 
     /** A name for an attempt about to be offered; no other placer or life uses it. */
-    public String offered(
+    public String begin(
             long now,
             String request,
             int tryNumber,
             String machine,
             long incarnation,
-            Effect effect,
+            Idempotency effect,
             long timeout) {
         Attempt a =
                 new Attempt(
@@ -193,66 +179,102 @@
     public void notWritten(long now, String attempt, Consumer<Action> actions) {
         Attempt a = byId.get(attempt);
         if (a != null && a.state == State.OPEN) {
-            end(now, a, Outcome.UNREACHABLE, Reason.NONE, null, actions);
+            end(now, a, AttemptOutcome.UNREACHABLE, OutcomeReason.NONE, null, actions);
         }
     }
 
     /** A machine's word; {@code report} may be null. */
-    public void said(
+    public void reported(
             long now,
             String machine,
             String attempt,
-            Word word,
-            Reason reason,
+            AttemptStatus word,
+            OutcomeReason reason,
             boolean ran,
             double[] report,
             Consumer<Action> actions) {
         Attempt a = byId.get(attempt);
         if (a == null || !a.machine.equals(machine)) {
             String was = a == null ? formerly.get(attempt) : a.machine;
-            boolean ours = ours(attempt);
+            boolean ours = isOwn(attempt);
             if (ours && !machine.equals(was)) {
                 actions.accept(
-                        new Guilty(
+                        new ProtocolViolation(
                                 machine, "attempt " + attempt + " was not offered to this node"));
-            } else if (word == Word.ACCEPTED || word == Word.RUNS) {
+            } else if (word == AttemptStatus.ACCEPTED || word == AttemptStatus.RUNNING) {
                 actions.accept(
-                        new Withdraw(machine, attempt)); // given up meanwhile: it must not stay
+                        new CancelAttempt(
+                                machine, attempt)); // given up meanwhile: it must not stay
             }
             return;
         }
         switch (word) {
             case ACCEPTED -> place(now, a, actions);
-            case RUNS -> {
+            case RUNNING -> {
                 place(
                         now, a,
                         actions); // running proves acceptance, also where that answer was lost
                 if (!a.runs) {
                     a.runs = true;
                     actions.accept(
-                            new Tell(new Noted(a.request, a.number, machine, NoteKind.RUNS, 1)));
+                            new NotifyPolicy(
+                                    new TaskObserved(
+                                            a.request,
+                                            a.number,
+                                            machine,
+                                            ObservationKind.RUNNING,
+                                            1)));
                 }
             }
-            case REFUSED -> {
+            case REJECTED -> {
                 if (a.state == State.OPEN) {
-                    actions.accept(new Turned(a.request, machine, reason));
-                    end(now, a, Outcome.REFUSED, reason, report, actions);
+                    actions.accept(new OfferRejected(a.request, machine, reason));
+                    end(now, a, AttemptOutcome.REJECTED, reason, report, actions);
                 }
             }
-            case ENDED -> over(now, a, Outcome.ENDED, Reason.NONE, Fate.ENDED, report, actions);
+            case COMPLETED ->
+                    over(
+                            now,
+                            a,
+                            AttemptOutcome.COMPLETED,
+                            OutcomeReason.NONE,
+                            TerminationCause.COMPLETED,
+                            report,
+                            actions);
             case EVICTED ->
-                    over(now, a, Outcome.LOST, Reason.EVICTED, Fate.EVICTED, report, actions);
-            case SENT_AWAY ->
-                    over(now, a, Outcome.LOST, Reason.SENT_AWAY, Fate.EVICTED, report, actions);
-            case WITHDRAWN -> {
+                    over(
+                            now,
+                            a,
+                            AttemptOutcome.LOST,
+                            OutcomeReason.EVICTED,
+                            TerminationCause.EVICTED,
+                            report,
+                            actions);
+            case EVACUATED ->
+                    over(
+                            now,
+                            a,
+                            AttemptOutcome.LOST,
+                            OutcomeReason.EVACUATED,
+                            TerminationCause.EVICTED,
+                            report,
+                            actions);
+            case CANCELLED -> {
                 if (a.state == State.PLACED) {
-                    over(now, a, Outcome.CANCELLED, Reason.NONE, Fate.STOPPED, report, actions);
+                    over(
+                            now,
+                            a,
+                            AttemptOutcome.CANCELLED,
+                            OutcomeReason.NONE,
+                            TerminationCause.STOPPED,
+                            report,
+                            actions);
                 } else {
                     end(
                             now,
                             a,
-                            ran ? Outcome.CANCELLED : Outcome.REFUSED,
-                            Reason.NOT_HERE,
+                            ran ? AttemptOutcome.CANCELLED : AttemptOutcome.REJECTED,
+                            OutcomeReason.UNAVAILABLE,
                             report,
                             actions);
                 }
@@ -261,15 +283,26 @@
     }
 
     /** What own tasks use, as their machine reports it. */
-    public void uses(
+    public void usageReported(
             String machine, String attempt, double cores, double memory, Consumer<Action> actions) {
         Attempt a = byId.get(attempt);
         if (a != null && a.machine.equals(machine) && a.state == State.PLACED) {
             actions.accept(
-                    new Tell(new Noted(a.request, a.number, machine, NoteKind.CORES_USED, cores)));
+                    new NotifyPolicy(
+                            new TaskObserved(
+                                    a.request,
+                                    a.number,
+                                    machine,
+                                    ObservationKind.CORES_USED,
+                                    cores)));
             actions.accept(
-                    new Tell(
-                            new Noted(a.request, a.number, machine, NoteKind.MEMORY_USED, memory)));
+                    new NotifyPolicy(
+                            new TaskObserved(
+                                    a.request,
+                                    a.number,
+                                    machine,
+                                    ObservationKind.MEMORY_USED,
+                                    memory)));
         }
     }
 
@@ -277,26 +310,28 @@
         if (a.state == State.OPEN) {
             a.state = State.PLACED;
             open.remove(a.id);
-            actions.accept(new Tell(new Placed(a.request, a.number, a.machine, now - a.sentAt)));
-            actions.accept(new IsPlaced(a.request, a.machine));
+            actions.accept(
+                    new NotifyPolicy(
+                            new AttemptAccepted(a.request, a.number, a.machine, now - a.sentAt)));
+            actions.accept(new RequestPlaced(a.request, a.machine));
         }
     }
 
     private void end(
             long now,
             Attempt a,
-            Outcome outcome,
-            Reason reason,
+            AttemptOutcome outcome,
+            OutcomeReason reason,
             double[] report,
             Consumer<Action> actions) {
         drop(a);
-        if (a.effect != Effect.SAFE
-                && (outcome == Outcome.REFUSED || outcome == Outcome.UNREACHABLE)) {
+        if (a.effect != Idempotency.IDEMPOTENT
+                && (outcome == AttemptOutcome.REJECTED || outcome == AttemptOutcome.UNREACHABLE)) {
             actions.accept(new NeverRan(a.request, a.id));
         }
         actions.accept(
-                new Tell(
-                        new Ended(
+                new NotifyPolicy(
+                        new AttemptEnded(
                                 a.request,
                                 a.number,
                                 a.machine,
@@ -311,17 +346,18 @@
     private void over(
             long now,
             Attempt a,
-            Outcome outcome,
-            Reason reason,
-            Fate fate,
+            AttemptOutcome outcome,
+            OutcomeReason reason,
+            TerminationCause fate,
             double[] report,
             Consumer<Action> actions) {
         place(now, a, actions);
         drop(a);
-        Fate told = a.wanted != null && fate == Fate.STOPPED ? a.wanted : fate;
+        TerminationCause told =
+                a.wanted != null && fate == TerminationCause.STOPPED ? a.wanted : fate;
         actions.accept(
-                new Tell(
-                        new Ended(
+                new NotifyPolicy(
+                        new AttemptEnded(
                                 a.request,
                                 a.number,
                                 a.machine,
@@ -330,17 +366,17 @@
                                 true,
                                 reason,
                                 report)));
-        actions.accept(new Over(a.request, a.machine, told));
+        actions.accept(new TaskTerminated(a.request, a.machine, told));
     }
 
     /**
      * The connection to a machine broke. What may be repeated freely is given up; the rest waits
      * for proof.
      */
-    public void linkBroken(long now, String machine, Consumer<Action> actions) {
+    public void connectionLost(long now, String machine, Consumer<Action> actions) {
         for (Attempt a : at(machine)) {
-            if (a.state == State.OPEN && a.effect == Effect.SAFE) {
-                end(now, a, Outcome.LOST, Reason.NONE, null, actions);
+            if (a.state == State.OPEN && a.effect == Idempotency.IDEMPOTENT) {
+                end(now, a, AttemptOutcome.LOST, OutcomeReason.NONE, null, actions);
             }
         }
     }
@@ -362,7 +398,7 @@
             long incarnation,
             Set<String> held,
             Set<String> running,
-            Map<Effect, Long> since,
+            Map<Idempotency, Long> since,
             Consumer<Action> actions) {
         for (Attempt a : at(machine)) {
             if (a.incarnation != incarnation) {
@@ -377,17 +413,17 @@
                 end(
                         now,
                         a,
-                        remembers ? Outcome.UNREACHABLE : Outcome.LOST,
-                        Reason.NONE,
+                        remembers ? AttemptOutcome.UNREACHABLE : AttemptOutcome.LOST,
+                        OutcomeReason.NONE,
                         null,
                         actions);
             } else {
                 over(
                         now,
                         a,
-                        Outcome.LOST,
-                        Reason.NONE,
-                        a.wanted == null ? Fate.LOST : a.wanted,
+                        AttemptOutcome.LOST,
+                        OutcomeReason.NONE,
+                        a.wanted == null ? TerminationCause.LOST : a.wanted,
                         null,
                         actions);
             }
@@ -395,26 +431,34 @@
         for (String id : new LinkedHashSet<>(held)) {
             if (byId.containsKey(id)) {
                 if (running.contains(id)) {
-                    said(now, machine, id, Word.RUNS, Reason.NONE, true, null, actions);
+                    reported(
+                            now,
+                            machine,
+                            id,
+                            AttemptStatus.RUNNING,
+                            OutcomeReason.NONE,
+                            true,
+                            null,
+                            actions);
                 }
-            } else if (ours(id)) {
+            } else if (isOwn(id)) {
                 actions.accept(
-                        new Withdraw(
+                        new CancelAttempt(
                                 machine, id)); // given up while it was away: its owner was told so
             } else {
-                actions.accept(new Adopt(machine, id));
+                actions.accept(new AdoptTask(machine, id));
             }
         }
     }
 
-    /** Work of a former life, taken over: placed as attempt 0 of {@code request}. */
+    /** Work of a former life, taken over: placed as attempt 0 of {@code requestId}. */
     public void adopted(
             long now,
             String attempt,
             String request,
             String machine,
             long incarnation,
-            Effect effect,
+            Idempotency effect,
             boolean runs) {
         Attempt a = new Attempt(attempt, request, 0, machine, incarnation, effect, now, now);
         a.state = State.PLACED;
@@ -423,20 +467,21 @@
     }
 
     /** A life of the machine is over: what was placed there is lost, what was open may have run. */
-    public void lifeOver(long now, String machine, long incarnation, Consumer<Action> actions) {
+    public void incarnationEnded(
+            long now, String machine, long incarnation, Consumer<Action> actions) {
         for (Attempt a : at(machine)) {
             if (a.incarnation > incarnation) {
                 continue;
             }
             if (a.state == State.OPEN) {
-                end(now, a, Outcome.LOST, Reason.NONE, null, actions);
+                end(now, a, AttemptOutcome.LOST, OutcomeReason.NONE, null, actions);
             } else {
                 over(
                         now,
                         a,
-                        Outcome.LOST,
-                        Reason.NONE,
-                        a.wanted == null ? Fate.LOST : a.wanted,
+                        AttemptOutcome.LOST,
+                        OutcomeReason.NONE,
+                        a.wanted == null ? TerminationCause.LOST : a.wanted,
                         null,
                         actions);
             }
@@ -444,11 +489,11 @@
     }
 
     /** Nobody wants the request any more, or the module moves it: its attempt is withdrawn. */
-    public void unwanted(String request, Fate fate, Consumer<Action> actions) {
+    public void cancel(String request, TerminationCause fate, Consumer<Action> actions) {
         Attempt a = byRequest.get(request);
         if (a != null) {
             a.wanted = fate;
-            actions.accept(new Withdraw(a.machine, a.id));
+            actions.accept(new CancelAttempt(a.machine, a.id));
         }
     }
 
@@ -459,10 +504,10 @@
         }
         for (Attempt a : new ArrayList<>(open.values())) {
             if (now >= a.until) {
-                actions.accept(new Withdraw(a.machine, a.id));
+                actions.accept(new CancelAttempt(a.machine, a.id));
                 if (byId.get(a.id)
                         == a) { // else it was never sent, and the withdrawal has ended it
-                    end(now, a, Outcome.TIMED_OUT, Reason.NONE, null, actions);
+                    end(now, a, AttemptOutcome.TIMED_OUT, OutcomeReason.NONE, null, actions);
                 }
             }
         }
@@ -474,7 +519,7 @@
     }
 
     /** Whether an attempt is of this life of the placer. */
-    public boolean ours(String attempt) {
+    public boolean isOwn(String attempt) {
         return attempt.startsWith(life + "-");
     }
 
--- a/decisions/src/main/java/thornferry/decisions/Reasons.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/PendingReasons.java
@@ -1,4 +1,4 @@
-package thornferry.decisions;
+package thornferry.decisions.diagnosis;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -12,10 +12,17 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.ToLongFunction;
-import thornferry.decisions.Placement.Cause;
-import thornferry.decisions.Placement.Held;
-import thornferry.decisions.Placement.MachineState;
-import thornferry.decisions.Placement.Outcome;
+import thornferry.decisions.admission.AdmissionQueue;
+import thornferry.decisions.admission.QueuedRequest;
+import thornferry.decisions.admission.QuotaBlock;
+import thornferry.decisions.admission.QuotaScope;
+import thornferry.decisions.membership.ClusterView;
+import thornferry.decisions.membership.MachineStatus;
+import thornferry.decisions.membership.RejectionReason;
+import thornferry.decisions.placement.Placement.AttemptOutcome;
+import thornferry.decisions.placement.Placement.FilterReason;
+import thornferry.decisions.placement.Placement.MachineState;
+import thornferry.decisions.placement.Placement.Pending;
 
 /**
  * Why each task waits, as a value that is true now: derived from what holds the task back (its
@@ -25,74 +32,75 @@
  * <p>A task is known by its owner and the owner's name for it. Nothing that is another owner's is
  * ever part of a reason. Times are microseconds.
  */
-public final class Reasons {
+public final class PendingReasons {
     /** What holds a task back. */
     public enum Kind {
         /**
          * No machine that is known could ever take it: it asks more than any has, or for a kind
          * that none is.
          */
-        NO_FIT,
+        UNSATISFIABLE,
         /** Machines could take it, but lack cores or memory now. */
-        NO_ROOM,
+        NO_CAPACITY,
         /** Machines turned it down, or turn such tasks down, in words of their own. */
-        REFUSED,
+        REJECTED,
         /**
          * Machines that could take it are silent, gone, held out, or leave its class unanswered.
          */
-        OUT_OF_TRUST,
+        MACHINES_EJECTED,
         /** Its key is held: a copy stands or stood within the window. */
         KEY_HELD,
         /** The machines that could take it drain. */
         DRAINING,
         /** As many of its service as may be stand wherever there is room. */
-        SPREAD,
+        SPREAD_LIMIT,
         /** Machines that could take it have just started and bear no more starts now. */
-        COLD,
+        WARMING_UP,
         /** No machine is known. */
-        NO_NODES,
+        NO_MACHINES,
         /** A limit of its owner. */
-        OWN_LIMIT,
+        OWNER_QUOTA,
         /** A limit of its owner's tenant. */
-        TENANT_LIMIT,
+        TENANT_QUOTA,
         /** Its tenant has more than its share and others are asked for first. */
-        TENANT_SHARE,
+        FAIR_SHARE,
         /**
          * The limit for all together is reached, or more is asked than can be placed and the line
          * sheds.
          */
         OVERLOADED,
         /** Room is being kept for a larger task of more worth, for a bounded time. */
-        GATHERING,
+        CAPACITY_RESERVED,
         /**
          * An earlier attempt may have run; until that is known no other is made, or only where
          * repeats are dropped.
          */
-        PROOF,
+        INDETERMINATE,
         /** It was offered to a machine and its answer is due. */
-        ANSWER,
+        AWAITING_RESPONSE,
         /** Its turn has not come. */
-        TURN
+        QUEUED
     }
 
     /**
-     * One piece of evidence. {@code nodes} counts machines, 0 where it is about none; {@code name}
-     * is a machine, a limit or a task of the same owner's, empty for none; {@code needs} and {@code
-     * has} as {@code what} says, NaN for none.
+     * One piece of evidence. {@code machines} counts machines, 0 where it is about none; {@code
+     * name} is a machine, a limit or a task of the same owner's, empty for none; {@code needed} and
+     * {@code available} as {@code description} says, NaN for none.
      */
-    public record Evidence(String what, String name, int nodes, double needs, double has) {
+    public record Evidence(
+            String description, String name, int machines, double needed, double available) {
         Evidence(String what, int nodes) {
             this(what, "", nodes, Double.NaN, Double.NaN);
         }
     }
 
     /**
-     * @param ends what would end it, in words
+     * @param endsWhen what would end it, in words
      */
-    public record Reason(Kind kind, long since, List<Evidence> evidence, String ends) {
+    public record Reason(Kind kind, long sinceMicros, List<Evidence> evidence, String endsWhen) {
         /** One plain sentence. */
         public String sentence() {
-            return Words.sentence(this);
+            return ReasonFormatter.sentence(this);
         }
     }
 
@@ -100,42 +108,42 @@
     public enum State {
         WAITING,
         PLACED,
-        REFUSED,
+        REJECTED,
         FAILED,
-        OVER,
+        FINISHED,
         UNKNOWN
     }
 
     /** A change of reason or state; {@code reason} null where the state is not WAITING. */
-    public record Change(long at, State state, Reason reason) {}
+    public record Change(long atMicros, State state, Reason reason) {}
 
     /**
-     * All about one task. {@code asks} how often it was asked for, {@code attempts} offers made
-     * over all of them.
+     * All about one task. {@code submissions} how often it was asked for, {@code attempts} offers
+     * made over all of them.
      */
-    public record Why(
+    public record Explanation(
             String owner,
             String task,
             String taskClass,
             State state,
             Reason reason,
-            long waitingSince,
-            int asks,
+            long waitingSinceMicros,
+            int submissions,
             int attempts,
             List<Change> history) {}
 
     /** A task's reason or state is now another: for those who watch. */
-    public record Changed(String owner, String tenant, String task) {}
+    public record ReasonChanged(String owner, String tenant, String task) {}
 
     /**
-     * @param on whether reasons are kept at all
-     * @param records so many; beyond, those of tasks no longer waiting go, oldest first
-     * @param history changes kept of each task; the first and the latest
-     * @param keepFor microseconds after a task's end
+     * @param enabled whether reasons are kept at all
+     * @param maxRecords so many; beyond, those of tasks no longer waiting go, oldest first
+     * @param maxHistory changes kept of each task; the first and the latest
+     * @param retentionMicros microseconds after a task's end
      */
-    public record Limits(boolean on, int records, int history, long keepFor) {
+    public record Limits(boolean enabled, int maxRecords, int maxHistory, long retentionMicros) {
         public Limits {
-            if (records < 1 || history < 2 || keepFor < 0) {
+            if (maxRecords < 1 || maxHistory < 2 || retentionMicros < 0) {
                 throw new IllegalArgumentException("limits of reasons must be above 0");
             }
         }
@@ -145,7 +153,7 @@
         final String owner;
         final String task;
         String tenant = "";
-        Line.Item item;
+        QueuedRequest item;
         String shape = "";
         String key = "";
         boolean keyed;
@@ -153,11 +161,11 @@
         boolean settling;
         String suspect = "";
         String request;
-        Held held;
+        Pending held;
         String at = ""; // the machine of the attempt that is out, or the placed one
-        Fleet.Said said = Fleet.Said.NONE; // by the last machine that turned it down
+        RejectionReason said = RejectionReason.NONE; // by the last machine that turned it down
         String failedAt = "";
-        Outcome failed;
+        AttemptOutcome failed;
         long since; // waiting, in this ask
         int asks;
         int attempts;
@@ -187,8 +195,8 @@
     private static final int AHEAD_MOST = 1_000;
 
     private final Limits limits;
-    private final Fleet fleet;
-    private final Line line;
+    private final ClusterView fleet;
+    private final AdmissionQueue line;
     private final Map<String, String> needs;
     private final ToLongFunction<String> links; // -1 where a machine has none
     private final Map<String, Record> records = new HashMap<>();
@@ -205,13 +213,13 @@
     private record Shape(long version, Reason reason) {}
 
     /**
-     * @param needs the kind of machine that a class needs; none where any will do
+     * @param needed the kind of machine that a class needs; none where any will do
      * @param links gives the connection of a machine, -1 where it has none
      */
-    public Reasons(
+    public PendingReasons(
             Limits limits,
-            Fleet fleet,
-            Line line,
+            ClusterView fleet,
+            AdmissionQueue line,
             Map<String, String> needs,
             ToLongFunction<String> links) {
         this.needs = Map.copyOf(needs);
@@ -237,7 +245,7 @@
      * @param suspect the machine that may have run it before that start, whose word is lacking;
      *     empty for none
      */
-    public void asked(
+    public void submitted(
             long now,
             String owner,
             String tenant,
@@ -246,7 +254,7 @@
             boolean keyed,
             boolean settling,
             String suspect) {
-        if (!limits.on()) {
+        if (!limits.enabled()) {
             return;
         }
         Record r = records.computeIfAbsent(id(owner, task), k -> new Record(owner, task));
@@ -262,7 +270,7 @@
         r.item = null;
         r.request = null;
         r.at = "";
-        r.said = Fleet.Said.NONE;
+        r.said = RejectionReason.NONE;
         r.failedAt = "";
         r.failed = null;
         r.reason = null;
@@ -272,7 +280,7 @@
     }
 
     /** It goes into the line, as this item. */
-    public void inLine(String task, Line.Item item) {
+    public void queued(String task, QueuedRequest item) {
         Record r = records.get(id(item.owner(), task));
         if (r != null && r.state == State.WAITING) {
             r.item = item;
@@ -281,22 +289,22 @@
             if (r.request != null) {
                 byRequest.remove(r.request);
             }
-            r.request = item.request();
-            byRequest.put(item.request(), r);
+            r.request = item.requestId();
+            byRequest.put(item.requestId(), r);
             touched.add(r);
         }
     }
 
     /** The module told why it holds the request. */
-    public void held(Held why) {
-        Record r = byRequest.get(why.id());
+    public void pending(Pending why) {
+        Record r = byRequest.get(why.requestId());
         if (r != null && r.state == State.WAITING) {
             r.held = why;
             touched.add(r);
         }
     }
 
-    public void offered(String request, String machine) {
+    public void attemptStarted(String request, String machine) {
         Record r = byRequest.get(request);
         if (r != null) {
             r.at = machine;
@@ -307,7 +315,7 @@
     }
 
     /** A machine turned the offer down, in its words. */
-    public void turnedDown(String request, String machine, Fleet.Said said) {
+    public void offerRejected(String request, String machine, RejectionReason said) {
         Record r = byRequest.get(request);
         if (r != null) {
             r.said = said;
@@ -315,11 +323,11 @@
         }
     }
 
-    public void attemptOver(String request, String machine, Outcome outcome) {
+    public void attemptEnded(String request, String machine, AttemptOutcome outcome) {
         Record r = byRequest.get(request);
         if (r != null && r.state == State.WAITING) {
-            if (outcome != Outcome.REFUSED) {
-                r.said = Fleet.Said.NONE;
+            if (outcome != AttemptOutcome.REJECTED) {
+                r.said = RejectionReason.NONE;
             }
             r.failedAt = machine;
             r.failed = outcome;
@@ -329,7 +337,7 @@
     }
 
     /** Something about the request's place in the line changed. */
-    public void moved(String request) {
+    public void stageChanged(String request) {
         Record r = byRequest.get(request);
         if (r != null) {
             touched.add(r);
@@ -337,9 +345,9 @@
     }
 
     /** Its result is known. */
-    public void answered(long now, String owner, String task, State state, String machine) {
+    public void completed(long now, String owner, String task, State state, String machine) {
         Record r = records.get(id(owner, task));
-        if (r == null && !limits.on()) {
+        if (r == null && !limits.enabled()) {
             return;
         } else if (r == null) {
             r = new Record(owner, task); // adopted: it ran before this placer started
@@ -367,17 +375,17 @@
     }
 
     /** Its placed task is over. */
-    public void over(long now, String owner, String task) {
+    public void finished(long now, String owner, String task) {
         Record r = records.get(id(owner, task));
         if (r != null && r.state == State.PLACED) {
-            r.state = State.OVER;
+            r.state = State.FINISHED;
             if (r.request != null) {
                 byRequest.remove(r.request);
             }
             if (r.keyed) {
                 keys.remove(keyId(owner, r.item == null ? "" : r.item.taskClass(), r.key), task);
             }
-            note(r, new Change(now, State.OVER, null));
+            note(r, new Change(now, State.FINISHED, null));
             end(now, r);
         }
     }
@@ -390,7 +398,7 @@
 
     private void note(Record r, Change change) {
         r.history.add(change);
-        if (r.history.size() > limits.history()) {
+        if (r.history.size() > limits.maxHistory()) {
             Change first = r.history.removeFirst();
             r.history.removeFirst();
             r.history.addFirst(first); // when it began is kept, whatever came between
@@ -402,12 +410,12 @@
      * Looks at whatever changed; {@code changed} hears of each task whose reason or state is now
      * another.
      */
-    public void tick(long now, Consumer<Changed> changed) {
+    public void tick(long now, Consumer<ReasonChanged> changed) {
         List<Record> happened = new ArrayList<>(touched);
         touched.clear();
         for (Record r : happened) {
             look(now, r);
-            changed.accept(new Changed(r.owner, r.tenant, r.task));
+            changed.accept(new ReasonChanged(r.owner, r.tenant, r.task));
         }
         if (sweep.isEmpty()) {
             sweep.addAll(waiting.values());
@@ -418,12 +426,13 @@
             Reason before = r.reason;
             look(now, r);
             if (r.state == State.WAITING && !same(before, r.reason)) {
-                changed.accept(new Changed(r.owner, r.tenant, r.task));
+                changed.accept(new ReasonChanged(r.owner, r.tenant, r.task));
             }
         }
         while (!ended.isEmpty()) {
             Record oldest = ended.values().iterator().next();
-            if (now - oldest.endedAt < limits.keepFor() && records.size() <= limits.records()) {
+            if (now - oldest.endedAt < limits.retentionMicros()
+                    && records.size() <= limits.maxRecords()) {
                 break;
             }
             String id = id(oldest.owner, oldest.task);
@@ -446,7 +455,11 @@
         Reason before = r.reason;
         boolean other = before == null || before.kind() != next.kind();
         r.reason =
-                new Reason(next.kind(), other ? now : before.since(), next.evidence(), next.ends());
+                new Reason(
+                        next.kind(),
+                        other ? now : before.sinceMicros(),
+                        next.evidence(),
+                        next.endsWhen());
         if (other) {
             note(r, new Change(now, State.WAITING, r.reason));
         }
@@ -464,7 +477,7 @@
     private Reason derive(long now, Record r) {
         if (r.settling && !r.suspect.isEmpty()) {
             return reason(
-                    Kind.PROOF,
+                    Kind.INDETERMINATE,
                     List.of(
                             new Evidence(
                                     "it may have run there before the placer was started anew",
@@ -476,85 +489,85 @@
         }
         if (r.settling) {
             return reason(
-                    Kind.PROOF,
+                    Kind.INDETERMINATE,
                     List.of(new Evidence("the placer has just started", 0)),
                     "nodes have said what runs, or the settle time is over");
         }
         if (r.request == null) {
-            return reason(Kind.TURN, List.of(), "its turn comes");
-        }
-        Line.Standing at = line.standing(now, r.request);
-        switch (at.where()) {
-            case LINE:
-                return inLine(r, at);
-            case PARKED:
-                return at.hold() != null ? held(at.hold(), r) : shape(r);
+            return reason(Kind.QUEUED, List.of(), "its turn comes");
+        }
+        AdmissionQueue.Status at = line.status(now, r.request);
+        switch (at.stage()) {
+            case QUEUED:
+                return queued(r, at);
+            case BACKING_OFF:
+                return at.quotaBlock() != null ? pending(at.quotaBlock(), r) : shape(r);
             case OFFERED:
                 return out(r);
             default:
                 return r.held == null
-                        ? reason(Kind.TURN, List.of(), "the module has looked at it")
+                        ? reason(Kind.QUEUED, List.of(), "the module has looked at it")
                         : classify(r, r.held);
         }
     }
 
-    private Reason inLine(Record r, Line.Standing at) {
-        if (at.hold() != null) {
-            return held(at.hold(), r);
-        } else if (at.gathering()) {
+    private Reason queued(Record r, AdmissionQueue.Status at) {
+        if (at.quotaBlock() != null) {
+            return pending(at.quotaBlock(), r);
+        } else if (at.capacityReserved()) {
             return reason(
-                    Kind.GATHERING,
+                    Kind.CAPACITY_RESERVED,
                     List.of(),
                     "the larger task is placed, or the time for it is over");
-        } else if (line.overload()) {
+        } else if (line.overloaded()) {
             return reason(
                     Kind.OVERLOADED,
-                    List.of(new Evidence("tasks wait", "", 0, Double.NaN, line.waiting())),
+                    List.of(new Evidence("tasks wait", "", 0, Double.NaN, line.waitingCount())),
                     "less is asked for, or more is placed");
-        } else if (at.behind()) {
+        } else if (at.aboveFairShare()) {
             return reason(
-                    Kind.TENANT_SHARE,
+                    Kind.FAIR_SHARE,
                     List.of(
                             new Evidence(
                                     "tenant above its share", r.tenant, 0, Double.NaN, Double.NaN)),
                     "tasks of your tenant end, or the other tenants' turn is over");
         }
-        return reason(Kind.TURN, List.of(), "those before it are placed or leave");
+        return reason(Kind.QUEUED, List.of(), "those before it are placed or leave");
     }
 
-    private static Reason held(Line.Hold h, Record r) {
+    private static Reason pending(QuotaBlock h, Record r) {
         Kind kind =
-                h.scope() == Line.Scope.OWNER
-                        ? Kind.OWN_LIMIT
-                        : h.scope() == Line.Scope.TENANT ? Kind.TENANT_LIMIT : Kind.OVERLOADED;
+                h.scope() == QuotaScope.OWNER
+                        ? Kind.OWNER_QUOTA
+                        : h.scope() == QuotaScope.TENANT ? Kind.TENANT_QUOTA : Kind.OVERLOADED;
         String ends =
-                h.until() < Long.MAX_VALUE / 8
+                h.untilMicros() < Long.MAX_VALUE / 8
                         ? "time passes: the limit counts by the second"
-                        : kind == Kind.OWN_LIMIT
+                        : kind == Kind.OWNER_QUOTA
                                 ? "a task of yours ends, or the limit is raised"
-                                : kind == Kind.TENANT_LIMIT
+                                : kind == Kind.TENANT_QUOTA
                                         ? "a task of your tenant ends, or the limit is raised"
                                         : "a task of the site ends, or the limit is raised";
-        double has = h.limit().equals("asks again") ? Double.NaN : h.uses();
+        double has = h.quota().equals("asks again") ? Double.NaN : h.usage();
         // a shared limit's use would tell of others' tasks
         return reason(
                 kind,
                 List.of(
                         new Evidence(
-                                "limit of " + h.limit(),
-                                kind == Kind.OWN_LIMIT
+                                "limit of " + h.quota(),
+                                kind == Kind.OWNER_QUOTA
                                         ? r.owner
-                                        : kind == Kind.TENANT_LIMIT ? r.tenant : "",
+                                        : kind == Kind.TENANT_QUOTA ? r.tenant : "",
                                 0,
-                                h.allows(),
-                                kind == Kind.OWN_LIMIT ? has : Double.NaN)),
+                                h.limit(),
+                                kind == Kind.OWNER_QUOTA ? has : Double.NaN)),
                 ends);
     }
 
     private Reason out(Record r) {
         if (links.applyAsLong(r.at) < 0) {
             return reason(
-                    Kind.PROOF,
+                    Kind.INDETERMINATE,
                     List.of(
                             new Evidence(
                                     "it was offered there and the connection broke",
@@ -565,7 +578,7 @@
                     "node " + r.at + " connects and says whether it has it, or its time is over");
         }
         return reason(
-                Kind.ANSWER,
+                Kind.AWAITING_RESPONSE,
                 List.of(new Evidence("offered to", r.at, 1, Double.NaN, Double.NaN)),
                 "node " + r.at + " answers, or its time is over");
     }
@@ -584,26 +597,30 @@
     }
 
     private Reason parkedReason(Record r) {
-        int[] counts = new int[Cause.values().length];
+        int[] counts = new int[FilterReason.values().length];
         String closest = "";
         double least = Double.POSITIVE_INFINITY;
         double lackCores = 0;
         double lackMemory = 0;
         int fits = 0;
-        for (Fleet.Seen m : fleet.all()) {
+        for (MachineStatus m : fleet.allMachines()) {
             if (m.state != MachineState.READY) {
                 continue;
             }
-            double cores = Math.max(0, r.item.cores() - m.coresFree);
-            double memory = Math.max(0, r.item.memory() - m.memoryFree);
+            double cores = Math.max(0, r.item.cores() - m.freeCores);
+            double memory = Math.max(0, r.item.memory() - m.freeMemory);
             if (!ofKind(r, m)) {
-                counts[Cause.WRONG_KIND.ordinal()]++;
+                counts[FilterReason.WRONG_KIND.ordinal()]++;
             } else if (r.item.cores() > m.cores || r.item.memory() > m.memory) {
-                counts[Cause.TOO_SMALL.ordinal()]++;
-            } else if (m.silent) {
-                counts[Cause.OUT_OF_TRUST.ordinal()]++;
+                counts[FilterReason.MACHINE_TOO_SMALL.ordinal()]++;
+            } else if (m.unresponsive) {
+                counts[FilterReason.MACHINE_EJECTED.ordinal()]++;
             } else if (cores > 0 || memory > 0) {
-                counts[(cores > 0 ? Cause.NO_CORES : Cause.NO_MEMORY).ordinal()]++;
+                counts[
+                        (cores > 0
+                                        ? FilterReason.INSUFFICIENT_CORES
+                                        : FilterReason.INSUFFICIENT_MEMORY)
+                                .ordinal()]++;
                 double lacks = Math.max(cores / m.cores, memory / m.memory);
                 if (lacks < least) {
                     least = lacks;
@@ -617,13 +634,13 @@
         }
         if (fits > 0) {
             return reason(
-                    Kind.TURN,
+                    Kind.QUEUED,
                     List.of(new Evidence("nodes that may have room", fits)),
                     "it is asked for again");
         }
         return classify(
                 r,
-                new Held(
+                new Pending(
                         r.request,
                         java.util.Arrays.stream(counts).boxed().toList(),
                         closest,
@@ -636,16 +653,16 @@
      * at all; else what keeps the others from being ready; else that none fits. All the rest is
      * evidence.
      */
-    private Reason classify(Record r, Held held) {
+    private Reason classify(Record r, Pending held) {
         List<Evidence> evidence = new ArrayList<>();
-        add(evidence, "too small for it", of(held, Cause.TOO_SMALL));
-        add(evidence, "of another kind than it needs", of(held, Cause.WRONG_KIND));
+        add(evidence, "too small for it", reasonOf(held, FilterReason.MACHINE_TOO_SMALL));
+        add(evidence, "of another kind than it needs", reasonOf(held, FilterReason.WRONG_KIND));
         int draining = 0;
         int gone = 0;
         List<String> drains = new ArrayList<>();
         List<String> away = new ArrayList<>();
         int known = 0;
-        for (Fleet.Seen m : fleet.all()) {
+        for (MachineStatus m : fleet.allMachines()) {
             known++;
             boolean could =
                     r.item.cores() <= m.cores && r.item.memory() <= m.memory && ofKind(r, m);
@@ -664,33 +681,33 @@
         count(
                 counts,
                 evidence,
-                Kind.OUT_OF_TRUST,
+                Kind.MACHINES_EJECTED,
                 "silent or out of reach",
-                of(held, Cause.OUT_OF_TRUST));
+                reasonOf(held, FilterReason.MACHINE_EJECTED));
         count(
                 counts,
                 evidence,
-                Kind.OUT_OF_TRUST,
+                Kind.MACHINES_EJECTED,
                 "leaves its class unanswered",
-                of(held, Cause.CLASS_OUT));
+                reasonOf(held, FilterReason.CLASS_EJECTED));
         count(
                 counts,
                 evidence,
-                Kind.PROOF,
+                Kind.INDETERMINATE,
                 "not of the group where an earlier attempt may have run",
-                of(held, Cause.KEY_GROUP));
+                reasonOf(held, FilterReason.OUTSIDE_KEY_SCOPE));
         count(
                 counts,
                 evidence,
-                Kind.SPREAD,
+                Kind.SPREAD_LIMIT,
                 "as many of its service as may be",
-                of(held, Cause.SPREAD));
+                reasonOf(held, FilterReason.SPREAD_LIMIT));
         count(
                 counts,
                 evidence,
-                Kind.COLD,
+                Kind.WARMING_UP,
                 "just started and given all the starts it bears",
-                of(held, Cause.COLD));
+                reasonOf(held, FilterReason.WARMING_UP));
         Kind kind = null;
         for (Map.Entry<Kind, Integer> e : counts.entrySet()) {
             kind = kind == null || e.getValue() > counts.get(kind) ? e.getKey() : kind;
@@ -708,19 +725,19 @@
                     draining > 0 && draining >= gone
                             ? Kind.DRAINING
                             : gone > 0
-                                    ? Kind.OUT_OF_TRUST
-                                    : known == 0 ? Kind.NO_NODES : Kind.NO_FIT;
+                                    ? Kind.MACHINES_EJECTED
+                                    : known == 0 ? Kind.NO_MACHINES : Kind.UNSATISFIABLE;
         }
         return reason(kind, evidence, ends(kind, held, drains, away));
     }
 
-    private boolean ofKind(Record r, Fleet.Seen m) {
+    private boolean ofKind(Record r, MachineStatus m) {
         String needed = needs.getOrDefault(r.item.taskClass(), "");
         return needed.isEmpty() || needed.equals(m.kind);
     }
 
-    private static int of(Held held, Cause cause) {
-        return held.causes().get(cause.ordinal());
+    private static int reasonOf(Pending held, FilterReason cause) {
+        return held.machinesByReason().get(cause.ordinal());
     }
 
     private static void add(List<Evidence> evidence, String what, int nodes) {
@@ -737,46 +754,58 @@
         }
     }
 
-    private static void room(Held held, List<Evidence> evidence, Map<Kind, Integer> counts) {
-        count(counts, evidence, Kind.NO_ROOM, "not enough cores", of(held, Cause.NO_CORES));
-        count(counts, evidence, Kind.NO_ROOM, "not enough memory", of(held, Cause.NO_MEMORY));
-        if (!held.closest().isEmpty()) {
-            if (held.cores() > AMOUNT) {
+    private static void room(Pending held, List<Evidence> evidence, Map<Kind, Integer> counts) {
+        count(
+                counts,
+                evidence,
+                Kind.NO_CAPACITY,
+                "not enough cores",
+                reasonOf(held, FilterReason.INSUFFICIENT_CORES));
+        count(
+                counts,
+                evidence,
+                Kind.NO_CAPACITY,
+                "not enough memory",
+                reasonOf(held, FilterReason.INSUFFICIENT_MEMORY));
+        if (!held.closestMachine().isEmpty()) {
+            if (held.missingCores() > AMOUNT) {
                 evidence.add(
                         new Evidence(
                                 "closest, lacks cores",
-                                held.closest(),
+                                held.closestMachine(),
                                 1,
-                                held.cores(),
+                                held.missingCores(),
                                 Double.NaN));
             }
-            if (held.memory() > AMOUNT) {
+            if (held.missingMemory() > AMOUNT) {
                 evidence.add(
                         new Evidence(
                                 "closest, lacks memory",
-                                held.closest(),
+                                held.closestMachine(),
                                 1,
-                                held.memory(),
+                                held.missingMemory(),
                                 Double.NaN));
             }
         }
     }
 
-    private void refused(Record r, Held held, List<Evidence> evidence, Map<Kind, Integer> counts) {
-        int refused = of(held, Cause.REFUSED);
+    private void refused(
+            Record r, Pending held, List<Evidence> evidence, Map<Kind, Integer> counts) {
+        int refused = reasonOf(held, FilterReason.RECENTLY_REJECTED);
         int cores = 0;
         int memory = 0;
         String node = "";
-        for (Fleet.Seen m : fleet.all()) {
+        for (MachineStatus m : fleet.allMachines()) {
             if (m.state == MachineState.READY
-                    && (m.refused == Fleet.Said.NO_CORES || m.refused == Fleet.Said.NO_MEMORY)) {
-                cores += m.refused == Fleet.Said.NO_CORES ? 1 : 0;
-                memory += m.refused == Fleet.Said.NO_MEMORY ? 1 : 0;
+                    && (m.lastRejection == RejectionReason.INSUFFICIENT_CORES
+                            || m.lastRejection == RejectionReason.INSUFFICIENT_MEMORY)) {
+                cores += m.lastRejection == RejectionReason.INSUFFICIENT_CORES ? 1 : 0;
+                memory += m.lastRejection == RejectionReason.INSUFFICIENT_MEMORY ? 1 : 0;
                 node = m.name;
             }
         }
         if (refused > 0) {
-            counts.merge(Kind.REFUSED, refused, Integer::sum);
+            counts.merge(Kind.REJECTED, refused, Integer::sum);
             if (cores > 0) {
                 evidence.add(
                         new Evidence(
@@ -802,28 +831,29 @@
         count(
                 counts,
                 evidence,
-                Kind.REFUSED,
+                Kind.REJECTED,
                 "refused: too many offers wait there",
-                of(held, Cause.CROWDED));
+                reasonOf(held, FilterReason.QUEUE_FULL));
     }
 
     /**
      * The machine that failed it last gets it no second time in a row: what it said decides the
      * kind.
      */
-    private void failed(Record r, Held held, List<Evidence> evidence, Map<Kind, Integer> counts) {
-        if (of(held, Cause.FAILED_IT) == 0) {
+    private void failed(
+            Record r, Pending held, List<Evidence> evidence, Map<Kind, Integer> counts) {
+        if (reasonOf(held, FilterReason.PREVIOUS_ATTEMPT_FAILED) == 0) {
             return;
         }
-        Fleet.Seen node = fleet.machine(r.failedAt);
+        MachineStatus node = fleet.machine(r.failedAt);
         // what it said counts until it is listed as ready anew, or accepts something
         boolean drains =
                 node != null
                         && (node.state == MachineState.DRAINING
-                                || r.said == Fleet.Said.DRAINING
-                                        && node.refused == Fleet.Said.DRAINING);
-        if (r.failed != Outcome.REFUSED) {
-            counts.merge(Kind.OUT_OF_TRUST, 1, Integer::sum);
+                                || r.said == RejectionReason.DRAINING
+                                        && node.lastRejection == RejectionReason.DRAINING);
+        if (r.failed != AttemptOutcome.REJECTED) {
+            counts.merge(Kind.MACHINES_EJECTED, 1, Integer::sum);
             evidence.add(
                     new Evidence(
                             "left the last offer unanswered, or broke off",
@@ -831,7 +861,8 @@
                             1,
                             Double.NaN,
                             Double.NaN));
-        } else if (r.said == Fleet.Said.KEY_HELD || r.said == Fleet.Said.NOT_HERE && r.keyed) {
+        } else if (r.said == RejectionReason.KEY_HELD
+                || r.said == RejectionReason.UNAVAILABLE && r.keyed) {
             counts.merge(Kind.KEY_HELD, 1, Integer::sum);
             String own = keys.getOrDefault(keyId(r.owner, r.item.taskClass(), r.key), "");
             evidence.add(
@@ -845,7 +876,7 @@
             counts.merge(Kind.DRAINING, 1, Integer::sum);
             evidence.add(new Evidence("refused: it drains", r.failedAt, 1, Double.NaN, Double.NaN));
         } else {
-            counts.merge(Kind.REFUSED, 1, Integer::sum);
+            counts.merge(Kind.REJECTED, 1, Integer::sum);
             evidence.add(
                     new Evidence(
                             "refused the last offer and gets it no second time in a row",
@@ -856,19 +887,19 @@
         }
     }
 
-    private static String ends(Kind kind, Held held, List<String> drains, List<String> away) {
+    private static String ends(Kind kind, Pending held, List<String> drains, List<String> away) {
         return switch (kind) {
-            case NO_ROOM ->
-                    held.closest().isEmpty()
+            case NO_CAPACITY ->
+                    held.closestMachine().isEmpty()
                             ? "a task ends somewhere"
                             : "node "
-                                    + held.closest()
+                                    + held.closestMachine()
                                     + " frees "
-                                    + amount(held.cores(), " cores", held.memory())
+                                    + amount(held.missingCores(), " cores", held.missingMemory())
                                     + ", or another as much";
-            case NO_FIT -> "a node that is large enough, and of the kind it needs, joins";
-            case REFUSED -> "a node that refused reports more room, or another has room";
-            case OUT_OF_TRUST ->
+            case UNSATISFIABLE -> "a node that is large enough, and of the kind it needs, joins";
+            case REJECTED -> "a node that refused reports more room, or another has room";
+            case MACHINES_EJECTED ->
                     away.isEmpty()
                             ? "a silent node answers again"
                             : "node "
@@ -884,10 +915,10 @@
                             : "the drain of node "
                                     + drains.get(0)
                                     + " ends, or another node has room";
-            case SPREAD -> "a task of its service ends there";
-            case COLD -> "the nodes have been up for longer";
-            case NO_NODES -> "a node connects";
-            case PROOF -> "a node of that group has room, or the key's window is over";
+            case SPREAD_LIMIT -> "a task of its service ends there";
+            case WARMING_UP -> "the nodes have been up for longer";
+            case NO_MACHINES -> "a node connects";
+            case INDETERMINATE -> "a node of that group has room, or the key's window is over";
             default -> "";
         };
     }
@@ -909,13 +940,13 @@
      * All about a task of this owner's; state UNKNOWN, and nothing else, where the owner has no
      * such task.
      */
-    public Why why(long now, String owner, String task) {
+    public Explanation explain(long now, String owner, String task) {
         Record r = records.get(id(owner, task));
         if (r == null) {
-            return new Why(owner, task, "", State.UNKNOWN, null, 0, 0, 0, List.of());
+            return new Explanation(owner, task, "", State.UNKNOWN, null, 0, 0, 0, List.of());
         }
         look(now, r);
-        return new Why(
+        return new Explanation(
                 owner,
                 task,
                 r.item == null ? "" : r.item.taskClass(),
@@ -931,21 +962,21 @@
     private Reason shown(Record r) {
         Reason now = r.reason;
         if (now == null
-                || now.kind() != Kind.TURN
+                || now.kind() != Kind.QUEUED
                 || r.request == null
                 || !now.evidence().isEmpty()) {
             return now;
         }
-        int ahead = line.ahead(r.request, AHEAD_MOST);
+        int ahead = line.countAhead(r.request, AHEAD_MOST);
         return new Reason(
                 now.kind(),
-                now.since(),
+                now.sinceMicros(),
                 List.of(new Evidence("tasks of your tenant before it", "", 0, Double.NaN, ahead)),
-                now.ends());
+                now.endsWhen());
     }
 
     /** The reason of a request that waits, or null. */
-    public Reason of(long now, String request) {
+    public Reason reasonOf(long now, String request) {
         Record r = byRequest.get(request);
         if (r != null) {
             look(now, r);
@@ -956,14 +987,14 @@
     /**
      * One owner's waiting tasks, oldest first, {@code most} at the most; of all owners where null.
      */
-    public List<Why> waiting(long now, String owner, int most) {
-        List<Why> list = new ArrayList<>();
+    public List<Explanation> waiting(long now, String owner, int most) {
+        List<Explanation> list = new ArrayList<>();
         for (Record r : waiting.values()) {
             if (list.size() >= most) {
                 break;
             }
             if (owner == null || owner.equals(r.owner)) {
-                list.add(why(now, r.owner, r.task));
+                list.add(explain(now, r.owner, r.task));
             }
         }
         return list;
@@ -973,7 +1004,7 @@
      * How many wait for each reason, by tenant; of one owner's, or of all where null. As of the
      * last look.
      */
-    public Map<String, Map<Kind, Integer>> table(String owner) {
+    public Map<String, Map<Kind, Integer>> countByReason(String owner) {
         Map<String, Map<Kind, Integer>> table = new java.util.TreeMap<>();
         for (Record r : waiting.values()) {
             if (r.reason != null && (owner == null || owner.equals(r.owner))) {
--- a/decisions/src/main/java/thornferry/decisions/Membership.java
+++ b/decisions/src/main/java/thornferry/decisions/membership/Membership.java
@@ -1,12 +1,13 @@
-package thornferry.decisions;
+package thornferry.decisions.membership;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import thornferry.decisions.Placement.MachineEntry;
-import thornferry.decisions.Placement.MachineState;
+import thornferry.decisions.placement.Placement;
+import thornferry.decisions.placement.Placement.MachineEntry;
+import thornferry.decisions.placement.Placement.MachineState;
 
 /**
  * Which machines there are, in which life, and whether they may be offered anything: from
@@ -14,31 +15,40 @@
  *
  * <p>A machine is known by its name, and its lives by their incarnations. A connection that breaks
  * proves nothing about what runs there: the machine is taken off the list at once, since nothing
- * can be sent, but its tasks are given up only after {@link Limits#goneAfter} or when a later
+ * can be sent, but its tasks are given up only after {@link Limits#goneAfterMicros} or when a later
  * incarnation registers. Times are microseconds.
  */
 public final class Membership {
     /**
-     * @param goneAfter a machine without a connection for so long is gone, and what ran there is
-     *     lost
-     * @param flaps connections that a machine may lose within {@code flapWindow} without being held
-     *     out
-     * @param flapWindow see {@code flaps}
-     * @param heldOut the first time for which a flapping machine gets nothing; doubles up to 16
-     *     times that
-     * @param machines machines known at once, gone ones among them
+     * @param goneAfterMicros a machine without a connection for so long is gone, and what ran there
+     *     is lost
+     * @param maxFlaps connections that a machine may lose within {@code flapWindowMicros} without
+     *     being held out
+     * @param flapWindowMicros see {@code maxFlaps}
+     * @param quarantineMicros the first time for which a flapping machine gets nothing; doubles up
+     *     to 16 times that
+     * @param maxMachines machines known at once, gone ones among them
      */
-    public record Limits(long goneAfter, int flaps, long flapWindow, long heldOut, int machines) {
+    public record Limits(
+            long goneAfterMicros,
+            int maxFlaps,
+            long flapWindowMicros,
+            long quarantineMicros,
+            int maxMachines) {
         public Limits {
-            if (goneAfter <= 0 || flaps < 1 || flapWindow <= 0 || heldOut <= 0 || machines < 1) {
+            if (goneAfterMicros <= 0
+                    || maxFlaps < 1
+                    || flapWindowMicros <= 0
+                    || quarantineMicros <= 0
+                    || maxMachines < 1) {
                 throw new IllegalArgumentException("membership limits must be above 0");
             }
         }
     }
 
     /**
-     * What a machine says of itself. {@code uptime} since this incarnation started; free figures
-     * count asks.
+     * What a machine says of itself. {@code uptimeMicros} since this incarnation started; free
+     * figures count asks.
      */
     public record Registration(
             String machine,
@@ -48,38 +58,41 @@
             int cell,
             double cores,
             double memory,
-            long uptime,
-            double coresFree,
-            double memoryFree) {}
+            long uptimeMicros,
+            double freeCores,
+            double freeMemory) {}
 
     /** What is to be done; in the order given. */
     public sealed interface Action {}
 
     /** The module's list changed: hand it these lines. */
-    public record Changed(List<MachineEntry> lines) implements Action {}
+    public record MachinesChanged(List<MachineEntry> entries) implements Action {}
 
-    /** End this connection, whose peer did what {@code why} says. */
-    public record CloseLink(long link, String why) implements Action {}
+    /** End this connection, whose peer did what {@code reason} says. */
+    public record CloseConnection(long connection, String reason) implements Action {}
 
     /** This life of the machine is over: whatever was placed or offered there is lost. */
-    public record LifeOver(String machine, long incarnation, String why) implements Action {}
+    public record IncarnationEnded(String machine, long incarnation, String reason)
+            implements Action {}
 
     /**
      * A machine long gone is known no longer: another took its place among those that may be known.
      */
-    public record Forgotten(String machine) implements Action {}
+    public record MachineForgotten(String machine) implements Action {}
 
     /** The machine is connected by this link, in this life; its inventory holds what it has. */
-    public record Admitted(String machine, long incarnation, long link) implements Action {}
+    public record MachineAdmitted(String machine, long incarnation, long connection)
+            implements Action {}
 
     /** Tell the machine that it drains, or no longer does. */
-    public record TellDrain(String machine, long link, boolean on) implements Action {}
+    public record NotifyDrain(String machine, long connection, boolean draining)
+            implements Action {}
 
     /**
      * A machine as an operator sees it; {@code note} says why it gets nothing, where it gets
      * nothing.
      */
-    public record View(
+    public record MachineView(
             String machine,
             long incarnation,
             String kind,
@@ -133,16 +146,16 @@
         }
         if (wrong == null
                 && m == null
-                && machines.size() >= limits.machines()
+                && machines.size() >= limits.maxMachines()
                 && !forgetOne(actions)) {
-            wrong = "the placer knows as many nodes as it may: " + limits.machines();
+            wrong = "the placer knows as many nodes as it may: " + limits.maxMachines();
         }
         if (wrong == null && m != null && r.incarnation() < m.is.incarnation()) {
             // guards against a process thought dead that wakes after its successor has registered
             wrong = "incarnation " + r.incarnation() + " is older than " + m.is.incarnation();
         }
         if (wrong != null) {
-            actions.accept(new CloseLink(link, wrong));
+            actions.accept(new CloseConnection(link, wrong));
             return;
         }
         if (m == null) {
@@ -153,28 +166,29 @@
             // our knowing
             long old = m.link;
             unlink(now, m);
-            actions.accept(new CloseLink(old, "registered again on another connection"));
+            actions.accept(new CloseConnection(old, "registered again on another connection"));
         }
         if (m.is != null && r.incarnation() > m.is.incarnation()) {
             if (!m.over) {
                 actions.accept(
-                        new LifeOver(r.machine(), m.is.incarnation(), "it has started anew"));
+                        new IncarnationEnded(
+                                r.machine(), m.is.incarnation(), "it has started anew"));
             }
             m.is = null;
         }
         if (m.is == null) {
             // kept for the whole life: a start that seemed to move would look like a restart to the
             // module
-            m.started = Math.max(1, now - r.uptime());
+            m.started = Math.max(1, now - r.uptimeMicros());
         }
         m.is = r;
         m.registeredAt = now;
         m.over = false;
         m.link = link;
         links.put(link, r.machine());
-        actions.accept(new Admitted(r.machine(), r.incarnation(), link));
+        actions.accept(new MachineAdmitted(r.machine(), r.incarnation(), link));
         if (m.draining) {
-            actions.accept(new TellDrain(r.machine(), link, true));
+            actions.accept(new NotifyDrain(r.machine(), link, true));
         }
         tell(now, m, actions);
     }
@@ -202,9 +216,9 @@
                     + r.cores()
                     + " and "
                     + r.memory();
-        } else if (r.uptime() < 0
-                || !Double.isFinite(r.coresFree())
-                || !Double.isFinite(r.memoryFree())) {
+        } else if (r.uptimeMicros() < 0
+                || !Double.isFinite(r.freeCores())
+                || !Double.isFinite(r.freeMemory())) {
             return "uptime and load must be numbers, uptime not below 0";
         }
         return null;
@@ -225,7 +239,7 @@
             return false;
         }
         machines.remove(gone);
-        actions.accept(new Forgotten(gone));
+        actions.accept(new MachineForgotten(gone));
         return true;
     }
 
@@ -233,7 +247,7 @@
      * A connection is over, whoever ended it. Unknown ones are ignored: they never registered, or
      * were replaced.
      */
-    public void linkClosed(long now, long link, Consumer<Action> actions) {
+    public void connectionClosed(long now, long link, Consumer<Action> actions) {
         String name = links.get(link);
         if (name != null) {
             Machine m = machines.get(name);
@@ -247,15 +261,16 @@
         m.link = NO_LINK;
         m.brokenAt = now;
         m.breaks.add(now);
-        m.breaks.removeIf(at -> at <= now - limits.flapWindow());
-        if (m.breaks.size() > limits.flaps()) {
+        m.breaks.removeIf(at -> at <= now - limits.flapWindowMicros());
+        if (m.breaks.size() > limits.maxFlaps()) {
             // guards against a machine whose link comes and goes: each return would draw offers
             // that then hang
-            boolean calm = now > m.heldOutUntil + limits.flapWindow();
+            boolean calm = now > m.heldOutUntil + limits.flapWindowMicros();
             m.heldOutFor =
                     calm
-                            ? limits.heldOut()
-                            : Math.min(limits.heldOut() * HELD_OUT_FACTOR, m.heldOutFor * 2);
+                            ? limits.quarantineMicros()
+                            : Math.min(
+                                    limits.quarantineMicros() * HELD_OUT_FACTOR, m.heldOutFor * 2);
             m.heldOutUntil = now + m.heldOutFor;
             m.breaks.clear();
         }
@@ -273,7 +288,7 @@
         m.draining = on;
         tell(now, m, actions); // first the module, so that nothing new is offered after this moment
         if (m.link != NO_LINK) {
-            actions.accept(new TellDrain(machine, m.link, on));
+            actions.accept(new NotifyDrain(machine, m.link, on));
         }
         return true;
     }
@@ -288,13 +303,13 @@
                 m.brokenAt +=
                         late; // guards against condemning all at once after a pause of our own
             }
-            if (m.link == NO_LINK && !m.over && now - m.brokenAt > limits.goneAfter()) {
+            if (m.link == NO_LINK && !m.over && now - m.brokenAt > limits.goneAfterMicros()) {
                 m.over = true;
                 actions.accept(
-                        new LifeOver(
+                        new IncarnationEnded(
                                 e.getKey(),
                                 m.is.incarnation(),
-                                "not heard of for " + limits.goneAfter() / 1_000 + " ms"));
+                                "not heard of for " + limits.goneAfterMicros() / 1_000 + " ms"));
             }
             tell(now, m, actions);
         }
@@ -312,7 +327,7 @@
             // a reading
             boolean fresh = now == m.registeredAt;
             actions.accept(
-                    new Changed(
+                    new MachinesChanged(
                             List.of(
                                     new MachineEntry(
                                             r.machine(),
@@ -320,15 +335,15 @@
                                             r.kind(),
                                             r.cell(),
                                             state,
-                                            fresh ? r.coresFree() : Double.NaN,
-                                            fresh ? r.memoryFree() : Double.NaN,
+                                            fresh ? r.freeCores() : Double.NaN,
+                                            fresh ? r.freeMemory() : Double.NaN,
                                             1,
                                             m.started))));
         }
     }
 
     /** The link of a machine, or -1 where it has none. */
-    public long link(String machine) {
+    public long connectionOf(String machine) {
         Machine m = machines.get(machine);
         return m == null ? NO_LINK : m.link;
     }
@@ -350,8 +365,8 @@
         return links.get(link);
     }
 
-    public List<View> view(long now) {
-        List<View> views = new ArrayList<>();
+    public List<MachineView> view(long now) {
+        List<MachineView> views = new ArrayList<>();
         machines.forEach(
                 (name, m) -> {
                     String state =
@@ -373,7 +388,7 @@
                                                     + " s more"
                                             : "";
                     views.add(
-                            new View(
+                            new MachineView(
                                     name,
                                     m.is.incarnation(),
                                     m.is.kind(),
--- a/decisions/src/main/java/thornferry/decisions/Policy.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/Policy.java
@@ -1,4 +1,4 @@
-package thornferry.decisions;
+package thornferry.decisions.placement;
 
 import java.util.*;
 import java.util.function.Consumer;
@@ -169,7 +169,7 @@
      * Scalar Kalman filter in two speeds: follows rises fast, falls slowly; see DESIGN for the
      * resets.
      */
-    static final class Filter {
+    static final class DualModeKalmanFilter {
         private double slow;
         private double fast;
         private double slowError = 1;
@@ -214,7 +214,8 @@
         long goneAt; // also while only a task that was handed over names it
         int kind = -1;
         final double[] size = new double[2]; // cores and memory, as in all pairs below
-        final Filter[] figures = new Filter[4]; // parts, as reports count; busy part; queue
+        final DualModeKalmanFilter[] figures =
+                new DualModeKalmanFilter[4]; // parts, as reports count; busy part; queue
         final double[] last = new double[2]; // the latest unfiltered reading, for room only
         long readFrom = Long.MIN_VALUE; // binds from this time on are not covered by the reading
         final ArrayDeque<Change> uncovered = new ArrayDeque<>();
@@ -246,7 +247,7 @@
          * readings.
          */
         void forget() {
-            Arrays.setAll(figures, i -> new Filter());
+            Arrays.setAll(figures, i -> new DualModeKalmanFilter());
             Arrays.fill(last, 0);
             heardAt = Long.MIN_VALUE / 2;
         }
@@ -281,7 +282,7 @@
 
     // ---- tasks ----
     private static final class Task {
-        final Ask ask;
+        final PlacementRequest ask;
         final TaskClass cls;
         final long deadline;
         int attempts;
@@ -301,17 +302,17 @@
         boolean firstStart;
         final double[] asks;
         final double[] used = {-1, -1}; // below 0: not told
-        Held told; // why it is held
+        Pending told; // why it is held
 
-        Task(Ask ask, TaskClass cls, long now) {
+        Task(PlacementRequest ask, TaskClass cls, long now) {
             this.ask = ask;
             this.cls = cls;
             this.asks = new double[] {ask.cores(), ask.memory()};
-            this.deadline = now + Math.max(0, ask.patience());
+            this.deadline = now + Math.max(0, ask.maxWaitMicros());
         }
 
         boolean keyBound() {
-            return mayHaveRun && cls.effect() == Effect.KEYED;
+            return mayHaveRun && cls.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY;
         }
     }
 
@@ -342,7 +343,7 @@
     private final double[] use = new double[2]; // what own tasks use, of what they ask for
     private final double[] useOf = new double[2];
     private final int[] causes =
-            new int[Cause.values().length]; // of the task looked at last, as below
+            new int[FilterReason.values().length]; // of the task looked at last, as below
     private Machine closest;
     private double leastLack;
     private final double[] lack = new double[2];
@@ -352,10 +353,10 @@
         this.settings = settings;
         this.random = new SplittableRandom(settings.seed());
         settings.classes().forEach(c -> classes.put(c.name(), c));
-        calm = most(c -> -c.calm() - FADE_ALLOWED * c.fade()) * -1;
-        mostWorth = Math.max(1e-9, most(TaskClass::worth));
-        useOf[CORES] = 4 * settings.meanCores();
-        useOf[MEMORY] = 4 * settings.meanMemory();
+        calm = most(c -> -c.contentionThreshold() - FADE_ALLOWED * c.contentionRange()) * -1;
+        mostWorth = Math.max(1e-9, most(TaskClass::priorityWeight));
+        useOf[CORES] = 4 * settings.meanTaskCores();
+        useOf[MEMORY] = 4 * settings.meanTaskMemory();
         Arrays.setAll(use, r -> USUAL_USE * useOf[r]);
     }
 
@@ -370,24 +371,24 @@
         }
         now = time;
         actions = sink;
-        news |= !(event instanceof Timer || event instanceof Asked);
-        if (event instanceof Asked e) {
-            asked(e.ask());
-        } else if (event instanceof Ended e) {
+        news |= !(event instanceof TimerFired || event instanceof PlacementRequested);
+        if (event instanceof PlacementRequested e) {
+            asked(e.request());
+        } else if (event instanceof AttemptEnded e) {
             ended(e);
-        } else if (event instanceof Placed e) {
+        } else if (event instanceof AttemptAccepted e) {
             placed(e);
-        } else if (event instanceof Noted e) {
+        } else if (event instanceof TaskObserved e) {
             noted(e);
-        } else if (event instanceof Probed e) {
+        } else if (event instanceof HealthCheckCompleted e) {
             probed(e);
-        } else if (event instanceof Running e) {
+        } else if (event instanceof TaskAdopted e) {
             running(e);
-        } else if (event instanceof OwnerLeft e) {
-            ownerLeft(e.id());
-        } else if (event instanceof MachineList e) {
+        } else if (event instanceof ClientDisconnected e) {
+            ownerLeft(e.requestId());
+        } else if (event instanceof MachineListUpdated e) {
             machineList(e);
-        } else if (event instanceof Timer) {
+        } else if (event instanceof TimerFired) {
             tick();
         }
         long due =
@@ -407,17 +408,17 @@
      * chance.
      */
     private boolean many() {
-        return settings.instances() > machines.size();
+        return settings.instanceCount() > machines.size();
     }
 
     /** Of a service's tasks this placer sees too few to know from them where its program is. */
     private boolean seesFew() {
-        return many() || settings.instances() > HOMES;
+        return many() || settings.instanceCount() > HOMES;
     }
 
     // ---- the list, the subscription, probes ----
-    private void machineList(MachineList e) {
-        if (e.kind() == ListKind.FAILED) {
+    private void machineList(MachineListUpdated e) {
+        if (e.kind() == ListUpdateKind.FAILED) {
             // guards against a list that silently goes stale: any failed call may have been the
             // subscription
             subscribed = false;
@@ -425,14 +426,15 @@
             renewWait = Math.min(RENEW_MOST, renewWait * 2);
             return;
         }
-        if (e.kind() != ListKind.CACHED) {
+        if (e.kind() != ListUpdateKind.CACHED) {
             renewWait = RENEW_LEAST;
-        } else if (settings.mustAskForList()) {
+        } else if (settings.listNeedsSubscription()) {
             renewAt = now;
             renew();
         }
         if (e.kind()
-                != ListKind.DELTA) { // whoever a whole list lacks is gone, though no line says so
+                != ListUpdateKind
+                        .DELTA) { // whoever a whole list lacks is gone, though no line says so
             machines.values()
                     .forEach(
                             m -> {
@@ -446,7 +448,7 @@
     }
 
     private void renew() {
-        if (settings.mustAskForList() && !subscribed && now >= renewAt) {
+        if (settings.listNeedsSubscription() && !subscribed && now >= renewAt) {
             subscribed = true; // until told that it failed
             actions.accept(new Subscribe(true));
         }
@@ -454,19 +456,22 @@
 
     private void listed(MachineEntry entry) {
         Machine m = machines.computeIfAbsent(entry.machine(), Machine::new);
-        boolean restarted = m.entry != null && entry.started() > m.entry.started();
+        boolean restarted = m.entry != null && entry.startedAtMicros() > m.entry.startedAtMicros();
         m.entry = entry;
         m.ready = entry.state() == MachineState.READY;
         m.goneAt = entry.state() == MachineState.GONE ? now : Long.MAX_VALUE;
-        for (MachineKind kind : settings.kinds()) {
+        for (MachineKind kind : settings.machineKinds()) {
             if (kind.name().equals(entry.kind())) {
-                m.kind = settings.kinds().indexOf(kind);
+                m.kind = settings.machineKinds().indexOf(kind);
                 m.size[CORES] = kind.cores();
                 m.size[MEMORY] = kind.memory();
             }
         }
-        if (entry.started() > 0) {
-            m.coldUntil = Math.max(m.coldUntil, entry.started() + settings.rules().rampTime());
+        if (entry.startedAtMicros() > 0) {
+            m.coldUntil =
+                    Math.max(
+                            m.coldUntil,
+                            entry.startedAtMicros() + settings.rules().slowStartMicros());
         }
         if (restarted) {
             m.suspect = m.unreachable = false;
@@ -481,11 +486,11 @@
                                             m, (k, there) -> there.tasks == 0 ? null : there));
             m.forget();
         }
-        if (settings.listShowsRoom()
-                && (settings.reports() == Reports.NONE
+        if (settings.listShowsFreeCapacity()
+                && (settings.loadReportMode() == LoadReportMode.NONE
                         || !m.heard()
                         || m.readFrom < now - LIST_LAG)) {
-            read(m, entry.coresFree(), entry.memoryFree(), LIST_LAG); // stands in for a report
+            read(m, entry.freeCores(), entry.freeMemory(), LIST_LAG); // stands in for a report
         }
     }
 
@@ -525,12 +530,12 @@
                 due.add(m);
             }
         }
-        if (settings.reports() == Reports.NONE || due.isEmpty() || many()) {
+        if (settings.loadReportMode() == LoadReportMode.NONE || due.isEmpty() || many()) {
             return;
         }
         double dear =
-                settings.listShowsRoom()
-                        ? settings.prices().probe() * PROBES_PER_ASK / PROBE_SPEND
+                settings.listShowsFreeCapacity()
+                        ? settings.costWeights().healthCheck() * PROBES_PER_ASK / PROBE_SPEND
                         : 0;
         double period =
                 Math.max(1, dear)
@@ -554,13 +559,13 @@
     }
 
     private void probe(Machine m) {
-        if (!m.probing && settings.limits().probes()) {
+        if (!m.probing && settings.limits().healthChecks()) {
             m.probing = true;
-            actions.accept(new Probe(m.id));
+            actions.accept(new CheckHealth(m.id));
         }
     }
 
-    private void probed(Probed e) {
+    private void probed(HealthCheckCompleted e) {
         Machine m = machines.get(e.machine());
         if (m == null) {
             return;
@@ -607,7 +612,7 @@
     }
 
     // ---- an ask: eligible, sample, score, offer ----
-    private void asked(Ask ask) {
+    private void asked(PlacementRequest ask) {
         asks++;
         if (tasks.containsKey(ask.id())) {
             return;
@@ -616,7 +621,7 @@
                 new Task(
                         ask, classes.getOrDefault(ask.taskClass(), settings.classes().get(0)), now);
         tasks.put(ask.id(), t);
-        if (seesFew() && !settings.oneHome()) {
+        if (seesFew() && !settings.singlePreferredMachine()) {
             t.homes = homes(t);
         }
         placeOrHold(t);
@@ -649,8 +654,8 @@
      */
     private boolean waitsForProbes(Task t, List<Machine> sample) {
         boolean probes =
-                settings.reports() == Reports.ON_PROBE
-                        && t.attempts > 0 == settings.listShowsRoom();
+                settings.loadReportMode() == LoadReportMode.ON_HEALTH_CHECK
+                        && t.attempts > 0 == settings.listShowsFreeCapacity();
         if (!probes || !many()) {
             return false;
         }
@@ -686,8 +691,8 @@
     /** Only on a change, since held tasks are looked at many times a second. */
     private void tellWhy(Task t) {
         List<Integer> counts = Arrays.stream(causes).boxed().toList();
-        Held why =
-                new Held(
+        Pending why =
+                new Pending(
                         t.ask.id(),
                         counts,
                         closest == null ? "" : closest.id,
@@ -708,7 +713,7 @@
         news = false;
         List<Task> waiting = new ArrayList<>(held);
         held.clear();
-        waiting.sort(Comparator.comparingDouble(t -> -t.cls.worth()));
+        waiting.sort(Comparator.comparingDouble(t -> -t.cls.priorityWeight()));
         for (Task t : waiting) {
             if (!t.closed && (look || now >= t.deadline - ANSWER_EARLY)) {
                 placeOrHold(t);
@@ -719,9 +724,9 @@
     }
 
     private boolean cannotTryAgain(Task t) {
-        return t.attempts >= settings.limits().attempts()
-                || t.mayHaveRun && t.cls.effect() == Effect.UNSAFE
-                || t.keyBound() && now >= t.mayHaveRunFrom + t.cls.keyWindow() - TICK;
+        return t.attempts >= settings.limits().maxAttempts()
+                || t.mayHaveRun && t.cls.idempotency() == Idempotency.NON_IDEMPOTENT
+                || t.keyBound() && now >= t.mayHaveRunFrom + t.cls.keyWindowMicros() - TICK;
     }
 
     /** Offers the task to a machine if any will do; false if it has to wait. */
@@ -762,41 +767,44 @@
     }
 
     private boolean eligible(Machine m, Task t) {
-        Cause cause = cause(m, t);
+        FilterReason cause = cause(m, t);
         if (cause != null) {
-            causes[(tooSmall(m, t) ? Cause.TOO_SMALL : cause).ordinal()]++;
+            causes[(tooSmall(m, t) ? FilterReason.MACHINE_TOO_SMALL : cause).ordinal()]++;
         }
         return cause == null;
     }
 
     /** Why the machine gets no offer of the task, or null where it may. */
-    private Cause cause(Machine m, Task t) {
+    private FilterReason cause(Machine m, Task t) {
         if (t.avoid.contains(m)) {
-            return Cause.FAILED_IT;
+            return FilterReason.PREVIOUS_ATTEMPT_FAILED;
         } else if (!m.ready || !doubting && m.suspect) {
-            return Cause.OUT_OF_TRUST;
+            return FilterReason.MACHINE_EJECTED;
         } else if (!m.suspect && now < m.suspectUntil) {
-            return m.crowded ? Cause.CROWDED : Cause.OUT_OF_TRUST;
+            return m.crowded ? FilterReason.QUEUE_FULL : FilterReason.MACHINE_EJECTED;
         } else if (now < m.classOut.getOrDefault(t.cls.name(), NEVER_OUT)[0]) {
-            return Cause.CLASS_OUT;
-        } else if (t.cls.needsKind() >= 0 && t.cls.needsKind() != m.kind) {
-            return Cause.WRONG_KIND;
+            return FilterReason.CLASS_EJECTED;
+        } else if (t.cls.requiredKind() >= 0 && t.cls.requiredKind() != m.kind) {
+            return FilterReason.WRONG_KIND;
         } else if (t.keyBound() && !sameGroup(t.cls.keyScope(), m, t.mayHaveRunAt)) {
-            return Cause.KEY_GROUP;
+            return FilterReason.OUTSIDE_KEY_SCOPE;
         }
         boolean asBig = t.asks[CORES] >= m.refused[CORES] || t.asks[MEMORY] >= m.refused[MEMORY];
         if (m.refusedAt >= m.readFrom && asBig) {
-            return Cause
-                    .REFUSED; // guards against offering over and over on a reading older than the
+            return FilterReason
+                    .RECENTLY_REJECTED; // guards against offering over and over on a reading older
+            // than the
             // refusal
         }
-        Cause room = lacksRoom(m, t);
+        FilterReason room = lacksRoom(m, t);
         return room != null
                 ? room
-                : !withinCold(m) ? Cause.COLD : !withinSpread(m, t) ? Cause.SPREAD : null;
+                : !withinCold(m)
+                        ? FilterReason.WARMING_UP
+                        : !withinSpread(m, t) ? FilterReason.SPREAD_LIMIT : null;
     }
 
-    private static boolean sameGroup(Scope scope, Machine a, Machine b) {
+    private static boolean sameGroup(TopologyScope scope, Machine a, Machine b) {
         return switch (scope) {
             case ALL -> true;
             case ZONE ->
@@ -807,12 +815,13 @@
     }
 
     /** Acceptance goes by what is asked for; service by what is used. Null where there is room. */
-    private Cause lacksRoom(Machine m, Task t) {
+    private FilterReason lacksRoom(Machine m, Task t) {
         if (!m.sized()) {
-            return Cause.TOO_SMALL;
+            return FilterReason.MACHINE_TOO_SMALL;
         }
         for (int r = CORES; r <= MEMORY; r++) {
-            double asked = m.last[r] / (settings.countsUsed() ? HOPE * use[r] / useOf[r] : 1);
+            double asked =
+                    m.last[r] / (settings.reportsMeasureUsage() ? HOPE * use[r] / useOf[r] : 1);
             double over =
                     used(m, t, r) - (m.heard() ? 0 : mean[r]) - (r == CORES ? calm : MEMORY_FULL);
             lack[r] =
@@ -833,15 +842,21 @@
             leastLack = least;
             System.arraycopy(lack, 0, closestLack, 0, 2);
         }
-        return lack[CORES] > 0 ? Cause.NO_CORES : Cause.NO_MEMORY;
+        return lack[CORES] > 0 ? FilterReason.INSUFFICIENT_CORES : FilterReason.INSUFFICIENT_MEMORY;
     }
 
     private double accepts(Machine m, Task t, int r) {
         double open =
                 1
                         - KEPT_FOR_WORTH
-                                * clamp(1 - 1.5 * t.cls.worth() / mostWorth); // near equals share
-        return open * (r == CORES ? settings.acceptCores() : settings.acceptMemory()) * m.size[r]
+                                * clamp(
+                                        1
+                                                - 1.5
+                                                        * t.cls.priorityWeight()
+                                                        / mostWorth); // near equals share
+        return open
+                        * (r == CORES ? settings.coresOvercommit() : settings.memoryOvercommit())
+                        * m.size[r]
                 + 1e-9;
     }
 
@@ -864,7 +879,7 @@
     private double figure(Machine m, int r) {
         return r == CORES && m.figures[BUSY].heard
                 ? m.figures[BUSY].value()
-                : m.figures[r].value() * (settings.countsUsed() ? 1 : use[r] / useOf[r]);
+                : m.figures[r].value() * (settings.reportsMeasureUsage() ? 1 : use[r] / useOf[r]);
     }
 
     /**
@@ -896,7 +911,7 @@
         double memory = used(m, t, MEMORY);
         double over = clamp((cores - calm + 0.1) / 0.3) + clamp((memory - MEMORY_CALM) / 0.15);
         double lean =
-                settings.prices().fleet() > 0
+                settings.costWeights().fleet() > 0
                         ? 1 - Math.max(cores, memory)
                         : SPREAD_LEAN * Math.max(cores, memory);
         double told = m.figures[QUEUE].heard ? m.figures[QUEUE].value() : mean[QUEUE];
@@ -904,13 +919,14 @@
         double start = W_START * (t.homes.isEmpty() ? 1 : HOME_WEIGHT) * newProgram(m, t);
         // guards against a machine that answers by errors: they cost others little and fail an
         // unsafe task
-        double fault = t.cls.effect() == Effect.UNSAFE ? W_OVER * m.faults : 0;
+        double fault = t.cls.idempotency() == Idempotency.NON_IDEMPOTENT ? W_OVER * m.faults : 0;
         return W_OVER * over
                 + W_LEAN * lean
                 + start
                 + W_QUEUE * queue
                 + fault
-                + settings.prices().crossZone() * (m.entry.zone().equals(settings.zone()) ? 0 : 1);
+                + settings.costWeights().crossZone()
+                        * (m.entry.zone().equals(settings.zone()) ? 0 : 1);
     }
 
     private static double clamp(double x) {
@@ -939,24 +955,27 @@
      * counts as having spent its share.
      */
     private boolean withinCold(Machine m) {
-        long window = Math.max(1, settings.rules().coldWindow());
+        long window = Math.max(1, settings.rules().slowStartWindowMicros());
         long span = (long) (COLD_SPAN * window);
         while (!m.offers.isEmpty() && m.offers.peekFirst() <= now - span) {
             m.offers.removeFirst();
         }
         if (now >= m.coldUntil + window) {
             return true;
-        } else if (now < begun + span && m.entry.started() < begun) {
+        } else if (now < begun + span && m.entry.startedAtMicros() < begun) {
             return false;
         }
-        double share = COLD_PART * settings.rules().coldOffers() / settings.instances();
+        double share = COLD_PART * settings.rules().slowStartOffers() / settings.instanceCount();
         if (share >= 1) {
             return m.offers.size() + 1 <= share;
         }
-        double apart = (1 + COLD_TURN) * window / Math.max(1, settings.rules().coldOffers() - 1);
-        int place = Math.floorMod(settings.number() + m.id.hashCode(), settings.instances());
+        double apart =
+                (1 + COLD_TURN) * window / Math.max(1, settings.rules().slowStartOffers() - 1);
+        int place =
+                Math.floorMod(settings.instanceIndex() + m.id.hashCode(), settings.instanceCount());
         double into =
-                Math.floorMod(now - (long) (place * apart), (long) (settings.instances() * apart));
+                Math.floorMod(
+                        now - (long) (place * apart), (long) (settings.instanceCount() * apart));
         return m.offers.isEmpty() && into < COLD_TURN * window;
     }
 
@@ -966,29 +985,29 @@
      */
     private boolean withinSpread(Machine m, Task t) {
         int there = 0;
-        if (t.cls.spread() != Scope.NONE) {
+        if (t.cls.spreadScope() != TopologyScope.NONE) {
             for (Map.Entry<Machine, Own> o :
                     own.getOrDefault(t.ask.service(), Map.of()).entrySet()) {
                 there +=
-                        o.getKey() == m || sameGroup(t.cls.spread(), m, o.getKey())
+                        o.getKey() == m || sameGroup(t.cls.spreadScope(), m, o.getKey())
                                 ? o.getValue().tasks
                                 : 0;
             }
         }
-        return t.cls.spread() == Scope.NONE || there < t.cls.spreadMost();
+        return t.cls.spreadScope() == TopologyScope.NONE || there < t.cls.maxTasksPerScope();
     }
 
     private void offer(Task t, Machine m) {
         long left = t.deadline - now - ANSWER_EARLY / 2;
         t.starts = newProgram(m, t) > 0.5 ? SETUP : 1;
         int w = t.starts > 1 ? 1 : 0;
-        long least = settings.placedWhenRunning() ? TIMEOUT_RUNNING : TIMEOUT_LEAST;
+        long least = settings.acceptedWhenRunning() ? TIMEOUT_RUNNING : TIMEOUT_LEAST;
         long timeout =
                 (long) Math.min(TIMEOUT_MOST, Math.max(least, 3 * waitMean[w] + 4 * waitSpread[w]));
-        if (t.cls.effect() == Effect.UNSAFE) {
+        if (t.cls.idempotency() == Idempotency.NON_IDEMPOTENT) {
             timeout = left; // a time-out only loses sight of it
         } else if (left - timeout < TIMEOUT_LEAST
-                && t.attempts + 1 >= settings.limits().attempts()) {
+                && t.attempts + 1 >= settings.limits().maxAttempts()) {
             timeout = left;
         }
         t.at = m;
@@ -1032,8 +1051,8 @@
     }
 
     // ---- what becomes of an attempt ----
-    private void placed(Placed e) {
-        Task t = tasks.get(e.id());
+    private void placed(AttemptAccepted e) {
+        Task t = tasks.get(e.requestId());
         if (t == null || !t.out || t.placed) {
             return;
         }
@@ -1044,8 +1063,8 @@
         // an ask that errs everywhere is itself at fault: only what another machine then took
         // counts
         t.erred.forEach(m -> m.faults = FAULTS_KEPT * m.faults + 1 - FAULTS_KEPT);
-        waited(t, e.waited());
-        if (settings.placedWhenRunning()) {
+        waited(t, e.waitedMicros());
+        if (settings.acceptedWhenRunning()) {
             started(t.at, t);
         }
     }
@@ -1062,7 +1081,7 @@
     private void healthy(Machine m) {
         m.coldUntil =
                 m.unreachable
-                        ? Math.max(m.coldUntil, now + settings.rules().rampTime())
+                        ? Math.max(m.coldUntil, now + settings.rules().slowStartMicros())
                         : m.coldUntil;
         m.suspectUntil =
                 m.suspect ? 0 : m.suspectUntil; // one that lets too many wait is no suspect
@@ -1102,14 +1121,14 @@
         }
         m.suspectFor = Math.min(SUSPECT_MOST, Math.max(SUSPECT_LEAST, m.suspectFor * 2));
         m.crowded = false;
-        m.suspect = settings.limits().probes(); // without them time alone brings it back
+        m.suspect = settings.limits().healthChecks(); // without them time alone brings it back
         m.suspectUntil = now + m.suspectFor;
         suspects = true;
         actions.accept(new Log("machine " + m.id + " sits out: " + why));
     }
 
-    private void ended(Ended e) {
-        Task t = tasks.get(e.id());
+    private void ended(AttemptEnded e) {
+        Task t = tasks.get(e.requestId());
         if (t == null || !t.out || e.attempt() != t.attempts - 1) {
             return;
         }
@@ -1121,9 +1140,9 @@
         t.closed |= e.settled() || wasPlaced;
         if (!wasPlaced) {
             judge(m, t, e);
-        } else if (e.reason() == Reason.SENT_AWAY) {
+        } else if (e.reason() == OutcomeReason.EVACUATED) {
             leaves(m);
-        } else if (e.outcome() == Outcome.LOST && e.reason() == Reason.NONE) {
+        } else if (e.outcome() == AttemptOutcome.LOST && e.reason() == OutcomeReason.NONE) {
             m.unreachable =
                     true; // what answers there next has started since, and the list tells late
             suspect(
@@ -1132,7 +1151,7 @@
             // hole
         }
         if (t.closed) {
-            tasks.remove(e.id());
+            tasks.remove(e.requestId());
             return;
         }
         if (!e.outcome().neverRan && !t.mayHaveRun) {
@@ -1140,7 +1159,7 @@
             t.mayHaveRunAt = m;
             t.mayHaveRunFrom = t.sentAt;
         }
-        boolean copyStands = e.reason() == Reason.NOT_HERE && t.mayHaveRun;
+        boolean copyStands = e.reason() == OutcomeReason.UNAVAILABLE && t.mayHaveRun;
         if (copyStands) {
             answerNo(t);
         } else {
@@ -1149,51 +1168,55 @@
     }
 
     /** What the outcome of an attempt that was never placed tells of the machine. */
-    private void judge(Machine m, Task t, Ended e) {
-        boolean cores = e.reason() == Reason.NO_CORES;
-        if (e.outcome() == Outcome.REFUSED) {
+    private void judge(Machine m, Task t, AttemptEnded e) {
+        boolean cores = e.reason() == OutcomeReason.INSUFFICIENT_CORES;
+        if (e.outcome() == AttemptOutcome.REJECTED) {
             healthy(m);
-            if (!settings.placedWhenRunning()) {
-                waited(t, e.waited());
+            if (!settings.acceptedWhenRunning()) {
+                waited(t, e.waitedMicros());
             }
-            if (cores || e.reason() == Reason.NO_MEMORY) {
+            if (cores || e.reason() == OutcomeReason.INSUFFICIENT_MEMORY) {
                 m.refusedAt = now;
                 m.refused[CORES] = cores ? t.asks[CORES] : Double.MAX_VALUE;
                 m.refused[MEMORY] = cores ? Double.MAX_VALUE : t.asks[MEMORY];
-            } else if (e.reason() == Reason.OFFERS_WAIT) {
+            } else if (e.reason() == OutcomeReason.QUEUE_FULL) {
                 m.suspectUntil = now + CROWDED_FOR;
                 m.crowded = true;
-            } else if (e.reason() == Reason.NOT_HERE) {
-                if (t.cls.effect() != Effect.KEYED && t.cls.needsKind() < 0) {
+            } else if (e.reason() == OutcomeReason.UNAVAILABLE) {
+                if (t.cls.idempotency() != Idempotency.IDEMPOTENT_WITH_KEY
+                        && t.cls.requiredKind() < 0) {
                     leaves(m); // of a key a copy may stand
                 }
-            } else if (e.reason() == Reason.NONE) {
+            } else if (e.reason() == OutcomeReason.NONE) {
                 sitOut(
                         m,
                         t.cls); // not for want of room: a rate that is held down, or a start given
                 // back
             }
         }
-        boolean room = e.outcome() == Outcome.REFUSED && e.reason() != Reason.NOT_HERE;
+        boolean room =
+                e.outcome() == AttemptOutcome.REJECTED && e.reason() != OutcomeReason.UNAVAILABLE;
         if (!room) {
             t.avoid.add(m);
         }
-        if (e.outcome() == Outcome.ERROR) {
+        if (e.outcome() == AttemptOutcome.ERROR) {
             t.erred.add(m);
         }
-        boolean silent = e.outcome() == Outcome.TIMED_OUT && now - t.sentAt >= TIMEOUT_LEAST;
+        boolean silent = e.outcome() == AttemptOutcome.TIMED_OUT && now - t.sentAt >= TIMEOUT_LEAST;
         if (silent && (many() || m.answeredAt > t.sentAt)) {
             sitOut(m, t.cls);
         }
-        m.unreachable |= e.outcome() == Outcome.UNREACHABLE;
+        m.unreachable |= e.outcome() == AttemptOutcome.UNREACHABLE;
         if (silent && (!many() || m.answeredAt < t.sentAt)
-                || e.outcome() == Outcome.LOST
-                || e.outcome() == Outcome.UNREACHABLE) {
+                || e.outcome() == AttemptOutcome.LOST
+                || e.outcome() == AttemptOutcome.UNREACHABLE) {
             suspect(
                     m,
                     silent
                             ? "an offer timed out"
-                            : e.outcome() == Outcome.LOST ? "an answer broke off" : "out of reach");
+                            : e.outcome() == AttemptOutcome.LOST
+                                    ? "an answer broke off"
+                                    : "out of reach");
         }
     }
 
@@ -1213,41 +1236,43 @@
         tasks.remove(t.ask.id());
         boolean harmless =
                 !t.mayHaveRun
-                        || t.cls.effect() == Effect.SAFE
-                        || t.cls.effect() == Effect.KEYED && t.cls.keyScope() == Scope.ALL;
-        actions.accept(harmless ? new Refuse(t.ask.id(), 0) : new Fail(t.ask.id()));
+                        || t.cls.idempotency() == Idempotency.IDEMPOTENT
+                        || t.cls.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                                && t.cls.keyScope() == TopologyScope.ALL;
+        actions.accept(harmless ? new Reject(t.ask.id(), 0) : new Fail(t.ask.id()));
     }
 
     // ---- tasks that run ----
-    private void running(Running e) {
-        if (tasks.containsKey(e.ask().id())) {
+    private void running(TaskAdopted e) {
+        if (tasks.containsKey(e.request().id())) {
             return;
         }
         Task t =
                 new Task(
-                        e.ask(),
-                        classes.getOrDefault(e.ask().taskClass(), settings.classes().get(0)),
+                        e.request(),
+                        classes.getOrDefault(e.request().taskClass(), settings.classes().get(0)),
                         now);
         t.at = machines.computeIfAbsent(e.machine(), Machine::new);
         t.attempts = 1;
         t.out = true;
         t.placed = true;
         t.closed = true;
-        tasks.put(e.ask().id(), t);
+        tasks.put(e.request().id(), t);
         bind(t.at, t); // no change: it ran before, so readings have it
     }
 
-    private void noted(Noted e) {
-        Task t = tasks.get(e.id());
+    private void noted(TaskObserved e) {
+        Task t = tasks.get(e.requestId());
         if (t == null || !t.out || e.attempt() != t.attempts - 1) {
             return;
         }
         switch (e.kind()) {
-            case RUNS -> started(t.at, t);
-            case CORES_USED -> use(t, CORES, e.level());
-            case MEMORY_USED -> use(t, MEMORY, e.level());
+            case RUNNING -> started(t.at, t);
+            case CORES_USED -> use(t, CORES, e.value());
+            case MEMORY_USED -> use(t, MEMORY, e.value());
             case MACHINE_MEMORY ->
-                    t.at.figures[MEMORY].read(settings.countsUsed() ? e.level() : Double.NaN);
+                    t.at.figures[MEMORY].read(
+                            settings.reportsMeasureUsage() ? e.value() : Double.NaN);
             default -> {}
         }
     }
--- /dev/null
+++ b/decisions/src/main/java/thornferry/decisions/requests/RequestResult.java
@@ -0,0 +1,7 @@
+package thornferry.decisions.requests;
+
+public enum RequestResult {
+    PLACED,
+    REJECTED,
+    FAILED
+}
