--- a/decisions/src/main/java/thornferry/decisions/Intake.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/RequestTracker.java
@@ -1,4 +1,4 @@
-package thornferry.decisions;
+package thornferry.decisions.requests;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,12 +8,11 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import thornferry.decisions.Attempts.Fate;
-import thornferry.decisions.Placement.Ask;
-import thornferry.decisions.Placement.Effect;
-import thornferry.decisions.Placement.Reason;
-import thornferry.decisions.Placement.TaskClass;
-import thornferry.decisions.recovery.Recovery.Doubt;
+import thornferry.decisions.attempts.TerminationCause;
+import thornferry.decisions.placement.Placement.Idempotency;
+import thornferry.decisions.placement.Placement.OutcomeReason;
+import thornferry.decisions.placement.Placement.PlacementRequest;
+import thornferry.decisions.placement.Placement.TaskClass;
 
 /**
  * One result for each ask: what comes in from owners, what the module is asked, and what owners are
@@ -21,39 +20,40 @@
  *
  * <p>A task is known by its owner and the owner's own name for it, so that owners cannot meet by
  * accident or learn of each other's tasks. Asked again while in hand, nothing more happens; after
- * {@code placed} or {@code failed}, the kept result is given again; after {@code refused}, which
+ * {@code placed} or {@code failed}, the kept result is given again; after {@code rejected}, which
  * says that trying again is harmless, it is asked anew. What could not be told to anyone waits for
  * its owner to subscribe. Times are microseconds.
  */
-public final class Intake {
+public final class RequestTracker {
     /**
-     * @param inHand tasks without a result at once; beyond it an ask is refused
-     * @param kept results and running tasks kept at once; the oldest results are dropped first
-     * @param keepFor a result is kept so long after the task has its result or, once placed, its
-     *     end
-     * @param mostPatience what an ask may at most wait for its result; longer is cut to it
-     * @param settle after the start, asks that must not start twice wait so long for nodes to say
-     *     what runs and ran; 0 where a whole journal tells what former lives offered
-     * @param retryLeast the least retry-after of a refusal; doubles with each refusal of the same
-     *     task
-     * @param retryMost the most
+     * @param pendingCount tasks without a result at once; beyond it an ask is refused
+     * @param maxRetained results and running tasks kept at once; the oldest results are dropped
+     *     first
+     * @param retentionMicros a result is kept so long after the task has its result or, once
+     *     placed, its end
+     * @param maxWaitMicros what an ask may at most wait for its result; longer is cut to it
+     * @param settleMicros after the start, asks that must not start twice wait so long for nodes to
+     *     say what runs and ran; 0 where a whole journal tells what former lives offered
+     * @param minRetryAfterMicros the least retry-after of a refusal; doubles with each refusal of
+     *     the same task
+     * @param maxRetryAfterMicros the most
      */
     public record Limits(
-            int inHand,
-            int kept,
-            long keepFor,
-            long mostPatience,
-            long settle,
-            long retryLeast,
-            long retryMost) {
+            int maxPending,
+            int maxRetained,
+            long retentionMicros,
+            long maxWaitMicros,
+            long settleMicros,
+            long minRetryAfterMicros,
+            long maxRetryAfterMicros) {
         public Limits {
-            if (inHand < 1
-                    || kept < 1
-                    || keepFor <= 0
-                    || mostPatience <= 0
-                    || settle < 0
-                    || retryLeast <= 0
-                    || retryMost < retryLeast) {
+            if (maxPending < 1
+                    || maxRetained < 1
+                    || retentionMicros <= 0
+                    || maxWaitMicros <= 0
+                    || settleMicros < 0
+                    || minRetryAfterMicros <= 0
+                    || maxRetryAfterMicros < minRetryAfterMicros) {
                 throw new IllegalArgumentException(
                         "intake limits must be above 0, retryMost not under retryLeast");
             }
@@ -61,49 +61,14 @@
 
         /** The same without waiting after the start. */
         public Limits withoutSettling() {
-            return new Limits(inHand, kept, keepFor, mostPatience, 0, retryLeast, retryMost);
-        }
-    }
-
-    public enum Result {
-        PLACED,
-        REFUSED,
-        FAILED
-    }
-
-    /**
-     * What an owner is told; one of {@code result} and {@code fate} is null. {@code retryAfter}
-     * microseconds.
-     */
-    public record News(
-            long number,
-            String owner,
-            String task,
-            Result result,
-            Fate fate,
-            String machine,
-            String reason,
-            long retryAfter,
-            boolean repeat) {}
-
-    /** A task as its owner asks for it; {@code patience} null where not said, microseconds else. */
-    public record Wish(
-            String id,
-            String taskClass,
-            String service,
-            String key,
-            double cores,
-            double memory,
-            Long patience,
-            long runsFor) {
-        /** The same task: patience and run time may differ from one ask to the next. */
-        boolean sameShape(Wish o) {
-            return id.equals(o.id)
-                    && taskClass.equals(o.taskClass)
-                    && service.equals(o.service)
-                    && key.equals(o.key)
-                    && cores == o.cores
-                    && memory == o.memory;
+            return new Limits(
+                    maxPending,
+                    maxRetained,
+                    retentionMicros,
+                    maxWaitMicros,
+                    0,
+                    minRetryAfterMicros,
+                    maxRetryAfterMicros);
         }
     }
 
@@ -111,67 +76,68 @@
 
     /**
      * A task is asked for and waits; {@code settling} for machines to say what runs, {@code
-     * doubted} what it did.
+     * uncertain} what it did.
      */
-    public record Waits(
+    public record RequestWaiting(
             String owner,
             String tenant,
-            Wish wish,
+            TaskSpec spec,
             boolean keyed,
             boolean settling,
-            boolean doubted)
+            boolean uncertain)
             implements Action {}
 
     /**
-     * Into the line, to be placed before {@code deadline}; {@code turnedBy} turned it down last,
-     * empty for none.
+     * Into the line, to be placed before {@code deadlineMicros}; {@code rejectedBy} turned it down
+     * last, empty for none.
      */
-    public record Hand(
-            Ask ask, String owner, Wish wish, double worth, long deadline, String turnedBy)
+    public record Dispatch(
+            PlacementRequest request,
+            String owner,
+            TaskSpec spec,
+            double priorityWeight,
+            long deadlineMicros,
+            String rejectedBy)
             implements Action {}
 
     /**
-     * The request has its result; before {@link Deliver}. {@code request} null where it never went
+     * The request has its result; before {@link Notify}. {@code requestId} null where it never went
      * into the line.
      */
-    public record Answered(
-            String request,
+    public record RequestCompleted(
+            String requestId,
             String owner,
             String tenant,
-            Wish wish,
-            Effect effect,
-            Result result,
+            TaskSpec spec,
+            Idempotency idempotency,
+            RequestResult result,
             String machine,
             String reason)
             implements Action {}
 
     /**
-     * The placed task is over; before {@link Deliver}. {@code request} null where this life did not
-     * look after it.
+     * The placed task is over; before {@link Notify}. {@code requestId} null where this life did
+     * not look after it.
      */
-    public record Finished(String request, String owner, String task, Effect effect, Fate fate)
+    public record TaskFinished(
+            String requestId,
+            String owner,
+            String task,
+            Idempotency idempotency,
+            TerminationCause terminationCause)
             implements Action {}
 
     /** Tell the owner; {@link #delivered} says when it was told. */
-    public record Deliver(News news) implements Action {}
+    public record Notify(ResultNotification notification) implements Action {}
 
     /** Nobody waits for the request: tell the module, and withdraw an attempt that is out. */
-    public record Abandon(String request, Fate fate) implements Action {}
+    public record Abandon(String requestId, TerminationCause terminationCause) implements Action {}
 
     /**
-     * What an offer to a machine needs to know of its request; {@code number} counts the offers,
+     * What an offer to a machine needs to know of its request; {@code attempt} counts the offers,
      * from 0.
      */
-    public record Offered(String owner, Wish wish, Effect effect, int number) {}
-
-    /** A wish that cannot be taken; nothing has changed. */
-    public static final class Unacceptable extends Exception {
-        private static final long serialVersionUID = 1;
-
-        Unacceptable(String message) {
-            super(message, null, false, false);
-        }
-    }
+    public record OfferDetails(String owner, TaskSpec spec, Idempotency idempotency, int attempt) {}
 
     private enum State {
         SETTLING,
@@ -186,7 +152,7 @@
         final String key;
         final String owner;
         final String tenant;
-        Wish wish; // of the latest ask
+        TaskSpec wish; // of the latest ask
         final TaskClass cls;
         State state;
         String request;
@@ -196,16 +162,16 @@
         String why = "";
         String turnedBy = "";
         String machine = "";
-        News result;
-        News event;
-        Fate fate;
+        ResultNotification result;
+        ResultNotification event;
+        TerminationCause fate;
         long forgetAt;
         boolean doubted; // it may have run in a former life, and proof may come
         boolean unconfirmed; // placed by a former life, and its machine has not said yet that it
 
         // has it
 
-        Entry(String key, String owner, String tenant, Wish wish, TaskClass cls) {
+        Entry(String key, String owner, String tenant, TaskSpec wish, TaskClass cls) {
             this.key = key;
             this.owner = owner;
             this.tenant = tenant;
@@ -221,8 +187,10 @@
         boolean askedAnew() {
             return state == State.REFUSED
                     || state == State.OVER
-                            && cls.effect() != Effect.UNSAFE
-                            && (fate == Fate.LOST || fate == Fate.EVICTED || fate == Fate.MOVED);
+                            && cls.idempotency() != Idempotency.NON_IDEMPOTENT
+                            && (fate == TerminationCause.LOST
+                                    || fate == TerminationCause.EVICTED
+                                    || fate == TerminationCause.MIGRATED);
         }
 
         boolean answered() {
@@ -263,23 +231,24 @@
             new PriorityQueue<>((a, b) -> Long.compare(a.at(), b.at()));
     private final LinkedHashMap<String, Entry> finished =
             new LinkedHashMap<>(); // in the order of forgetAt
-    private final Map<String, LinkedHashMap<Long, News>> pending = new HashMap<>(); // by owner
+    private final Map<String, LinkedHashMap<Long, ResultNotification>> pending =
+            new HashMap<>(); // by owner
     private final LinkedHashMap<Long, Long> forgotten = new LinkedHashMap<>(); // hash -> until
     private final List<Entry> settling = new ArrayList<>();
     private long settleUntil;
     private long lastTick;
-    private String unable = "";
-    private int inHand;
+    private String setUnavailable = "";
+    private int pendingCount;
     private long requests;
     private long newsNumber;
 
     /**
      * @param seed for the spread of retry-after
      */
-    public Intake(Limits limits, List<TaskClass> classes, long seed, long now) {
+    public RequestTracker(Limits limits, List<TaskClass> classes, long seed, long now) {
         this.limits = limits;
         this.random = new SplittableRandom(seed);
-        this.settleUntil = now + limits.settle();
+        this.settleUntil = now + limits.settleMicros();
         this.lastTick = now;
         classes.forEach(c -> this.classes.put(c.name(), c));
     }
@@ -290,27 +259,33 @@
 
     // ---- asks ----
     /** An owner asks for a task that no former life can have started; see the other. */
-    public void ask(long now, String owner, String tenant, Wish wish, Consumer<Action> actions)
-            throws Unacceptable {
-        ask(now, owner, tenant, wish, Doubt.NONE, actions);
+    public void submit(
+            long now, String owner, String tenant, TaskSpec wish, Consumer<Action> actions)
+            throws InvalidRequestException {
+        submit(now, owner, tenant, wish, Uncertainty.NONE, actions);
     }
 
     /**
      * An owner asks for a task. When it returns, the ask is taken: its result will come.
      *
      * @param doubt whether it may have run in a former life of this placer; one that is held waits
-     *     for {@link #proven}, {@link #ran}, {@link #adopt} or {@link #mayHaveRun}, and fails at
-     *     the end of its patience
+     *     for {@link #provenNotRun}, {@link #finishedEarlier}, {@link #adopt} or {@link
+     *     #mayHaveRun}, and fails at the end of its patience
      */
-    public void ask(
-            long now, String owner, String tenant, Wish wish, Doubt doubt, Consumer<Action> actions)
-            throws Unacceptable {
+    public void submit(
+            long now,
+            String owner,
+            String tenant,
+            TaskSpec wish,
+            Uncertainty doubt,
+            Consumer<Action> actions)
+            throws InvalidRequestException {
         TaskClass cls = checked(wish);
         stoodStill(now);
         String key = key(owner, wish.id());
         Entry e = entries.get(key);
         if (e != null && !e.wish.sameShape(wish)) {
-            throw new Unacceptable("task " + wish.id() + " is known with another shape");
+            throw new InvalidRequestException("task " + wish.id() + " is known with another shape");
         }
         if (e != null && !e.askedAnew()) {
             if (e.answered()) {
@@ -327,7 +302,7 @@
                 answer(
                         now,
                         e,
-                        Result.FAILED,
+                        RequestResult.FAILED,
                         "",
                         "it was known before and its result is no longer kept",
                         0,
@@ -346,32 +321,41 @@
         e.deadline =
                 now
                         + Math.min(
-                                limits.mostPatience(),
-                                wish.patience() == null ? cls.deadline() : wish.patience());
-        e.doubted = doubt == Doubt.HELD;
-        boolean settles = e.doubted || now < settleUntil && cls.effect() == Effect.UNSAFE;
+                                limits.maxWaitMicros(),
+                                wish.maxWaitMicros() == null
+                                        ? cls.deadlineMicros()
+                                        : wish.maxWaitMicros());
+        e.doubted = doubt == Uncertainty.PENDING_PROOF;
+        boolean settles =
+                e.doubted || now < settleUntil && cls.idempotency() == Idempotency.NON_IDEMPOTENT;
         actions.accept(
-                new Waits(owner, tenant, wish, cls.effect() == Effect.KEYED, settles, e.doubted));
-        if (inHand >= limits.inHand()) {
+                new RequestWaiting(
+                        owner,
+                        tenant,
+                        wish,
+                        cls.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY,
+                        settles,
+                        e.doubted));
+        if (pendingCount >= limits.maxPending()) {
             answer(
                     now,
                     e,
-                    Result.REFUSED,
+                    RequestResult.REJECTED,
                     "",
-                    "the placer has as many tasks in hand as it may: " + limits.inHand(),
+                    "the placer has as many tasks in hand as it may: " + limits.maxPending(),
                     retryAfter(e),
                     actions);
             return;
         }
-        if (doubt == Doubt.MAY_HAVE_RUN) {
-            answer(now, e, Result.FAILED, "", MAY_HAVE_RUN, 0, actions);
+        if (doubt == Uncertainty.MAY_HAVE_RUN) {
+            answer(now, e, RequestResult.FAILED, "", MAY_HAVE_RUN, 0, actions);
             return;
         }
-        if (!unable.isEmpty() && cls.effect() != Effect.SAFE) {
-            answer(now, e, Result.REFUSED, "", unable, retryAfter(e), actions);
+        if (!setUnavailable.isEmpty() && cls.idempotency() != Idempotency.IDEMPOTENT) {
+            answer(now, e, RequestResult.REJECTED, "", setUnavailable, retryAfter(e), actions);
             return;
         }
-        inHand++;
+        pendingCount++;
         e.why = "";
         if (settles) {
             // guards against a second start: after a restart of the placer it may run, and its node
@@ -396,33 +380,33 @@
     }
 
     /** Tells kept news again, in the place of what may still wait to be told. */
-    private News repeat(News kept, Consumer<Action> actions) {
+    private ResultNotification repeat(ResultNotification kept, Consumer<Action> actions) {
         if (kept == null) {
             return null;
         }
         forgetNews(kept);
-        News again =
-                new News(
+        ResultNotification again =
+                new ResultNotification(
                         ++newsNumber,
                         kept.owner(),
                         kept.task(),
                         kept.result(),
-                        kept.fate(),
+                        kept.terminationCause(),
                         kept.machine(),
                         kept.reason(),
-                        kept.retryAfter(),
+                        kept.retryAfterMicros(),
                         true);
         deliver(again, actions);
         return again;
     }
 
-    private TaskClass checked(Wish w) throws Unacceptable {
+    private TaskClass checked(TaskSpec w) throws InvalidRequestException {
         if (w.id().isEmpty() || w.id().length() > 128) {
-            throw new Unacceptable("id must have 1 to 128 characters");
+            throw new InvalidRequestException("id must have 1 to 128 characters");
         }
         TaskClass cls = classes.get(w.taskClass());
         if (cls == null) {
-            throw new Unacceptable(
+            throw new InvalidRequestException(
                     "taskClass "
                             + (w.taskClass().isEmpty()
                                     ? "is missing"
@@ -431,16 +415,19 @@
                             + String.join(", ", classes.keySet().stream().sorted().toList()));
         }
         if (!(w.cores() > 0) || !(w.memory() > 0) || w.cores() > 1e9 || w.memory() > 1e9) {
-            throw new Unacceptable("cores and memory must be numbers above 0");
+            throw new InvalidRequestException("cores and memory must be numbers above 0");
         }
-        if (w.service().isEmpty() || w.service().length() > 128 || w.key().length() > 128) {
-            throw new Unacceptable("service must have 1 to 128 characters, key at most 128");
+        if (w.service().isEmpty()
+                || w.service().length() > 128
+                || w.idempotencyKey().length() > 128) {
+            throw new InvalidRequestException(
+                    "service must have 1 to 128 characters, key at most 128");
         }
-        if (cls.effect() == Effect.KEYED && w.key().isEmpty()) {
-            throw new Unacceptable("a task of class " + cls.name() + " needs a key");
+        if (cls.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && w.idempotencyKey().isEmpty()) {
+            throw new InvalidRequestException("a task of class " + cls.name() + " needs a key");
         }
-        if (w.patience() != null && w.patience() < 0 || w.runsFor() < 0) {
-            throw new Unacceptable("patienceMs and runsForMs must not be below 0");
+        if (w.maxWaitMicros() != null && w.maxWaitMicros() < 0 || w.expectedRunMicros() < 0) {
+            throw new InvalidRequestException("patienceMs and runsForMs must not be below 0");
         }
         return cls;
     }
@@ -454,21 +441,21 @@
         deadlines.add(new Due(e.deadline + BACKSTOP, e, e.request));
         boolean again = e.asked++ > 0;
         actions.accept(
-                new Hand(
-                        new Ask(
+                new Dispatch(
+                        new PlacementRequest(
                                 e.request,
                                 e.cls.name(),
                                 e.tenant,
                                 e.key,
                                 Math.max(0, e.deadline - now),
-                                e.wish.runsFor(),
+                                e.wish.expectedRunMicros(),
                                 e.wish.service(),
                                 e.wish.cores(),
                                 e.wish.memory(),
                                 again),
                         e.owner,
                         e.wish,
-                        e.cls.worth(),
+                        e.cls.priorityWeight(),
                         e.deadline,
                         e.turnedBy));
     }
@@ -478,48 +465,48 @@
      * event.
      */
     public void stop(long now, String owner, String task, Consumer<Action> actions)
-            throws Unacceptable {
+            throws InvalidRequestException {
         Entry e = entries.get(key(owner, task));
         if (e == null
                 || e.state == State.OVER
                 || e.state == State.REFUSED
                 || e.state == State.FAILED) {
-            throw new Unacceptable("no task " + task + " of yours is in hand or placed");
+            throw new InvalidRequestException("no task " + task + " of yours is in hand or placed");
         }
         if (e.answered()) {
-            actions.accept(new Abandon(e.request, Fate.STOPPED));
+            actions.accept(new Abandon(e.request, TerminationCause.STOPPED));
             return;
         }
         abandon(e, actions);
-        answer(now, e, Result.FAILED, "", "stopped by its owner", 0, actions);
+        answer(now, e, RequestResult.FAILED, "", "stopped by its owner", 0, actions);
     }
 
     private void abandon(Entry e, Consumer<Action> actions) {
         settling.remove(e);
         if (e.request != null) {
-            actions.accept(new Abandon(e.request, Fate.STOPPED));
+            actions.accept(new Abandon(e.request, TerminationCause.STOPPED));
         }
     }
 
     /** The module offers the request to a machine; null where it is not in hand any more. */
-    public Offered offered(String request) {
+    public OfferDetails nextOffer(String request) {
         Entry e = byRequest.get(request);
         return e == null || e.answered()
                 ? null
-                : new Offered(e.owner, e.wish, e.cls.effect(), e.offers++);
+                : new OfferDetails(e.owner, e.wish, e.cls.idempotency(), e.offers++);
     }
 
     // ---- answers ----
     /** A machine turned an offer down; kept as the reason of a refusal that may follow. */
-    public void turnedDown(String request, String machine, Reason reason) {
+    public void offerRejected(String request, String machine, OutcomeReason reason) {
         Entry e = byRequest.get(request);
         if (e != null) {
             String said =
                     switch (reason) {
-                        case NO_CORES -> "not enough cores";
-                        case NO_MEMORY -> "not enough memory";
-                        case OFFERS_WAIT -> "too many offers wait there";
-                        case NOT_HERE -> "not here: draining, or a copy of the key stands";
+                        case INSUFFICIENT_CORES -> "not enough cores";
+                        case INSUFFICIENT_MEMORY -> "not enough memory";
+                        case QUEUE_FULL -> "too many offers wait there";
+                        case UNAVAILABLE -> "not here: draining, or a copy of the key stands";
                         default -> "no reason given";
                     };
             e.why = "node " + machine + " refused last: " + said;
@@ -531,7 +518,8 @@
      * The module's final no, harmless to try again. {@code hint} 0 for none, {@code why} empty
      * where not known.
      */
-    public void refused(long now, String request, long hint, String why, Consumer<Action> actions) {
+    public void rejected(
+            long now, String request, long hint, String why, Consumer<Action> actions) {
         Entry e = byRequest.get(request);
         if (e != null && !e.answered()) {
             String told =
@@ -541,29 +529,29 @@
             answer(
                     now,
                     e,
-                    Result.REFUSED,
+                    RequestResult.REJECTED,
                     "",
                     told,
-                    hint > 0 ? Math.min(hint, limits.retryMost()) : retryAfter(e),
+                    hint > 0 ? Math.min(hint, limits.maxRetryAfterMicros()) : retryAfter(e),
                     actions);
         }
     }
 
     /**
-     * The line's early no, harmless to try again after {@code retryAfter}, or the longer time that
-     * many asks earn.
+     * The line's early no, harmless to try again after {@code retryAfterMicros}, or the longer time
+     * that many asks earn.
      */
-    public void turnedAway(
+    public void shed(
             long now, String request, String why, long retryAfter, Consumer<Action> actions) {
         Entry e = byRequest.get(request);
         if (e != null && !e.answered()) {
             answer(
                     now,
                     e,
-                    Result.REFUSED,
+                    RequestResult.REJECTED,
                     "",
                     why,
-                    Math.min(limits.retryMost(), Math.max(retryAfter, retryAfter(e))),
+                    Math.min(limits.maxRetryAfterMicros(), Math.max(retryAfter, retryAfter(e))),
                     actions);
         }
     }
@@ -575,7 +563,7 @@
             answer(
                     now,
                     e,
-                    Result.FAILED,
+                    RequestResult.FAILED,
                     "",
                     e.why.isEmpty() ? why : why + "; " + e.why,
                     0,
@@ -586,26 +574,34 @@
     public void placed(long now, String request, String machine, Consumer<Action> actions) {
         Entry e = byRequest.get(request);
         if (e != null && !e.answered()) {
-            answer(now, e, Result.PLACED, machine, "", 0, actions);
+            answer(now, e, RequestResult.PLACED, machine, "", 0, actions);
         }
     }
 
     /** A placed task came to its end. */
-    public void over(
-            long now, String request, String machine, Fate fate, Consumer<Action> actions) {
+    public void finished(
+            long now,
+            String request,
+            String machine,
+            TerminationCause fate,
+            Consumer<Action> actions) {
         Entry e = byRequest.get(request);
         if (e == null || e.state != State.PLACED) {
             return;
         }
-        over(now, e, machine, fate, actions);
+        finished(now, e, machine, fate, actions);
     }
 
-    private void over(long now, Entry e, String machine, Fate fate, Consumer<Action> actions) {
+    private void finished(
+            long now, Entry e, String machine, TerminationCause fate, Consumer<Action> actions) {
         e.state = State.OVER;
         e.fate = fate;
         e.unconfirmed = false;
-        e.event = new News(++newsNumber, e.owner, e.wish.id(), null, fate, machine, "", 0, false);
-        actions.accept(new Finished(e.request, e.owner, e.wish.id(), e.cls.effect(), fate));
+        e.event =
+                new ResultNotification(
+                        ++newsNumber, e.owner, e.wish.id(), null, fate, machine, "", 0, false);
+        actions.accept(
+                new TaskFinished(e.request, e.owner, e.wish.id(), e.cls.idempotency(), fate));
         deliver(e.event, actions);
         finish(now, e);
     }
@@ -614,30 +610,30 @@
      * What may not start twice cannot be promised now, and is refused with this reason; empty for
      * it can.
      */
-    public void unable(String why) {
-        unable = why;
+    public void setUnavailable(String why) {
+        setUnavailable = why;
     }
 
     /** Whose request it is, and for what; null where it is not known. */
-    public Offered of(String request) {
+    public OfferDetails of(String request) {
         Entry e = byRequest.get(request);
-        return e == null ? null : new Offered(e.owner, e.wish, e.cls.effect(), e.offers);
+        return e == null ? null : new OfferDetails(e.owner, e.wish, e.cls.idempotency(), e.offers);
     }
 
     // ---- what former lives did ----
     /**
-     * A result of a former life, kept as if it were this one's; {@code fate} null where the task
-     * may still run.
+     * A result of a former life, kept as if it were this one's; {@code terminationCause} null where
+     * the task may still run.
      */
     public void restore(
             long now,
             String owner,
             String tenant,
-            Wish wish,
-            Result result,
+            TaskSpec wish,
+            RequestResult result,
             String machine,
             String reason,
-            Fate fate) {
+            TerminationCause fate) {
         TaskClass cls = classes.get(wish.taskClass());
         if (cls == null) {
             return; // a class that the site no longer has: nobody can ask for it
@@ -649,24 +645,31 @@
             byRequest.remove(refused.request);
         }
         e.machine = machine;
-        e.result = new News(++newsNumber, owner, wish.id(), result, null, machine, reason, 0, true);
+        e.result =
+                new ResultNotification(
+                        ++newsNumber, owner, wish.id(), result, null, machine, reason, 0, true);
         e.fate = fate;
-        e.unconfirmed = result == Result.PLACED && fate == null;
+        e.unconfirmed = result == RequestResult.PLACED && fate == null;
         if (fate != null) {
-            e.event = new News(++newsNumber, owner, wish.id(), null, fate, machine, "", 0, true);
+            e.event =
+                    new ResultNotification(
+                            ++newsNumber, owner, wish.id(), null, fate, machine, "", 0, true);
         }
-        e.state = result == Result.FAILED ? State.FAILED : fate == null ? State.PLACED : State.OVER;
+        e.state =
+                result == RequestResult.FAILED
+                        ? State.FAILED
+                        : fate == null ? State.PLACED : State.OVER;
         if (!e.unconfirmed) {
             finish(now, e);
         }
     }
 
     /** It is proven that no attempt of a former life ran: an ask that is held goes on. */
-    public void proven(long now, String owner, String task, Consumer<Action> actions) {
+    public void provenNotRun(long now, String owner, String task, Consumer<Action> actions) {
         Entry e = entries.get(key(owner, task));
         if (e != null && e.state == State.SETTLING && e.doubted) {
             e.doubted = false;
-            if (now >= settleUntil || e.cls.effect() != Effect.UNSAFE) {
+            if (now >= settleUntil || e.cls.idempotency() != Idempotency.NON_IDEMPOTENT) {
                 settling.remove(e);
                 hand(now, e, actions);
             }
@@ -680,13 +683,13 @@
      * @param told its owner may have been told before: without an ask that waits it is kept, and
      *     nothing is said
      */
-    public void ran(
+    public void finishedEarlier(
             long now,
             String owner,
             String tenant,
-            Wish wish,
+            TaskSpec wish,
             String machine,
-            Fate fate,
+            TerminationCause fate,
             boolean told,
             Consumer<Action> actions) {
         Entry e = entries.get(key(owner, wish.id()));
@@ -695,18 +698,41 @@
         }
         if (e != null && !e.answered()) {
             abandon(e, actions);
-            answer(now, e, Result.PLACED, machine, "it ran already", 0, actions);
+            answer(now, e, RequestResult.PLACED, machine, "it ran already", 0, actions);
         } else if (told && (e == null || !e.unconfirmed)) {
-            restore(now, owner, tenant, wish, Result.PLACED, machine, "it ran already", fate);
+            restore(
+                    now,
+                    owner,
+                    tenant,
+                    wish,
+                    RequestResult.PLACED,
+                    machine,
+                    "it ran already",
+                    fate);
             return;
         } else if (e == null || !e.unconfirmed) {
-            restore(now, owner, tenant, wish, Result.PLACED, machine, "it ran already", null);
+            restore(
+                    now,
+                    owner,
+                    tenant,
+                    wish,
+                    RequestResult.PLACED,
+                    machine,
+                    "it ran already",
+                    null);
             e = entries.get(key(owner, wish.id()));
             actions.accept(
-                    new Answered(
-                            null, owner, tenant, wish, e.cls.effect(), Result.PLACED, machine, ""));
+                    new RequestCompleted(
+                            null,
+                            owner,
+                            tenant,
+                            wish,
+                            e.cls.idempotency(),
+                            RequestResult.PLACED,
+                            machine,
+                            ""));
         }
-        over(now, e, machine, fate, actions);
+        finished(now, e, machine, fate, actions);
     }
 
     /**
@@ -717,7 +743,7 @@
             long now,
             String owner,
             String tenant,
-            Wish wish,
+            TaskSpec wish,
             String reason,
             Consumer<Action> actions) {
         Entry e = entries.get(key(owner, wish.id()));
@@ -727,13 +753,20 @@
         }
         if (e != null && !e.answered()) {
             abandon(e, actions);
-            answer(now, e, Result.FAILED, "", reason, 0, actions);
+            answer(now, e, RequestResult.FAILED, "", reason, 0, actions);
         } else {
             // nobody asks for it now; one who does is told
-            restore(now, owner, tenant, wish, Result.FAILED, "", reason, null);
+            restore(now, owner, tenant, wish, RequestResult.FAILED, "", reason, null);
             actions.accept(
-                    new Answered(
-                            null, owner, tenant, wish, cls.effect(), Result.FAILED, "", reason));
+                    new RequestCompleted(
+                            null,
+                            owner,
+                            tenant,
+                            wish,
+                            cls.idempotency(),
+                            RequestResult.FAILED,
+                            "",
+                            reason));
         }
     }
 
@@ -746,14 +779,14 @@
     }
 
     /** The same for a task in doubt whose ask is held; nothing where none is. */
-    public void unprovable(
+    public void becameIndeterminate(
             long now, String owner, String task, String machine, Consumer<Action> actions) {
         Entry e = entries.get(key(owner, task));
         if (e != null && e.state == State.SETTLING && e.doubted) {
             answer(
                     now,
                     e,
-                    Result.FAILED,
+                    RequestResult.FAILED,
                     "",
                     MAY_HAVE_RUN + ", and node " + machine + " does not remember",
                     0,
@@ -769,11 +802,11 @@
      * @return the request under which the module is to look after it, or null where it already runs
      *     elsewhere and the copy must be withdrawn
      */
-    public Ask adopt(
+    public PlacementRequest adopt(
             long now,
             String owner,
             String tenant,
-            Wish wish,
+            TaskSpec wish,
             String machine,
             Consumer<Action> actions) {
         String key = key(owner, wish.id());
@@ -801,39 +834,39 @@
         e.request = "q" + ++requests;
         byRequest.put(e.request, e);
         if (waits) {
-            answer(now, e, Result.PLACED, machine, "it ran already", 0, actions);
+            answer(now, e, RequestResult.PLACED, machine, "it ran already", 0, actions);
         } else {
             e.state = State.PLACED;
             e.machine = machine;
             e.result =
-                    new News(
+                    new ResultNotification(
                             ++newsNumber,
                             owner,
                             wish.id(),
-                            Result.PLACED,
+                            RequestResult.PLACED,
                             null,
                             machine,
                             "it ran already",
                             0,
                             false);
             actions.accept(
-                    new Answered(
+                    new RequestCompleted(
                             e.request,
                             owner,
                             tenant,
                             wish,
-                            e.cls.effect(),
-                            Result.PLACED,
+                            e.cls.idempotency(),
+                            RequestResult.PLACED,
                             machine,
                             ""));
         }
-        return new Ask(
+        return new PlacementRequest(
                 e.request,
                 e.cls.name(),
                 tenant,
                 key,
                 0,
-                wish.runsFor(),
+                wish.expectedRunMicros(),
                 wish.service(),
                 wish.cores(),
                 wish.memory(),
@@ -843,23 +876,23 @@
     private void answer(
             long now,
             Entry e,
-            Result result,
+            RequestResult result,
             String machine,
             String reason,
             long retryAfter,
             Consumer<Action> actions) {
         if (e.state == State.SETTLING || e.state == State.IN_HAND) {
-            inHand--;
+            pendingCount--;
         }
         settling.remove(e);
         e.state =
-                result == Result.PLACED
+                result == RequestResult.PLACED
                         ? State.PLACED
-                        : result == Result.REFUSED ? State.REFUSED : State.FAILED;
+                        : result == RequestResult.REJECTED ? State.REFUSED : State.FAILED;
         e.machine = machine;
         e.fate = null;
         e.result =
-                new News(
+                new ResultNotification(
                         ++newsNumber,
                         e.owner,
                         e.wish.id(),
@@ -869,16 +902,16 @@
                         reason,
                         retryAfter,
                         false);
-        if (result != Result.PLACED) {
+        if (result != RequestResult.PLACED) {
             finish(now, e);
         }
         actions.accept(
-                new Answered(
+                new RequestCompleted(
                         e.request,
                         e.owner,
                         e.tenant,
                         e.wish,
-                        e.cls.effect(),
+                        e.cls.idempotency(),
                         result,
                         machine,
                         reason));
@@ -889,38 +922,38 @@
     private long retryAfter(Entry e) {
         long base =
                 Math.min(
-                        limits.retryMost(),
-                        limits.retryLeast() << Math.min(20, Math.max(0, e.asked - 1)));
+                        limits.maxRetryAfterMicros(),
+                        limits.minRetryAfterMicros() << Math.min(20, Math.max(0, e.asked - 1)));
         return base / 2 + (long) (random.nextDouble() * base / 2);
     }
 
     // ---- telling owners ----
-    private void deliver(News news, Consumer<Action> actions) {
-        LinkedHashMap<Long, News> waiting =
+    private void deliver(ResultNotification news, Consumer<Action> actions) {
+        LinkedHashMap<Long, ResultNotification> waiting =
                 pending.computeIfAbsent(news.owner(), o -> new LinkedHashMap<>());
-        waiting.put(news.number(), news);
+        waiting.put(news.sequence(), news);
         if (waiting.size() > MOST_PENDING) {
             waiting.remove(waiting.keySet().iterator().next());
         }
-        actions.accept(new Deliver(news));
+        actions.accept(new Notify(news));
     }
 
-    private void forgetNews(News news) {
+    private void forgetNews(ResultNotification news) {
         if (news != null) {
-            delivered(news.owner(), news.number());
+            delivered(news.owner(), news.sequence());
         }
     }
 
     /** The owner has been told. */
     public void delivered(String owner, long number) {
-        LinkedHashMap<Long, News> waiting = pending.get(owner);
+        LinkedHashMap<Long, ResultNotification> waiting = pending.get(owner);
         if (waiting != null && waiting.remove(number) != null && waiting.isEmpty()) {
             pending.remove(owner);
         }
     }
 
     /** What an owner has not been told yet, oldest first: for one who subscribes. */
-    public List<News> undelivered(String owner) {
+    public List<ResultNotification> undelivered(String owner) {
         return new ArrayList<>(pending.getOrDefault(owner, new LinkedHashMap<>()).values());
     }
 
@@ -939,7 +972,7 @@
                     answer(
                             now,
                             e,
-                            Result.FAILED,
+                            RequestResult.FAILED,
                             "",
                             e.doubted
                                     ? MAY_HAVE_RUN + ", and its node has not come back"
@@ -955,13 +988,13 @@
             if (due.entry().state == State.IN_HAND && due.request().equals(due.entry().request)) {
                 // guards against a module that fails to answer: every ask has a result in time
                 abandon(due.entry(), actions);
-                answer(now, due.entry(), Result.FAILED, "", "no answer in time", 0, actions);
+                answer(now, due.entry(), RequestResult.FAILED, "", "no answer in time", 0, actions);
             }
         }
         while (!finished.isEmpty()) {
             Entry oldest = finished.values().iterator().next();
             boolean late = now >= oldest.forgetAt;
-            if (!late && entries.size() <= limits.kept()) {
+            if (!late && entries.size() <= limits.maxRetained()) {
                 break;
             }
             finished.remove(oldest.key);
@@ -973,7 +1006,7 @@
     }
 
     private void finish(long now, Entry e) {
-        e.forgetAt = now + limits.keepFor();
+        e.forgetAt = now + limits.retentionMicros();
         finished.remove(e.key);
         finished.put(e.key, e);
     }
@@ -999,8 +1032,8 @@
         return h;
     }
 
-    public int inHand() {
-        return inHand;
+    public int pendingCount() {
+        return pendingCount;
     }
 
     public int known() {
--- a/placer/src/main/java/thornferry/placer/Core.java
+++ b/placer/src/main/java/thornferry/placer/Core.java
@@ -13,16 +13,26 @@
 import java.util.function.Function;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import thornferry.decisions.Attempts;
-import thornferry.decisions.Fleet;
-import thornferry.decisions.Intake;
-import thornferry.decisions.Line;
-import thornferry.decisions.LineSettings;
-import thornferry.decisions.Membership;
-import thornferry.decisions.Placement;
-import thornferry.decisions.Reasons;
-import thornferry.decisions.recovery.Promise;
+import thornferry.decisions.admission.AdmissionQueue;
+import thornferry.decisions.admission.AdmissionSettings;
+import thornferry.decisions.admission.QueuedRequest;
+import thornferry.decisions.attempts.AttemptStatus;
+import thornferry.decisions.attempts.AttemptTracker;
+import thornferry.decisions.attempts.TerminationCause;
+import thornferry.decisions.diagnosis.PendingReasons;
+import thornferry.decisions.membership.ClusterView;
+import thornferry.decisions.membership.Membership;
+import thornferry.decisions.membership.RejectionReason;
+import thornferry.decisions.placement.Placement;
+import thornferry.decisions.recovery.JournalRecord;
+import thornferry.decisions.recovery.MachineInventory;
 import thornferry.decisions.recovery.Recovery;
+import thornferry.decisions.recovery.RetainedAttempt;
+import thornferry.decisions.requests.InvalidRequestException;
+import thornferry.decisions.requests.RequestResult;
+import thornferry.decisions.requests.RequestTracker;
+import thornferry.decisions.requests.ResultNotification;
+import thornferry.decisions.requests.TaskSpec;
 import thornferry.state.Journal;
 
 /**
@@ -37,7 +47,7 @@
          * Sends an offer; false where nothing was written. A write that fails later is told by
          * {@link #notWritten}.
          */
-        boolean offer(String machine, String attempt, Intake.Offered of);
+        boolean offer(String machine, String attempt, RequestTracker.OfferDetails of);
 
         void withdraw(String machine, String attempt);
 
@@ -49,19 +59,24 @@
         /** A machine is admitted: it is to remember so long what it ran for this placer. */
         void welcome(String machine, long remember);
 
-        void deliver(Intake.News news);
+        void deliver(ResultNotification news);
 
         void closeLink(long link, String why);
 
         /** A task's reason or state is another now. */
-        void changed(Reasons.Changed changed);
+        void changed(PendingReasons.ReasonChanged changed);
     }
 
     /** An attempt that a machine says it holds. */
-    record Held(String attempt, String owner, Intake.Wish wish, boolean runs) {}
+    record Held(String attempt, String owner, TaskSpec wish, boolean runs) {}
 
     /** What a machine says of an attempt; {@code report} may be null. */
-    record Said(String attempt, Attempts.Word word, Fleet.Said why, boolean ran, double[] report) {}
+    record Said(
+            String attempt,
+            AttemptStatus word,
+            RejectionReason why,
+            boolean ran,
+            double[] report) {}
 
     private record Probing(long number, long sentAt) {}
 
@@ -76,28 +91,28 @@
     private final Out out;
     private final ModuleHost module;
     private final Membership membership;
-    private final Attempts attempts;
-    private final Intake intake;
+    private final AttemptTracker attempts;
+    private final RequestTracker intake;
     private final Recovery recovery;
     private final Journal journal;
     private final Set<String> unwritten =
             new HashSet<>(); // attempts whose promise is not durable yet: nothing was sent
-    private final Map<String, List<Intake.News>> untold =
+    private final Map<String, List<ResultNotification>> untold =
             new HashMap<>(); // by owner and task, until it is durable
-    private final Fleet fleet;
-    private final Line line;
-    private final Reasons reasons;
+    private final ClusterView fleet;
+    private final AdmissionQueue line;
+    private final PendingReasons reasons;
     private final Function<String, String> tenants;
-    private final Map<String, Placement.Effect> effects = new HashMap<>();
+    private final Map<String, Placement.Idempotency> effects = new HashMap<>();
     private final Map<String, Double> worths = new HashMap<>();
-    private final Map<String, Placement.Ask> asks =
+    private final Map<String, Placement.PlacementRequest> asks =
             new HashMap<>(); // by request, until it is placed or answered
     private final Map<String, Probing> probing = new LinkedHashMap<>();
     private final Map<String, Held> adoptable = new HashMap<>(); // during one registration
     private List<Said> recent = List.of(); // likewise
-    private List<Recovery.Recalled> recalled = List.of(); // likewise
-    private Map<Placement.Effect, Long> remembersSince = Map.of(); // likewise
-    private Fleet.Said saying = Fleet.Said.NONE; // during one answer
+    private List<RetainedAttempt> recalled = List.of(); // likewise
+    private Map<Placement.Idempotency, Long> remembersSince = Map.of(); // likewise
+    private RejectionReason saying = RejectionReason.NONE; // during one answer
     private long probeNumber;
     private long resultCount;
     private long offerCount;
@@ -110,7 +125,7 @@
      * @param promises what stood in it
      * @param whole whether all that former lives offered stands in it
      */
-    record Kept(Journal journal, List<Promise> promises, boolean whole) {
+    record Kept(Journal journal, List<JournalRecord> promises, boolean whole) {
         static final Kept NOTHING = new Kept(Journal.NONE, List.of(), false);
     }
 
@@ -134,8 +149,8 @@
         this.tenants = tenants;
         Placement.Settings settings = site.moduleOf(number);
         long now = clock.now();
-        settings.classes().forEach(c -> effects.put(c.name(), c.effect()));
-        settings.classes().forEach(c -> worths.put(c.name(), c.worth()));
+        settings.classes().forEach(c -> effects.put(c.name(), c.idempotency()));
+        settings.classes().forEach(c -> worths.put(c.name(), c.priorityWeight()));
         module =
                 new ModuleHost(
                         maker.apply(settings),
@@ -145,10 +160,10 @@
                         this::moduleFailed,
                         LOG,
                         name);
-        membership = new Membership(site.membership(), settings.kinds());
-        attempts = new Attempts(name + "." + Long.toString(now, 36));
+        membership = new Membership(site.membership(), settings.machineKinds());
+        attempts = new AttemptTracker(name + "." + Long.toString(now, 36));
         intake =
-                new Intake(
+                new RequestTracker(
                         kept.whole() ? site.intake().withoutSettling() : site.intake(),
                         settings.classes(),
                         settings.seed(),
@@ -156,38 +171,45 @@
         recovery =
                 new Recovery(
                         new Recovery.Limits(
-                                site.intake().keepFor(),
-                                site.intake().mostPatience(),
-                                site.membership().goneAfter(),
-                                site.intake().kept(),
+                                site.intake().retentionMicros(),
+                                site.intake().maxWaitMicros(),
+                                site.membership().goneAfterMicros(),
+                                site.intake().maxRetained(),
                                 kept.whole()));
         journal = kept.journal();
-        fleet = new Fleet(settings.kinds());
-        line = new Line(site.line(), fleet, settings.seed());
+        fleet = new ClusterView(settings.machineKinds());
+        line = new AdmissionQueue(site.line(), fleet, settings.seed());
         Map<String, String> needs = new HashMap<>();
         settings.classes().stream()
-                .filter(c -> c.needsKind() >= 0)
-                .forEach(c -> needs.put(c.name(), settings.kinds().get(c.needsKind()).name()));
+                .filter(c -> c.requiredKind() >= 0)
+                .forEach(
+                        c ->
+                                needs.put(
+                                        c.name(),
+                                        settings.machineKinds().get(c.requiredKind()).name()));
         reasons =
-                new Reasons(
-                        new Reasons.Limits(
-                                site.line().on(),
-                                site.intake().kept(),
+                new PendingReasons(
+                        new PendingReasons.Limits(
+                                site.line().enabled(),
+                                site.intake().maxRetained(),
                                 HISTORY,
-                                site.intake().keepFor()),
+                                site.intake().retentionMicros()),
                         fleet,
                         line,
                         needs,
-                        membership::link);
-        kept.promises().forEach(recovery::note);
+                        membership::connectionOf);
+        kept.promises().forEach(recovery::apply);
         recovery.begin(now, this::carryOut);
-        intake.unable(journal.trouble());
+        intake.setUnavailable(journal.trouble());
         loop.execute(
-                () -> module.on(new Placement.MachineList(0, Placement.ListKind.FULL, List.of())));
+                () ->
+                        module.on(
+                                new Placement.MachineListUpdated(
+                                        0, Placement.ListUpdateKind.FULL, List.of())));
     }
 
     /** What still counts of what was promised: the beginning of a journal. */
-    List<Promise> promised() {
+    List<JournalRecord> promised() {
         return recovery.snapshot();
     }
 
@@ -196,11 +218,11 @@
         return membership;
     }
 
-    Reasons reasons() {
+    PendingReasons reasons() {
         return reasons;
     }
 
-    Line line() {
+    AdmissionQueue line() {
         return line;
     }
 
@@ -214,7 +236,7 @@
                 resultCount,
                 offerCount,
                 module.failures(),
-                intake.inHand(),
+                intake.pendingCount(),
                 attempts.size());
     }
 
@@ -229,14 +251,14 @@
             membership.tick(now, this::carryOut);
             recovery.tick(now, this::carryOut);
             journal.compact(recovery::snapshot);
-            intake.unable(journal.trouble());
+            intake.setUnavailable(journal.trouble());
             probing.entrySet()
                     .removeIf(
                             e -> {
                                 boolean late = e.getValue().sentAt() < now - PROBE_GIVEN_UP;
                                 if (late) {
                                     module.on(
-                                            new Placement.Probed(
+                                            new Placement.HealthCheckCompleted(
                                                     e.getKey(),
                                                     false,
                                                     now - e.getValue().sentAt(),
@@ -247,26 +269,26 @@
         }
     }
 
-    void reload(LineSettings settings) {
+    void reload(AdmissionSettings settings) {
         line.reload(clock.now(), settings, this::carryOut);
     }
 
     // ---- owners and operators ----
-    void ask(String owner, Intake.Wish wish) throws Intake.Unacceptable {
-        intake.ask(
+    void ask(String owner, TaskSpec wish) throws InvalidRequestException {
+        intake.submit(
                 clock.now(),
                 owner,
                 tenants.apply(owner),
                 wish,
-                recovery.doubt(owner, wish.id()),
+                recovery.uncertaintyOf(owner, wish.id()),
                 this::carryOut);
     }
 
-    void stop(String owner, String task) throws Intake.Unacceptable {
+    void stop(String owner, String task) throws InvalidRequestException {
         intake.stop(clock.now(), owner, task, this::carryOut);
     }
 
-    List<Intake.News> undelivered(String owner) {
+    List<ResultNotification> undelivered(String owner) {
         // what waits for its promise is told when that is durable
         return intake.undelivered(owner).stream()
                 .filter(n -> !untold.containsKey(owner + "/" + n.task()))
@@ -288,15 +310,15 @@
      *
      * @param lately its last final answers
      * @param remembers what of those it says of attempts that must not run twice
-     * @param since see {@link Recovery.Testimony}
+     * @param since see {@link MachineInventory}
      */
     void registered(
             long link,
             Membership.Registration registration,
             List<Held> held,
             List<Said> lately,
-            List<Recovery.Recalled> remembers,
-            Map<Placement.Effect, Long> since) {
+            List<RetainedAttempt> remembers,
+            Map<Placement.Idempotency, Long> since) {
         adoptable.clear();
         held.forEach(h -> adoptable.put(h.attempt(), h));
         recent = lately;
@@ -312,18 +334,18 @@
         String machine = membership.machineOf(link);
         if (machine != null) {
             long now = clock.now();
-            membership.linkClosed(now, link, this::carryOut);
-            attempts.linkBroken(now, machine, this::carryOut);
+            membership.connectionClosed(now, link, this::carryOut);
+            attempts.connectionLost(now, machine, this::carryOut);
             probeOver(machine);
         }
     }
 
     void said(String machine, Said s) {
         if (s.report() != null) {
-            fleet.reported(machine, s.report()[0], s.report()[1]);
+            fleet.loadReported(machine, s.report()[0], s.report()[1]);
         }
         saying = s.why();
-        attempts.said(
+        attempts.reported(
                 clock.now(),
                 machine,
                 s.attempt(),
@@ -332,21 +354,21 @@
                 s.ran(),
                 s.report(),
                 this::carryOut);
-        saying = Fleet.Said.NONE;
+        saying = RejectionReason.NONE;
     }
 
-    private static Placement.Reason reason(Fleet.Said why) {
+    private static Placement.OutcomeReason reason(RejectionReason why) {
         return switch (why) {
-            case NO_CORES -> Placement.Reason.NO_CORES;
-            case NO_MEMORY -> Placement.Reason.NO_MEMORY;
-            case OFFERS_WAIT -> Placement.Reason.OFFERS_WAIT;
-            case KEY_HELD, DRAINING, NOT_HERE -> Placement.Reason.NOT_HERE;
-            case NONE -> Placement.Reason.NONE;
+            case INSUFFICIENT_CORES -> Placement.OutcomeReason.INSUFFICIENT_CORES;
+            case INSUFFICIENT_MEMORY -> Placement.OutcomeReason.INSUFFICIENT_MEMORY;
+            case QUEUE_FULL -> Placement.OutcomeReason.QUEUE_FULL;
+            case KEY_HELD, DRAINING, UNAVAILABLE -> Placement.OutcomeReason.UNAVAILABLE;
+            case NONE -> Placement.OutcomeReason.NONE;
         };
     }
 
     void uses(String machine, String attempt, double cores, double memory) {
-        attempts.uses(machine, attempt, cores, memory, this::carryOut);
+        attempts.usageReported(machine, attempt, cores, memory, this::carryOut);
     }
 
     void notWritten(String attempt) {
@@ -357,15 +379,19 @@
         Probing asked = probing.get(machine);
         if (asked != null && asked.number() == number) {
             probing.remove(machine);
-            fleet.reported(machine, report[0], report[1]);
-            module.on(new Placement.Probed(machine, true, clock.now() - asked.sentAt(), report));
+            fleet.loadReported(machine, report[0], report[1]);
+            module.on(
+                    new Placement.HealthCheckCompleted(
+                            machine, true, clock.now() - asked.sentAt(), report));
         }
     }
 
     private void probeOver(String machine) {
         Probing asked = probing.remove(machine);
         if (asked != null) {
-            module.on(new Placement.Probed(machine, false, clock.now() - asked.sentAt(), null));
+            module.on(
+                    new Placement.HealthCheckCompleted(
+                            machine, false, clock.now() - asked.sentAt(), null));
         }
     }
 
@@ -373,43 +399,47 @@
     private void act(Placement.Action action) {
         if (action instanceof Placement.Offer offer) {
             offer(offer);
-        } else if (action instanceof Placement.Held held) {
-            reasons.held(held);
-        } else if (action instanceof Placement.Refuse refuse) {
+        } else if (action instanceof Placement.Pending held) {
+            reasons.pending(held);
+        } else if (action instanceof Placement.Reject refuse) {
             refuse(refuse);
         } else if (action instanceof Placement.Fail fail) {
             intake.failed(
-                    clock.now(), fail.id(), "an earlier attempt may have run", this::carryOut);
-        } else if (action instanceof Placement.Probe probe) {
+                    clock.now(),
+                    fail.requestId(),
+                    "an earlier attempt may have run",
+                    this::carryOut);
+        } else if (action instanceof Placement.CheckHealth probe) {
             probe(probe.machine());
-        } else if (action instanceof Placement.Move move) {
-            attempts.unwanted(move.id(), Attempts.Fate.MOVED, this::carryOut);
+        } else if (action instanceof Placement.Migrate move) {
+            attempts.cancel(move.requestId(), TerminationCause.MIGRATED, this::carryOut);
         } else if (action instanceof Placement.Cancel cancel) {
-            attempts.unwanted(cancel.id(), Attempts.Fate.STOPPED, this::carryOut);
+            attempts.cancel(cancel.requestId(), TerminationCause.STOPPED, this::carryOut);
         } else if (action instanceof Placement.Log text) {
-            LOG.atInfo().addKeyValue("instance", name).log(text.text());
+            LOG.atInfo().addKeyValue("instance", name).log(text.message());
         }
         // Subscribe and FetchList: membership tells every change without being asked
     }
 
-    private void refuse(Placement.Refuse refuse) {
+    private void refuse(Placement.Reject refuse) {
         long now = clock.now();
-        Reasons.Reason reason = reasons.of(now, refuse.id());
+        PendingReasons.Reason reason = reasons.reasonOf(now, refuse.requestId());
         boolean holds =
                 reason != null
-                        && reason.kind() != Reasons.Kind.TURN
-                        && reason.kind() != Reasons.Kind.ANSWER;
+                        && reason.kind() != PendingReasons.Kind.QUEUED
+                        && reason.kind() != PendingReasons.Kind.AWAITING_RESPONSE;
         String why = holds ? reason.sentence() : "";
-        long after = Math.max(refuse.retryAfter(), line.overload() ? line.retryAfter(now) : 0);
-        intake.refused(now, refuse.id(), after, why, this::carryOut);
+        long after =
+                Math.max(refuse.retryAfterMicros(), line.overloaded() ? line.retryAfter(now) : 0);
+        intake.rejected(now, refuse.requestId(), after, why, this::carryOut);
     }
 
     private void offer(Placement.Offer offer) {
-        Intake.Offered of = intake.offered(offer.id());
+        RequestTracker.OfferDetails of = intake.nextOffer(offer.requestId());
         if (of == null) {
             LOG.atError()
                     .addKeyValue("instance", name)
-                    .addKeyValue("task", offer.id())
+                    .addKeyValue("task", offer.requestId())
                     .log("the module offered a task that is not in hand; nothing was sent");
             return;
         }
@@ -417,48 +447,49 @@
         long now = clock.now();
         String machine = offer.machine();
         String attempt =
-                attempts.offered(
+                attempts.begin(
                         now,
-                        offer.id(),
-                        of.number(),
+                        offer.requestId(),
+                        of.attempt(),
                         machine,
                         membership.incarnation(machine),
-                        of.effect(),
-                        offer.timeout());
-        line.offered(now, offer.id(), machine, of.number() > 0);
-        reasons.offered(offer.id(), machine);
+                        of.idempotency(),
+                        offer.timeoutMicros());
+        line.attemptStarted(now, offer.requestId(), machine, of.attempt() > 0);
+        reasons.attemptStarted(offer.requestId(), machine);
         LOG.atDebug()
                 .addKeyValue("instance", name)
-                .addKeyValue("task", of.wish().id())
+                .addKeyValue("task", of.spec().id())
                 .addKeyValue("node", machine)
                 .addKeyValue("attempt", attempt)
-                .log("offered, attempt {} of this ask", of.number());
-        if (of.effect() == Placement.Effect.SAFE) {
+                .log("offered, attempt {} of this ask", of.attempt());
+        if (of.idempotency() == Placement.Idempotency.IDEMPOTENT) {
             send(machine, attempt, of);
             return;
         }
         unwritten.add(attempt);
         promise(
-                new Promise.Offered(
+                new JournalRecord.Offered(
                         now,
                         attempt,
                         of.owner(),
                         tenants.apply(of.owner()),
-                        of.wish(),
-                        of.effect(),
+                        of.spec(),
+                        of.idempotency(),
                         machine,
                         membership.incarnation(machine)),
                 wrong -> durable(machine, attempt, of, wrong));
     }
 
-    private void send(String machine, String attempt, Intake.Offered of) {
+    private void send(String machine, String attempt, RequestTracker.OfferDetails of) {
         if (!out.offer(machine, attempt, of)) {
             attempts.notWritten(clock.now(), attempt, this::carryOut);
         }
     }
 
     /** An offer's promise is as durable as configured: only now may its first octet leave. */
-    private void durable(String machine, String attempt, Intake.Offered of, String wrong) {
+    private void durable(
+            String machine, String attempt, RequestTracker.OfferDetails of, String wrong) {
         if (!unwritten.remove(attempt)) {
             return; // given up meanwhile
         }
@@ -467,15 +498,15 @@
         if (wrong == null && attempts.isOpen(attempt) && membership.ready(machine)) {
             send(machine, attempt, of);
         } else {
-            intake.unable(journal.trouble());
+            intake.setUnavailable(journal.trouble());
             attempts.notWritten(clock.now(), attempt, this::carryOut);
         }
     }
 
     /** Writes a promise; {@code then} runs on the loop, with null or what is wrong. */
-    private void promise(Promise promise, Consumer<String> then) {
+    private void promise(JournalRecord promise, Consumer<String> then) {
         if (journal != Journal.NONE) {
-            recovery.note(promise); // else nobody would ever read it
+            recovery.apply(promise); // else nobody would ever read it
         }
         journal.append(
                 promise,
@@ -489,13 +520,13 @@
     }
 
     /** The same, and what is told of the task from now on waits for it. */
-    private void promiseBeforeTelling(String owner, String task, Promise promise) {
+    private void promiseBeforeTelling(String owner, String task, JournalRecord promise) {
         String key = owner + "/" + task;
         untold.putIfAbsent(key, new ArrayList<>());
         promise(
                 promise,
                 wrong -> {
-                    List<Intake.News> waited = untold.remove(key);
+                    List<ResultNotification> waited = untold.remove(key);
                     if (waited != null) {
                         waited.forEach(
                                 out::deliver); // also where it could not be written: a result
@@ -516,51 +547,56 @@
     private void moduleFailed(String request) {
         long now = clock.now();
         intake.failed(now, request, "internal error", this::carryOut);
-        attempts.unwanted(request, Attempts.Fate.STOPPED, this::carryOut);
-        module.on(new Placement.OwnerLeft(request));
+        attempts.cancel(request, TerminationCause.STOPPED, this::carryOut);
+        module.on(new Placement.ClientDisconnected(request));
     }
 
     // ---- actions of the other decision modules ----
-    private void carryOut(Line.Action action) {
-        if (action instanceof Line.Release release) {
-            Placement.Ask a = asks.get(release.request());
-            reasons.moved(release.request());
+    private void carryOut(AdmissionQueue.Action action) {
+        if (action instanceof AdmissionQueue.Dispatch release) {
+            Placement.PlacementRequest a = asks.get(release.requestId());
+            reasons.stageChanged(release.requestId());
             if (a != null) {
                 module.on(
-                        new Placement.Asked(
-                                new Placement.Ask(
+                        new Placement.PlacementRequested(
+                                new Placement.PlacementRequest(
                                         a.id(),
                                         a.taskClass(),
                                         a.tenant(),
                                         a.task(),
-                                        release.patience(),
-                                        a.runsFor(),
+                                        release.maxWaitMicros(),
+                                        a.expectedRunMicros(),
                                         a.service(),
                                         a.cores(),
                                         a.memory(),
-                                        a.again())));
+                                        a.retry())));
             }
-        } else if (action instanceof Line.TakeBack back) {
-            reasons.moved(back.request());
-            module.on(new Placement.OwnerLeft(back.request()));
-        } else if (action instanceof Line.Turn turn) {
-            intake.turnedAway(
-                    clock.now(), turn.request(), turn.why(), turn.retryAfter(), this::carryOut);
+        } else if (action instanceof AdmissionQueue.Recall back) {
+            reasons.stageChanged(back.requestId());
+            module.on(new Placement.ClientDisconnected(back.requestId()));
+        } else if (action instanceof AdmissionQueue.Shed turn) {
+            intake.shed(
+                    clock.now(),
+                    turn.requestId(),
+                    turn.reason(),
+                    turn.retryAfterMicros(),
+                    this::carryOut);
         }
     }
 
-    private void carryOut(Attempts.Action action) {
+    private void carryOut(AttemptTracker.Action action) {
         long now = clock.now();
-        if (action instanceof Attempts.Tell tell) {
+        if (action instanceof AttemptTracker.NotifyPolicy tell) {
             tell(now, tell.event());
-        } else if (action instanceof Attempts.NeverRan never) {
-            Intake.Offered of = intake.of(never.request());
+        } else if (action instanceof AttemptTracker.NeverRan never) {
+            RequestTracker.OfferDetails of = intake.of(never.requestId());
             if (of != null) {
                 promise(
-                        new Promise.NeverRan(now, of.owner(), of.wish().id(), never.attempt()),
+                        new JournalRecord.NeverRan(
+                                now, of.owner(), of.spec().id(), never.attempt()),
                         wrong -> {});
             }
-        } else if (action instanceof Attempts.Withdraw w) {
+        } else if (action instanceof AttemptTracker.CancelAttempt w) {
             if (unwritten.remove(w.attempt())) {
                 // guards against an offer that leaves after its own withdrawal, and runs with
                 // nobody to look after it
@@ -568,46 +604,47 @@
             } else {
                 out.withdraw(w.machine(), w.attempt());
             }
-        } else if (action instanceof Attempts.IsPlaced placed) {
-            intake.placed(now, placed.request(), placed.machine(), this::carryOut);
-        } else if (action instanceof Attempts.Over over) {
-            intake.over(now, over.request(), over.machine(), over.fate(), this::carryOut);
-        } else if (action instanceof Attempts.Turned turned) {
-            intake.turnedDown(turned.request(), turned.machine(), turned.reason());
-            fleet.refused(turned.machine(), saying);
-            reasons.turnedDown(turned.request(), turned.machine(), saying);
-        } else if (action instanceof Attempts.Adopt adopt) {
+        } else if (action instanceof AttemptTracker.RequestPlaced placed) {
+            intake.placed(now, placed.requestId(), placed.machine(), this::carryOut);
+        } else if (action instanceof AttemptTracker.TaskTerminated over) {
+            intake.finished(
+                    now, over.requestId(), over.machine(), over.terminationCause(), this::carryOut);
+        } else if (action instanceof AttemptTracker.OfferRejected turned) {
+            intake.offerRejected(turned.requestId(), turned.machine(), turned.reason());
+            fleet.rejected(turned.machine(), saying);
+            reasons.offerRejected(turned.requestId(), turned.machine(), saying);
+        } else if (action instanceof AttemptTracker.AdoptTask adopt) {
             adopt(adopt);
-        } else if (action instanceof Attempts.Guilty guilty) {
-            out.closeLink(membership.link(guilty.machine()), guilty.why());
+        } else if (action instanceof AttemptTracker.ProtocolViolation guilty) {
+            out.closeLink(membership.connectionOf(guilty.machine()), guilty.description());
         }
     }
 
     /** To the module, after those that must know before it offers the task elsewhere. */
     private void tell(long now, Placement.Event event) {
-        if (event instanceof Placement.Ended e) {
-            if (e.outcome() == Placement.Outcome.TIMED_OUT
-                    || e.outcome() == Placement.Outcome.UNREACHABLE
-                    || e.outcome() == Placement.Outcome.LOST
-                            && e.reason() == Placement.Reason.NONE) {
-                fleet.silent(e.machine());
+        if (event instanceof Placement.AttemptEnded e) {
+            if (e.outcome() == Placement.AttemptOutcome.TIMED_OUT
+                    || e.outcome() == Placement.AttemptOutcome.UNREACHABLE
+                    || e.outcome() == Placement.AttemptOutcome.LOST
+                            && e.reason() == Placement.OutcomeReason.NONE) {
+                fleet.unresponsive(e.machine());
             }
-            line.attemptOver(now, e.id());
-            reasons.attemptOver(e.id(), e.machine(), e.outcome());
-        } else if (event instanceof Placement.Placed e) {
+            line.attemptEnded(now, e.requestId());
+            reasons.attemptEnded(e.requestId(), e.machine(), e.outcome());
+        } else if (event instanceof Placement.AttemptAccepted e) {
             fleet.accepted(e.machine());
         }
         module.on(event);
     }
 
-    private void adopt(Attempts.Adopt a) {
+    private void adopt(AttemptTracker.AdoptTask a) {
         Held held = adoptable.get(a.attempt());
-        Intake.Wish wish = held.wish();
+        TaskSpec wish = held.wish();
         String tenant = tenants.apply(held.owner());
-        Placement.Ask ask =
+        Placement.PlacementRequest ask =
                 intake.adopt(clock.now(), held.owner(), tenant, wish, a.machine(), this::carryOut);
         if (ask == null) {
-            carryOut(new Attempts.Withdraw(a.machine(), a.attempt()));
+            carryOut(new AttemptTracker.CancelAttempt(a.machine(), a.attempt()));
             return;
         }
         attempts.adopted(
@@ -616,10 +653,10 @@
                 ask.id(),
                 a.machine(),
                 membership.incarnation(a.machine()),
-                effects.getOrDefault(ask.taskClass(), Placement.Effect.UNSAFE),
+                effects.getOrDefault(ask.taskClass(), Placement.Idempotency.NON_IDEMPOTENT),
                 held.runs());
         line.adopted(clock.now(), item(ask, held.owner(), 0, ""));
-        module.on(new Placement.Running(ask, a.machine()));
+        module.on(new Placement.TaskAdopted(ask, a.machine()));
         LOG.atInfo()
                 .addKeyValue("instance", name)
                 .addKeyValue("node", a.machine())
@@ -627,8 +664,9 @@
                 .log("taken over from a former life of this placer");
     }
 
-    private Line.Item item(Placement.Ask ask, String owner, long deadline, String turnedBy) {
-        return new Line.Item(
+    private QueuedRequest item(
+            Placement.PlacementRequest ask, String owner, long deadline, String turnedBy) {
+        return new QueuedRequest(
                 ask.id(),
                 owner,
                 ask.tenant(),
@@ -637,87 +675,94 @@
                 ask.cores(),
                 ask.memory(),
                 deadline,
-                ask.runsFor(),
-                ask.again(),
+                ask.expectedRunMicros(),
+                ask.retry(),
                 turnedBy);
     }
 
-    private void carryOut(Intake.Action action) {
+    private void carryOut(RequestTracker.Action action) {
         long now = clock.now();
-        if (action instanceof Intake.Waits w) {
-            reasons.asked(
+        if (action instanceof RequestTracker.RequestWaiting w) {
+            reasons.submitted(
                     now,
                     w.owner(),
                     w.tenant(),
-                    w.wish().id(),
-                    w.wish().key(),
+                    w.spec().id(),
+                    w.spec().idempotencyKey(),
                     w.keyed(),
                     w.settling(),
-                    w.doubted() ? recovery.suspect(w.owner(), w.wish().id()) : "");
-        } else if (action instanceof Intake.Hand hand) {
-            Line.Item item = item(hand.ask(), hand.owner(), hand.deadline(), hand.turnedBy());
-            asks.put(hand.ask().id(), hand.ask());
-            reasons.inLine(hand.wish().id(), item);
+                    w.uncertain() ? recovery.machineAwaited(w.owner(), w.spec().id()) : "");
+        } else if (action instanceof RequestTracker.Dispatch hand) {
+            QueuedRequest item =
+                    item(hand.request(), hand.owner(), hand.deadlineMicros(), hand.rejectedBy());
+            asks.put(hand.request().id(), hand.request());
+            reasons.queued(hand.spec().id(), item);
             line.arrived(now, item, this::carryOut);
-        } else if (action instanceof Intake.Answered a) {
-            if (a.request() != null) {
-                asks.remove(a.request());
+        } else if (action instanceof RequestTracker.RequestCompleted a) {
+            if (a.requestId() != null) {
+                asks.remove(a.requestId());
             }
-            if (a.effect() != Placement.Effect.SAFE && a.result() != Intake.Result.REFUSED) {
+            if (a.idempotency() != Placement.Idempotency.IDEMPOTENT
+                    && a.result() != RequestResult.REJECTED) {
                 promiseBeforeTelling(
                         a.owner(),
-                        a.wish().id(),
-                        new Promise.Answered(
+                        a.spec().id(),
+                        new JournalRecord.Completed(
                                 now,
                                 a.owner(),
                                 a.tenant(),
-                                a.wish(),
-                                a.effect(),
+                                a.spec(),
+                                a.idempotency(),
                                 a.result(),
                                 a.machine(),
                                 a.reason()));
             }
-            reasons.answered(now, a.owner(), a.wish().id(), state(a.result()), a.machine());
-            if (a.request() == null) {
+            reasons.completed(now, a.owner(), a.spec().id(), state(a.result()), a.machine());
+            if (a.requestId() == null) {
                 return;
             }
-            if (a.result() == Intake.Result.PLACED) {
-                line.placed(now, a.request(), this::carryOut);
+            if (a.result() == RequestResult.PLACED) {
+                line.placed(now, a.requestId(), this::carryOut);
             } else {
-                line.over(now, a.request(), this::carryOut);
+                line.finished(now, a.requestId(), this::carryOut);
             }
-        } else if (action instanceof Intake.Finished f) {
-            if (f.effect() != Placement.Effect.SAFE) {
+        } else if (action instanceof RequestTracker.TaskFinished f) {
+            if (f.idempotency() != Placement.Idempotency.IDEMPOTENT) {
                 promiseBeforeTelling(
                         f.owner(),
                         f.task(),
-                        new Promise.Finished(now, f.owner(), f.task(), f.fate()));
+                        new JournalRecord.Finished(now, f.owner(), f.task(), f.terminationCause()));
             }
-            reasons.over(now, f.owner(), f.task());
-            if (f.request() != null) {
-                line.over(now, f.request(), this::carryOut);
+            reasons.finished(now, f.owner(), f.task());
+            if (f.requestId() != null) {
+                line.finished(now, f.requestId(), this::carryOut);
             }
-        } else if (action instanceof Intake.Deliver d) {
-            if (d.news().result() != null && !d.news().repeat()) {
+        } else if (action instanceof RequestTracker.Notify d) {
+            if (d.notification().result() != null && !d.notification().repeated()) {
                 resultCount++;
             }
             LOG.atDebug()
                     .addKeyValue("instance", name)
-                    .addKeyValue("task", d.news().task())
-                    .addKeyValue("node", d.news().machine())
-                    .log("{}", d.news().result() == null ? d.news().fate() : d.news().result());
-            List<Intake.News> waiting = untold.get(d.news().owner() + "/" + d.news().task());
+                    .addKeyValue("task", d.notification().task())
+                    .addKeyValue("node", d.notification().machine())
+                    .log(
+                            "{}",
+                            d.notification().result() == null
+                                    ? d.notification().terminationCause()
+                                    : d.notification().result());
+            List<ResultNotification> waiting =
+                    untold.get(d.notification().owner() + "/" + d.notification().task());
             if (waiting != null) {
-                waiting.add(d.news());
+                waiting.add(d.notification());
             } else {
-                out.deliver(d.news());
+                out.deliver(d.notification());
             }
-        } else if (action instanceof Intake.Abandon abandon) {
-            asks.remove(abandon.request());
-            attempts.unwanted(abandon.request(), abandon.fate(), this::carryOut);
-            module.on(new Placement.OwnerLeft(abandon.request()));
-            if (line.standing(now, abandon.request()).where() != Line.Where.PLACED) {
-                line.over(now, abandon.request(), this::carryOut);
+        } else if (action instanceof RequestTracker.Abandon abandon) {
+            asks.remove(abandon.requestId());
+            attempts.cancel(abandon.requestId(), abandon.terminationCause(), this::carryOut);
+            module.on(new Placement.ClientDisconnected(abandon.requestId()));
+            if (line.status(now, abandon.requestId()).stage() != AdmissionQueue.Stage.PLACED) {
+                line.finished(now, abandon.requestId(), this::carryOut);
             }
         }
     }
@@ -729,32 +774,32 @@
                     now,
                     r.owner(),
                     r.tenant(),
-                    r.wish(),
+                    r.spec(),
                     r.result(),
                     r.machine(),
                     r.reason(),
-                    r.fate());
-        } else if (action instanceof Recovery.Ran r) {
+                    r.terminationCause());
+        } else if (action instanceof Recovery.FinishedEarlier r) {
             LOG.atInfo()
                     .addKeyValue("instance", name)
                     .addKeyValue("node", r.machine())
-                    .addKeyValue("task", r.wish().id())
-                    .log("placed by a former life of this placer: {}", r.fate());
-            intake.ran(
+                    .addKeyValue("task", r.spec().id())
+                    .log("placed by a former life of this placer: {}", r.terminationCause());
+            intake.finishedEarlier(
                     now,
                     r.owner(),
                     tenants.apply(r.owner()),
-                    r.wish(),
+                    r.spec(),
                     r.machine(),
-                    r.fate(),
-                    r.told(),
+                    r.terminationCause(),
+                    r.alreadyNotified(),
                     this::carryOut);
         } else if (action instanceof Recovery.Failed f) {
             intake.mayHaveRun(
-                    now, f.owner(), tenants.apply(f.owner()), f.wish(), f.reason(), this::carryOut);
-        } else if (action instanceof Recovery.Proven p) {
-            intake.proven(now, p.owner(), p.task(), this::carryOut);
-        } else if (action instanceof Recovery.Unprovable u) {
+                    now, f.owner(), tenants.apply(f.owner()), f.spec(), f.reason(), this::carryOut);
+        } else if (action instanceof Recovery.ProvenNotRun p) {
+            intake.provenNotRun(now, p.owner(), p.task(), this::carryOut);
+        } else if (action instanceof Recovery.BecameIndeterminate u) {
             LOG.atWarn()
                     .addKeyValue("instance", name)
                     .addKeyValue("node", u.machine())
@@ -762,34 +807,36 @@
                     .log(
                             "offered by a former life of this placer; whether it ran cannot be"
                                     + " proven any more");
-            intake.unprovable(now, u.owner(), u.task(), u.machine(), this::carryOut);
+            intake.becameIndeterminate(now, u.owner(), u.task(), u.machine(), this::carryOut);
         }
     }
 
-    private static Reasons.State state(Intake.Result result) {
+    private static PendingReasons.State state(RequestResult result) {
         return switch (result) {
-            case PLACED -> Reasons.State.PLACED;
-            case REFUSED -> Reasons.State.REFUSED;
-            case FAILED -> Reasons.State.FAILED;
+            case PLACED -> PendingReasons.State.PLACED;
+            case REJECTED -> PendingReasons.State.REJECTED;
+            case FAILED -> PendingReasons.State.FAILED;
         };
     }
 
     private void carryOut(Membership.Action action) {
         long now = clock.now();
-        if (action instanceof Membership.Changed changed) {
-            fleet.listed(changed.lines());
-            module.on(new Placement.MachineList(0, Placement.ListKind.DELTA, changed.lines()));
-        } else if (action instanceof Membership.CloseLink close) {
-            out.closeLink(close.link(), close.why());
-        } else if (action instanceof Membership.LifeOver life) {
+        if (action instanceof Membership.MachinesChanged changed) {
+            fleet.update(changed.entries());
+            module.on(
+                    new Placement.MachineListUpdated(
+                            0, Placement.ListUpdateKind.DELTA, changed.entries()));
+        } else if (action instanceof Membership.CloseConnection close) {
+            out.closeLink(close.connection(), close.reason());
+        } else if (action instanceof Membership.IncarnationEnded life) {
             LOG.atWarn()
                     .addKeyValue("instance", name)
                     .addKeyValue("node", life.machine())
-                    .log("incarnation {} is over: {}", life.incarnation(), life.why());
-            attempts.lifeOver(now, life.machine(), life.incarnation(), this::carryOut);
-        } else if (action instanceof Membership.Forgotten gone) {
-            fleet.forgotten(gone.machine());
-        } else if (action instanceof Membership.Admitted admitted) {
+                    .log("incarnation {} is over: {}", life.incarnation(), life.reason());
+            attempts.incarnationEnded(now, life.machine(), life.incarnation(), this::carryOut);
+        } else if (action instanceof Membership.MachineForgotten gone) {
+            fleet.remove(gone.machine());
+        } else if (action instanceof Membership.MachineAdmitted admitted) {
             recent.forEach(each -> said(admitted.machine(), each));
             Set<String> running = new HashSet<>();
             adoptable.forEach(
@@ -807,19 +854,19 @@
                     running,
                     remembersSince,
                     this::carryOut);
-            recovery.testifies(
+            recovery.machineRegistered(
                     now,
-                    new Recovery.Testimony(
+                    new MachineInventory(
                             admitted.machine(),
                             admitted.incarnation(),
                             held,
                             recalled,
                             remembersSince),
-                    attempts::ours,
+                    attempts::isOwn,
                     this::carryOut);
-            out.welcome(admitted.machine(), recovery.limits().remember());
-        } else if (action instanceof Membership.TellDrain drain) {
-            out.tellDrain(drain.machine(), drain.on());
+            out.welcome(admitted.machine(), recovery.limits().machineRetentionMicros());
+        } else if (action instanceof Membership.NotifyDrain drain) {
+            out.tellDrain(drain.machine(), drain.draining());
         }
     }
 }
--- a/placer/src/main/java/thornferry/placer/Gate.java
+++ b/placer/src/main/java/thornferry/placer/Gate.java
@@ -15,14 +15,14 @@
 import java.util.function.Consumer;
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
-import thornferry.decisions.Throttle;
+import thornferry.decisions.admission.LoginRateLimiter;
 import thornferry.security.Passcodes;
 
 /**
  * Checks logins for all instances of a placer: hashes off the event loops, on two threads with a
- * bounded queue, and {@link Throttle} decides who waits. A passcode found good is remembered as a
- * keyed digest until accounts change, so that a thousand nodes that dial again do not cost a
- * thousand hashes. Safe for use by several threads.
+ * bounded queue, and {@link LoginRateLimiter} decides who waits. A passcode found good is
+ * remembered as a keyed digest until accounts change, so that a thousand nodes that dial again do
+ * not cost a thousand hashes. Safe for use by several threads.
  */
 final class Gate implements AutoCloseable {
     private static final int THREADS = 2;
@@ -31,7 +31,8 @@
     private static final String NO = "login or passcode not accepted";
 
     private final Clock clock = Clock.system();
-    private final Throttle throttle = new Throttle(Throttle.Settings.USUAL);
+    private final LoginRateLimiter throttle =
+            new LoginRateLimiter(LoginRateLimiter.Settings.DEFAULTS);
     private final ThreadPoolExecutor workers =
             new ThreadPoolExecutor(
                     THREADS,
@@ -84,15 +85,15 @@
             synchronized (throttle) {
                 // a passcode known to be good is no guess, so it need not wait for what others
                 // guessed
-                throttle.begins(clock.now(), address, name);
-                throttle.ended(clock.now(), address, name, true);
+                throttle.attemptStarted(clock.now(), address, name);
+                throttle.attemptEnded(clock.now(), address, name, true);
             }
             answer.accept(null);
             return;
         }
         long at;
         synchronized (throttle) {
-            at = throttle.begins(clock.now(), address, name);
+            at = throttle.attemptStarted(clock.now(), address, name);
         }
         if (at < 0) {
             answer.accept("too many tries of this login from your address; wait");
@@ -143,7 +144,7 @@
             good.put(digest, name);
         }
         synchronized (throttle) {
-            throttle.ended(clock.now(), address, name, matches);
+            throttle.attemptEnded(clock.now(), address, name, matches);
         }
         answer.accept(matches ? null : NO);
     }
--- a/placer/src/main/java/thornferry/placer/ModuleHost.java
+++ b/placer/src/main/java/thornferry/placer/ModuleHost.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
-import thornferry.decisions.Placement;
+import thornferry.decisions.placement.Placement;
 
 /**
  * Feeds one placement module: one event at a time, in order, with timers no earlier than asked for.
@@ -90,13 +90,13 @@
     }
 
     private void set(Placement.SetTimer timer) {
-        long delay = Math.max(1, timer.at() - clock.now());
+        long delay = Math.max(1, timer.atMicros() - clock.now());
         loop.schedule(
                 () -> {
-                    if (clock.now() < timer.at()) {
+                    if (clock.now() < timer.atMicros()) {
                         set(timer);
                     } else {
-                        on(new Placement.Timer(timer.ref()));
+                        on(new Placement.TimerFired(timer.ref()));
                     }
                 },
                 delay,
@@ -104,16 +104,16 @@
     }
 
     private static String request(Placement.Event event) {
-        if (event instanceof Placement.Asked e) {
-            return e.ask().id();
-        } else if (event instanceof Placement.Ended e) {
-            return e.id();
-        } else if (event instanceof Placement.Placed e) {
-            return e.id();
-        } else if (event instanceof Placement.Noted e) {
-            return e.id();
-        } else if (event instanceof Placement.Running e) {
-            return e.ask().id();
+        if (event instanceof Placement.PlacementRequested e) {
+            return e.request().id();
+        } else if (event instanceof Placement.AttemptEnded e) {
+            return e.requestId();
+        } else if (event instanceof Placement.AttemptAccepted e) {
+            return e.requestId();
+        } else if (event instanceof Placement.TaskObserved e) {
+            return e.requestId();
+        } else if (event instanceof Placement.TaskAdopted e) {
+            return e.request().id();
         }
         return null;
     }
