--- a/placer/src/main/java/thornferry/placer/PlacerInstance.java
+++ b/placer/src/main/java/thornferry/placer/PlacerInstance.java
@@ -11,21 +11,24 @@
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import thornferry.decisions.Attempts;
-import thornferry.decisions.Fleet;
-import thornferry.decisions.Intake;
-import thornferry.decisions.Membership;
-import thornferry.decisions.Placement;
-import thornferry.decisions.Reasons;
-import thornferry.decisions.recovery.Promise;
-import thornferry.decisions.recovery.Recovery;
+import thornferry.decisions.attempts.AttemptStatus;
+import thornferry.decisions.diagnosis.PendingReasons;
+import thornferry.decisions.membership.Membership;
+import thornferry.decisions.membership.RejectionReason;
+import thornferry.decisions.placement.Placement;
+import thornferry.decisions.recovery.JournalRecord;
+import thornferry.decisions.recovery.MachineInventory;
+import thornferry.decisions.recovery.RetainedAttempt;
+import thornferry.decisions.requests.InvalidRequestException;
+import thornferry.decisions.requests.RequestTracker;
+import thornferry.decisions.requests.ResultNotification;
+import thornferry.decisions.requests.TaskSpec;
 import thornferry.protocol.Bodies;
 import thornferry.protocol.Destinations;
 import thornferry.protocol.Frame;
@@ -151,7 +154,7 @@
     }
 
     /** See {@link Core#promised}. */
-    List<Promise> promised() {
+    List<JournalRecord> promised() {
         return core.promised();
     }
 
@@ -255,7 +258,7 @@
                 StopTask stop = Bodies.read(frame, StopTask.newBuilder());
                 try {
                     core.stop(session.login(), stop.getId());
-                } catch (Intake.Unacceptable e) {
+                } catch (InvalidRequestException e) {
                     throw new ProtocolException(e.getMessage());
                 }
             }
@@ -265,7 +268,7 @@
                         session,
                         frame,
                         Views.why(
-                                core.reasons().why(clock.now(), session.login(), q.getTask()),
+                                core.reasons().explain(clock.now(), session.login(), q.getTask()),
                                 true));
             }
             case WAITING -> {
@@ -332,14 +335,14 @@
         try {
             askCount++;
             core.ask(session.login(), wish(task));
-        } catch (Intake.Unacceptable e) {
+        } catch (InvalidRequestException e) {
             throw new ProtocolException("task not taken: " + e.getMessage());
         }
     }
 
-    private static Intake.Wish wish(Task t) {
+    private static TaskSpec wish(Task t) {
         Long patience = t.hasPatienceMs() ? (Long) micros(t.getPatienceMs()) : null;
-        return new Intake.Wish(
+        return new TaskSpec(
                 t.getId(),
                 t.getTaskClass(),
                 t.getService(),
@@ -461,14 +464,14 @@
             held.add(new Core.Held(h.getAttempt(), h.getOwner(), wish(h.getTask()), h.getRuns()));
         }
         List<Core.Said> recent = new ArrayList<>();
-        List<Recovery.Recalled> recalled = new ArrayList<>();
+        List<RetainedAttempt> recalled = new ArrayList<>();
         for (Answer a : r.getRecentList()) {
             if (a.getKind() != Answer.Kind.USES) {
                 recent.add(said(a));
             }
             if (a.hasTask() && !a.getOwner().isEmpty()) {
                 recalled.add(
-                        new Recovery.Recalled(
+                        new RetainedAttempt(
                                 a.getAttempt(),
                                 a.getOwner(),
                                 wish(a.getTask()),
@@ -478,12 +481,12 @@
                                 clock.now() - micros(Math.max(0, a.getEndedMsAgo()))));
             }
         }
-        Map<Placement.Effect, Long> since = new EnumMap<>(Placement.Effect.class);
+        Map<Placement.Idempotency, Long> since = new EnumMap<>(Placement.Idempotency.class);
         if (r.hasForgotUnsafeMs()) {
-            since.put(Placement.Effect.UNSAFE, since(r.getForgotUnsafeMs()));
+            since.put(Placement.Idempotency.NON_IDEMPOTENT, since(r.getForgotUnsafeMs()));
         }
         if (r.hasForgotKeyedMs()) {
-            since.put(Placement.Effect.KEYED, since(r.getForgotKeyedMs()));
+            since.put(Placement.Idempotency.IDEMPOTENT_WITH_KEY, since(r.getForgotKeyedMs()));
         }
         Load load =
                 r.hasLoad()
@@ -513,15 +516,15 @@
 
     private long since(long forgotMsAgo) {
         return forgotMsAgo <= 0
-                ? Recovery.Testimony.ITS_WHOLE_LIFE
+                ? MachineInventory.WHOLE_INCARNATION
                 : clock.now() - micros(forgotMsAgo);
     }
 
-    private static Placement.Effect effect(Effect e) {
+    private static Placement.Idempotency effect(Effect e) {
         return switch (e) {
-            case KEYED -> Placement.Effect.KEYED;
-            case UNSAFE -> Placement.Effect.UNSAFE;
-            default -> Placement.Effect.SAFE;
+            case KEYED -> Placement.Idempotency.IDEMPOTENT_WITH_KEY;
+            case UNSAFE -> Placement.Idempotency.NON_IDEMPOTENT;
+            default -> Placement.Idempotency.IDEMPOTENT;
         };
     }
 
@@ -534,26 +537,26 @@
     }
 
     private static Core.Said said(Answer a) throws ProtocolException {
-        Attempts.Word word =
+        AttemptStatus word =
                 switch (a.getKind()) {
-                    case ACCEPTED -> Attempts.Word.ACCEPTED;
-                    case REFUSED -> Attempts.Word.REFUSED;
-                    case RUNS -> Attempts.Word.RUNS;
-                    case ENDED -> Attempts.Word.ENDED;
-                    case EVICTED -> Attempts.Word.EVICTED;
-                    case SENT_AWAY -> Attempts.Word.SENT_AWAY;
-                    case WITHDRAWN -> Attempts.Word.WITHDRAWN;
+                    case ACCEPTED -> AttemptStatus.ACCEPTED;
+                    case REFUSED -> AttemptStatus.REJECTED;
+                    case RUNS -> AttemptStatus.RUNNING;
+                    case ENDED -> AttemptStatus.COMPLETED;
+                    case EVICTED -> AttemptStatus.EVICTED;
+                    case SENT_AWAY -> AttemptStatus.EVACUATED;
+                    case WITHDRAWN -> AttemptStatus.CANCELLED;
                     default -> throw new ProtocolException("an answer must have a known kind");
                 };
-        Fleet.Said why =
+        RejectionReason why =
                 switch (a.getReason()) {
-                    case NO_CORES -> Fleet.Said.NO_CORES;
-                    case NO_MEMORY -> Fleet.Said.NO_MEMORY;
-                    case OFFERS_WAIT -> Fleet.Said.OFFERS_WAIT;
-                    case NOT_HERE -> Fleet.Said.NOT_HERE;
-                    case KEY_HELD -> Fleet.Said.KEY_HELD;
-                    case DRAINING -> Fleet.Said.DRAINING;
-                    default -> Fleet.Said.NONE;
+                    case NO_CORES -> RejectionReason.INSUFFICIENT_CORES;
+                    case NO_MEMORY -> RejectionReason.INSUFFICIENT_MEMORY;
+                    case OFFERS_WAIT -> RejectionReason.QUEUE_FULL;
+                    case NOT_HERE -> RejectionReason.UNAVAILABLE;
+                    case KEY_HELD -> RejectionReason.KEY_HELD;
+                    case DRAINING -> RejectionReason.DRAINING;
+                    default -> RejectionReason.NONE;
                 };
         return new Core.Said(
                 a.getAttempt(), word, why, a.getRan(), a.hasLoad() ? report(a.getLoad()) : null);
@@ -566,17 +569,17 @@
 
     // ---- what the core sends ----
     @Override
-    public boolean offer(String machine, String attempt, Intake.Offered of) {
-        Intake.Wish w = of.wish();
+    public boolean offer(String machine, String attempt, RequestTracker.OfferDetails of) {
+        TaskSpec w = of.spec();
         Task.Builder task =
                 Task.newBuilder()
                         .setId(w.id())
                         .setTaskClass(w.taskClass())
                         .setService(w.service())
-                        .setKey(w.key())
+                        .setKey(w.idempotencyKey())
                         .setCores(w.cores())
                         .setMemory(w.memory())
-                        .setRunsForMs(w.runsFor() / 1_000);
+                        .setRunsForMs(w.expectedRunMicros() / 1_000);
         Order order =
                 Order.newBuilder()
                         .setOffer(
@@ -585,7 +588,7 @@
                                         .setTask(task)
                                         .setOwner(of.owner())
                                         .setPlacer(name)
-                                        .setEffect(Effect.valueOf(of.effect().name())))
+                                        .setEffect(WireWords.effect(of.idempotency())))
                         .build();
         ChannelFuture written = send(machine, order, attempt);
         if (written != null) {
@@ -600,7 +603,7 @@
     }
 
     private ChannelFuture send(String machine, Order order, String id) {
-        ServerSession session = links.get(core.membership().link(machine));
+        ServerSession session = links.get(core.membership().connectionOf(machine));
         if (session == null) {
             return null;
         }
@@ -655,7 +658,7 @@
     }
 
     @Override
-    public void deliver(Intake.News news) {
+    public void deliver(ResultNotification news) {
         Set<ServerSession> watching = owners.get(news.owner());
         if (watching == null) {
             return; // kept until its owner subscribes
@@ -663,22 +666,22 @@
         Frame frame = frame(news);
         for (ServerSession session : new ArrayList<>(watching)) {
             ChannelFuture written =
-                    session.message(Destinations.RESULTS, "n" + news.number(), frame);
+                    session.message(Destinations.RESULTS, "n" + news.sequence(), frame);
             if (written != null && !session.acknowledges(Destinations.RESULTS)) {
                 written.addListener(
                         done -> {
                             if (done.isSuccess()) {
-                                core.delivered(news.owner(), news.number());
+                                core.delivered(news.owner(), news.sequence());
                             }
                         });
             }
         }
     }
 
-    private static Frame frame(Intake.News n) {
-        String result = n.result() == null ? null : n.result().name().toLowerCase(Locale.ROOT);
-        String event = n.fate() == null ? null : n.fate().name().toLowerCase(Locale.ROOT);
-        long retryMs = (n.retryAfter() + 999) / 1_000;
+    private static Frame frame(ResultNotification n) {
+        String result = n.result() == null ? null : WireWords.result(n.result());
+        String event = n.terminationCause() == null ? null : WireWords.event(n.terminationCause());
+        long retryMs = (n.retryAfterMicros() + 999) / 1_000;
         TaskNews.Builder body =
                 TaskNews.newBuilder()
                         .setTask(n.task())
@@ -706,13 +709,13 @@
                         "retry-after-ms",
                         retryMs > 0 ? Long.toString(retryMs) : null,
                         "repeat",
-                        n.repeat() ? "true" : null);
+                        n.repeated() ? "true" : null);
         return Bodies.write(frame, body.build(), false);
     }
 
     // ---- reasons, for those who watch ----
     @Override
-    public void changed(Reasons.Changed c) {
+    public void changed(PendingReasons.ReasonChanged c) {
         Set<ServerSession> watching = waiters.get(c.owner());
         if (watching != null) {
             watching.forEach(session -> peer(session).dirty.add(c.task()));
@@ -728,7 +731,8 @@
         for (int i = 0; i < TOLD_AT_ONCE && dirty.hasNext() && session.writable(); i++) {
             String task = dirty.next();
             dirty.remove();
-            Reasons.Why why = core.reasons().why(clock.now(), session.login(), task);
+            PendingReasons.Explanation why =
+                    core.reasons().explain(clock.now(), session.login(), task);
             session.message(
                     Destinations.WAITING,
                     "y" + ++replyNumber,
@@ -738,7 +742,7 @@
                                     "task",
                                     task,
                                     "state",
-                                    Views.word(why.state())),
+                                    WireWords.state(why.state())),
                             Views.why(why, false),
                             false));
         }
@@ -747,7 +751,7 @@
     // ---- operators ----
     private Nodes nodes() {
         Nodes.Builder nodes = Nodes.newBuilder();
-        for (Membership.View v : core.membership().view(clock.now())) {
+        for (Membership.MachineView v : core.membership().view(clock.now())) {
             nodes.addNodes(
                     NodeView.newBuilder()
                             .setNode(v.machine())
--- a/placer/src/main/java/thornferry/placer/Site.java
+++ b/placer/src/main/java/thornferry/placer/Site.java
@@ -2,10 +2,10 @@
 
 import java.nio.file.Path;
 import java.util.List;
-import thornferry.decisions.Intake;
-import thornferry.decisions.LineSettings;
-import thornferry.decisions.Membership;
-import thornferry.decisions.Placement;
+import thornferry.decisions.admission.AdmissionSettings;
+import thornferry.decisions.membership.Membership;
+import thornferry.decisions.placement.Placement;
+import thornferry.decisions.requests.RequestTracker;
 import thornferry.protocol.FrameLimits;
 import thornferry.protocol.Heartbeat;
 import thornferry.security.Tls;
@@ -30,8 +30,8 @@
         long seed,
         List<Account> accounts,
         Membership.Limits membership,
-        Intake.Limits intake,
-        LineSettings line,
+        RequestTracker.Limits intake,
+        AdmissionSettings line,
         TlsFiles tls,
         FrameLimits frames,
         Heartbeat heartbeat,
@@ -51,7 +51,7 @@
 
     /** The module's settings for one instance. */
     Placement.Settings moduleOf(int instance) {
-        return settings(seed * 1_000_003 + instance, instance, module.instances());
+        return settings(seed * 1_000_003 + instance, instance, module.instanceCount());
     }
 
     /**
@@ -76,7 +76,7 @@
     }
 
     /** The same with other limits and order of what waits. */
-    public Site withLine(LineSettings other) {
+    public Site withLine(AdmissionSettings other) {
         return new Site(
                 name,
                 module,
@@ -95,7 +95,7 @@
 
     /** The same with neither line nor reasons, for measuring what they cost and bring. */
     public Site withoutLine() {
-        return withLine(line.off());
+        return withLine(line.disabled());
     }
 
     /** The same over TLS. */
@@ -142,24 +142,24 @@
                 placers,
                 s.zone(),
                 s.classes(),
-                s.kinds(),
+                s.machineKinds(),
                 s.tenants(),
-                s.reports(),
+                s.loadReportMode(),
                 s.reportNames(),
-                s.countsUsed(),
-                s.listShowsRoom(),
-                s.mustAskForList(),
-                s.placedWhenRunning(),
-                s.useNotes(),
-                s.displaces(),
-                s.oneHome(),
-                s.acceptCores(),
-                s.acceptMemory(),
-                s.meanCores(),
-                s.meanMemory(),
-                s.overShareWorth(),
-                s.ownerWait(),
-                s.prices(),
+                s.reportsMeasureUsage(),
+                s.listShowsFreeCapacity(),
+                s.listNeedsSubscription(),
+                s.acceptedWhenRunning(),
+                s.observesTasks(),
+                s.preempts(),
+                s.singlePreferredMachine(),
+                s.coresOvercommit(),
+                s.memoryOvercommit(),
+                s.meanTaskCores(),
+                s.meanTaskMemory(),
+                s.overQuotaWeight(),
+                s.clientRetryMicros(),
+                s.costWeights(),
                 s.rules(),
                 s.limits());
     }
--- a/placer/src/main/java/thornferry/placer/Views.java
+++ b/placer/src/main/java/thornferry/placer/Views.java
@@ -1,10 +1,10 @@
 package thornferry.placer;
 
-import java.util.Locale;
 import java.util.function.DoubleConsumer;
-import thornferry.decisions.Line;
-import thornferry.decisions.LineSettings;
-import thornferry.decisions.Reasons;
+import thornferry.decisions.admission.AdmissionQueue;
+import thornferry.decisions.admission.Quota;
+import thornferry.decisions.admission.QuotaUsage;
+import thornferry.decisions.diagnosis.PendingReasons;
 import thornferry.protocol.v1.Limits;
 import thornferry.protocol.v1.Reason;
 import thornferry.protocol.v1.WaitingTable;
@@ -14,46 +14,47 @@
 final class Views {
     private Views() {}
 
-    static String word(Enum<?> constant) {
-        return constant.name().toLowerCase(Locale.ROOT);
-    }
-
-    static Reason reason(Reasons.Reason r) {
+    static Reason reason(PendingReasons.Reason r) {
         Reason.Builder b =
                 Reason.newBuilder()
-                        .setKind(Reason.Kind.valueOf(r.kind().name()))
-                        .setSinceMs(r.since() / 1_000)
-                        .setEnds(r.ends())
+                        .setKind(WireWords.kind(r.kind()))
+                        .setSinceMs(r.sinceMicros() / 1_000)
+                        .setEnds(r.endsWhen())
                         .setSentence(r.sentence());
-        for (Reasons.Evidence e : r.evidence()) {
+        for (PendingReasons.Evidence e : r.evidence()) {
             Reason.Evidence.Builder evidence =
-                    b.addEvidenceBuilder().setWhat(e.what()).setName(e.name()).setNodes(e.nodes());
-            if (!Double.isNaN(e.needs())) {
-                evidence.setNeeds(e.needs());
+                    b.addEvidenceBuilder()
+                            .setWhat(e.description())
+                            .setName(e.name())
+                            .setNodes(e.machines());
+            if (!Double.isNaN(e.needed())) {
+                evidence.setNeeds(e.needed());
             }
-            if (!Double.isNaN(e.has())) {
-                evidence.setHas(e.has());
+            if (!Double.isNaN(e.available())) {
+                evidence.setHas(e.available());
             }
         }
         return b.build();
     }
 
-    static Why why(Reasons.Why w, boolean history) {
+    static Why why(PendingReasons.Explanation w, boolean history) {
         Why.Builder b =
                 Why.newBuilder()
                         .setTask(w.task())
-                        .setState(word(w.state()))
+                        .setState(WireWords.state(w.state()))
                         .setTaskClass(w.taskClass())
-                        .setWaitingSinceMs(w.waitingSince() / 1_000)
-                        .setAsks(w.asks())
+                        .setWaitingSinceMs(w.waitingSinceMicros() / 1_000)
+                        .setAsks(w.submissions())
                         .setAttempts(w.attempts());
-        if (w.state() == Reasons.State.WAITING && w.reason() != null) {
+        if (w.state() == PendingReasons.State.WAITING && w.reason() != null) {
             b.setReason(reason(w.reason()));
         }
         if (history) {
-            for (Reasons.Change c : w.history()) {
+            for (PendingReasons.Change c : w.history()) {
                 Why.Change.Builder change =
-                        b.addHistoryBuilder().setAtMs(c.at() / 1_000).setState(word(c.state()));
+                        b.addHistoryBuilder()
+                                .setAtMs(c.atMicros() / 1_000)
+                                .setState(WireWords.state(c.state()));
                 if (c.reason() != null) {
                     change.setReason(reason(c.reason()));
                 }
@@ -69,36 +70,36 @@
         WaitingTable.Builder b = WaitingTable.newBuilder();
         int[] waiting = {0};
         core.reasons()
-                .table(owner)
+                .countByReason(owner)
                 .forEach(
                         (tenant, kinds) ->
                                 kinds.forEach(
                                         (kind, tasks) -> {
                                             b.addRowsBuilder()
                                                     .setTenant(tenant)
-                                                    .setKind(Reason.Kind.valueOf(kind.name()))
+                                                    .setKind(WireWords.kind(kind))
                                                     .setTasks(tasks);
                                             waiting[0] += tasks;
                                         }));
         if (owner == null) {
-            Line.Counts c = core.line().counts();
-            b.setOverload(c.overload()).setShed(c.shed());
+            AdmissionQueue.QueueCounts c = core.line().counts();
+            b.setOverload(c.overloaded()).setShed(c.shed());
         }
         return b.setWaiting(waiting[0]).build();
     }
 
-    static Limits limits(Line line, Account account, String loaded) {
+    static Limits limits(AdmissionQueue line, Account account, String loaded) {
         Limits.Builder b = Limits.newBuilder();
-        b.addUses(use("owner", line.ownerUse(account.login())));
+        b.addUses(use("owner", line.ownerUsage(account.login())));
         if (account.role() == Account.Role.OPERATOR) {
-            line.tenantUse().forEach(t -> b.addUses(use("tenant", t)));
-            b.addUses(use("site", line.allUse())).setLoaded(loaded);
+            line.tenantUsage().forEach(t -> b.addUses(use("tenant", t)));
+            b.addUses(use("site", line.siteUsage())).setLoaded(loaded);
         }
         return b.build();
     }
 
-    private static Limits.Use use(String scope, Line.Use u) {
-        LineSettings.Limit l = u.limit();
+    private static Limits.Use use(String scope, QuotaUsage u) {
+        Quota l = u.quota();
         Limits.Use.Builder b =
                 Limits.Use.newBuilder()
                         .setScope(scope)
@@ -108,11 +109,11 @@
                         .setCores(u.cores())
                         .setMemory(u.memory())
                         .setShare(u.share());
-        most(l.waiting(), b::setMostWaiting);
-        most(l.tasks(), b::setMostTasks);
+        most(l.maxWaiting(), b::setMostWaiting);
+        most(l.maxTasks(), b::setMostTasks);
         most(l.perSecond(), b::setMostPerSecond);
-        most(l.cores(), b::setMostCores);
-        most(l.memory(), b::setMostMemory);
+        most(l.maxCores(), b::setMostCores);
+        most(l.maxMemory(), b::setMostMemory);
         return b.build();
     }
 
--- a/settings/src/main/java/thornferry/settings/SettingsReader.java
+++ b/settings/src/main/java/thornferry/settings/SettingsReader.java
@@ -4,41 +4,50 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import thornferry.decisions.Placement.*;
+import thornferry.decisions.placement.Placement.CostWeights;
+import thornferry.decisions.placement.Placement.Idempotency;
+import thornferry.decisions.placement.Placement.Limits;
+import thornferry.decisions.placement.Placement.LoadReportMode;
+import thornferry.decisions.placement.Placement.MachineKind;
+import thornferry.decisions.placement.Placement.Rules;
+import thornferry.decisions.placement.Placement.Settings;
+import thornferry.decisions.placement.Placement.TaskClass;
+import thornferry.decisions.placement.Placement.Tenant;
+import thornferry.decisions.placement.Placement.TopologyScope;
 
 /**
  * Reads the settings object, for every way in: the simulator's wire and the configuration of a
  * placer.
  */
 public final class SettingsReader {
-    private static final Map<String, Effect> EFFECTS =
+    private static final Map<String, Idempotency> EFFECTS =
             Map.of(
                     "read_like",
-                    Effect.SAFE,
+                    Idempotency.IDEMPOTENT,
                     "idempotency_key",
-                    Effect.KEYED,
+                    Idempotency.IDEMPOTENT_WITH_KEY,
                     "non_idempotent",
-                    Effect.UNSAFE);
-    private static final Map<String, Scope> SCOPES =
+                    Idempotency.NON_IDEMPOTENT);
+    private static final Map<String, TopologyScope> SCOPES =
             Map.of(
                     "off",
-                    Scope.NONE,
+                    TopologyScope.NONE,
                     "machine",
-                    Scope.MACHINE,
+                    TopologyScope.MACHINE,
                     "cell",
-                    Scope.CELL,
+                    TopologyScope.CELL,
                     "zone",
-                    Scope.ZONE,
+                    TopologyScope.ZONE,
                     "all",
-                    Scope.ALL);
-    private static final Map<String, Reports> REPORTS =
+                    TopologyScope.ALL);
+    private static final Map<String, LoadReportMode> REPORTS =
             Map.of(
                     "off",
-                    Reports.NONE,
+                    LoadReportMode.NONE,
                     "inline",
-                    Reports.WITH_ANSWERS,
+                    LoadReportMode.WITH_RESPONSES,
                     "on_probe",
-                    Reports.ON_PROBE);
+                    LoadReportMode.ON_HEALTH_CHECK);
 
     private SettingsReader() {}
 
@@ -70,7 +79,7 @@
                     classes(c, info),
                     kinds(c, info),
                     tenants(c, info),
-                    chosen(REPORTS, load, "how", Reports.NONE),
+                    chosen(REPORTS, load, "how", LoadReportMode.NONE),
                     reportNames,
                     info.path("counts").asText().equals("used"),
                     info.path("view").asBoolean(),
@@ -85,7 +94,7 @@
                     info.path("usualMemory").asDouble(1),
                     c.path("overShareWorth").asDouble(1),
                     info.path("ownerWait").asLong(),
-                    new Prices(
+                    new CostWeights(
                             price.path("fleet").asDouble(),
                             price.path("moves").asDouble(),
                             price.path("waste").asDouble(),
@@ -123,7 +132,7 @@
                     new TaskClass(
                             need(g, "name").asText(),
                             chosen(EFFECTS, g, "effect", null),
-                            chosen(SCOPES, g, "keyScope", Scope.ALL),
+                            chosen(SCOPES, g, "keyScope", TopologyScope.ALL),
                             g.path("memorySpan").asLong(),
                             g.path("aim").asLong(),
                             need(g, "deadline").asLong(),
@@ -135,7 +144,8 @@
                             info.path("classPriority").path(i).asInt(),
                             info.path("needsKind").path(i).asInt(-1),
                             SCOPES.getOrDefault(
-                                    info.path("classSpread").path(i).asText("off"), Scope.NONE),
+                                    info.path("classSpread").path(i).asText("off"),
+                                    TopologyScope.NONE),
                             info.path("spreadMost").path(i).asInt()));
         }
         return classes;
--- a/standin/src/main/java/thornferry/standin/Day.java
+++ b/standin/src/main/java/thornferry/standin/Day.java
@@ -26,7 +26,7 @@
 import thornferry.agent.AgentPool;
 import thornferry.agent.NodeAgent;
 import thornferry.agent.NodeShape;
-import thornferry.decisions.Placement;
+import thornferry.decisions.placement.Placement;
 import thornferry.placer.Account;
 import thornferry.placer.Placer;
 import thornferry.placer.Site;
@@ -163,7 +163,7 @@
             }
             Set<String> unsafe = new HashSet<>();
             file.site().site().module().classes().stream()
-                    .filter(c -> c.effect() == Placement.Effect.UNSAFE)
+                    .filter(c -> c.idempotency() == Placement.Idempotency.NON_IDEMPOTENT)
                     .forEach(c -> unsafe.add(c.name()));
             for (int p = 0; p < file.placers(); p++) {
                 List<ClientConnection.Target> targets = new ArrayList<>();
--- a/standin/src/main/java/thornferry/standin/DayFile.java
+++ b/standin/src/main/java/thornferry/standin/DayFile.java
@@ -9,7 +9,7 @@
 import thornferry.config.SiteFile;
 import thornferry.config.TomlFile;
 import thornferry.config.TomlFile.Section;
-import thornferry.decisions.Placement;
+import thornferry.decisions.placement.Placement;
 import thornferry.placer.Site;
 import thornferry.state.Durability;
 
@@ -313,13 +313,13 @@
         Placement.Rules r = m.rules();
         Map<String, Long> windows = new java.util.HashMap<>();
         m.classes().stream()
-                .filter(c -> c.effect() == Placement.Effect.KEYED)
-                .forEach(c -> windows.put(c.name(), c.keyWindow()));
+                .filter(c -> c.idempotency() == Placement.Idempotency.IDEMPOTENT_WITH_KEY)
+                .forEach(c -> windows.put(c.name(), c.keyWindowMicros()));
         List<Fleet> named = new ArrayList<>();
         for (int i = 0; i < fleets.size(); i++) {
             String[] words = kinds.get(i);
             Placement.MachineKind kind =
-                    m.kinds().stream()
+                    m.machineKinds().stream()
                             .filter(k -> k.name().equals(words[0]))
                             .findFirst()
                             .orElse(null);
@@ -341,11 +341,11 @@
                                     b.start(),
                                     b.startFactor(),
                                     b.programs(),
-                                    r.rampTime(),
-                                    Math.max(0.01, r.coldFrom()),
-                                    r.coldMultiple(),
-                                    r.coldWindow(),
-                                    (int) r.coldOffers(),
+                                    r.slowStartMicros(),
+                                    Math.max(0.01, r.slowStartInitialShare()),
+                                    r.slowStartMultiple(),
+                                    r.slowStartWindowMicros(),
+                                    (int) r.slowStartOffers(),
                                     b.usesLeast(),
                                     b.usesMost(),
                                     b.runsFor(),
--- a/standin/src/main/java/thornferry/standin/Overload.java
+++ b/standin/src/main/java/thornferry/standin/Overload.java
@@ -15,7 +15,7 @@
 import thornferry.agent.NodeAgent;
 import thornferry.agent.NodeShape;
 import thornferry.client.TaskClient;
-import thornferry.decisions.Placement;
+import thornferry.decisions.placement.Placement;
 import thornferry.placer.Placer;
 import thornferry.placer.Site;
 import thornferry.protocol.ClientConnection;
@@ -74,7 +74,7 @@
         this.site = site;
         this.tenants = tenants;
         this.nodes = nodes;
-        this.kind = site.module().kinds().get(0);
+        this.kind = site.module().machineKinds().get(0);
         this.cores = kind.cores();
     }
 
@@ -323,7 +323,7 @@
      */
     public Large large(double load, boolean gather, int seconds) throws Exception {
         try (Stage stage =
-                new Stage(gather ? site : site.withLine(site.line().withoutGathering()))) {
+                new Stage(gather ? site : site.withLine(site.line().withoutReservations()))) {
             stage.offer(load * borne(), 5);
             Sums sums = new Sums(tenants.size());
             int[] placed = {0};
--- a/state/src/main/java/thornferry/state/Journal.java
+++ b/state/src/main/java/thornferry/state/Journal.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import thornferry.decisions.recovery.Promise;
+import thornferry.decisions.recovery.JournalRecord;
 
 /**
  * Where promises are written. Calls come from one thread; what is called back may come from any.
@@ -19,12 +19,12 @@
     private static Journal unwritten(String why) {
         return new Journal() {
             @Override
-            public void append(Promise promise, Consumer<String> done) {
+            public void append(JournalRecord promise, Consumer<String> done) {
                 done.accept(why);
             }
 
             @Override
-            public void compact(Supplier<Iterable<Promise>> snapshot) {
+            public void compact(Supplier<Iterable<JournalRecord>> snapshot) {
                 // there is nothing to compact
             }
 
@@ -46,13 +46,13 @@
      * @param done hears null once the line is as durable as configured, or what is wrong: then it
      *     may be lost, and what depends on it must not be done
      */
-    void append(Promise promise, Consumer<String> done);
+    void append(JournalRecord promise, Consumer<String> done);
 
     /**
      * To be called now and then: where the file has grown enough, it is written anew with only what
      * still counts; and where it could not be written, that is tried again.
      */
-    void compact(Supplier<Iterable<Promise>> snapshot);
+    void compact(Supplier<Iterable<JournalRecord>> snapshot);
 
     /** What keeps it from writing now; empty where it writes. */
     String trouble();
--- a/state/src/main/java/thornferry/state/JournalFile.java
+++ b/state/src/main/java/thornferry/state/JournalFile.java
@@ -18,7 +18,7 @@
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import thornferry.decisions.recovery.Promise;
+import thornferry.decisions.recovery.JournalRecord;
 import thornferry.state.v1.Header;
 import thornferry.state.v1.Life;
 import thornferry.state.v1.Line;
@@ -207,7 +207,7 @@
     }
 
     /** What former lives wrote, oldest first. */
-    public List<Promise> promises() {
+    public List<JournalRecord> promises() {
         return read.promises();
     }
 
@@ -220,7 +220,7 @@
      * Begins this life with a file that holds what still counts; from now on {@link #append} may be
      * called.
      */
-    public void begin(Iterable<Promise> snapshot) throws IOException {
+    public void begin(Iterable<JournalRecord> snapshot) throws IOException {
         rewrite(snapshot);
         if (writer != null) {
             writer.setDaemon(true);
@@ -240,7 +240,7 @@
 
     // ---- appending ----
     @Override
-    public void append(Promise promise, Consumer<String> done) {
+    public void append(JournalRecord promise, Consumer<String> done) {
         byte[] octets = Lines.framed(Lines.of(promise));
         if (writer != null) {
             synchronized (queue) {
@@ -335,8 +335,8 @@
 
     // ---- writing anew ----
     @Override
-    public void compact(Supplier<Iterable<Promise>> snapshot) {
-        Iterable<Promise> lines;
+    public void compact(Supplier<Iterable<JournalRecord>> snapshot) {
+        Iterable<JournalRecord> lines;
         synchronized (this) {
             if (!trouble.isEmpty()) {
                 // the module offers nothing that needs us while we are in trouble, so nothing else
@@ -365,7 +365,7 @@
         thread.start();
     }
 
-    private void rewritten(Iterable<Promise> lines) {
+    private void rewritten(Iterable<JournalRecord> lines) {
         try {
             rewrite(lines);
         } catch (IOException e) {
@@ -376,7 +376,7 @@
         }
     }
 
-    private void rewrite(Iterable<Promise> lines) throws IOException {
+    private void rewrite(Iterable<JournalRecord> lines) throws IOException {
         Beside beside = null;
         try {
             beside = beside(lines);
@@ -398,7 +398,7 @@
     /** A file made beside, open, of this size. */
     private record Beside(Path path, Storage.Out out, long size) {}
 
-    private Beside beside(Iterable<Promise> lines) throws IOException {
+    private Beside beside(Iterable<JournalRecord> lines) throws IOException {
         Path made = folder.resolve("journal-new.tmp");
         Storage.Out to = storage.create(made);
         try {
@@ -411,7 +411,7 @@
                                     .setPlacer(placer)
                                     .build()));
             long size = 0;
-            for (Promise p : lines) {
+            for (JournalRecord p : lines) {
                 buffer.write(Lines.framed(Lines.of(p)));
                 if (buffer.size() >= PIECE) {
                     to.write(size, buffer.toByteArray());
--- a/state/src/main/java/thornferry/state/Lines.java
+++ b/state/src/main/java/thornferry/state/Lines.java
@@ -4,10 +4,8 @@
 import com.google.protobuf.MessageLite;
 import java.nio.ByteBuffer;
 import java.util.zip.CRC32C;
-import thornferry.decisions.Attempts.Fate;
-import thornferry.decisions.Intake;
-import thornferry.decisions.Placement.Effect;
-import thornferry.decisions.recovery.Promise;
+import thornferry.decisions.recovery.JournalRecord;
+import thornferry.decisions.requests.TaskSpec;
 import thornferry.state.v1.Answered;
 import thornferry.state.v1.Finished;
 import thornferry.state.v1.Line;
@@ -42,98 +40,98 @@
         return (int) crc.getValue();
     }
 
-    static Line of(Promise p) {
-        Line.Builder line = Line.newBuilder().setAt(p.at());
-        if (p instanceof Promise.Offered o) {
+    static Line of(JournalRecord p) {
+        Line.Builder line = Line.newBuilder().setAt(p.atMicros());
+        if (p instanceof JournalRecord.Offered o) {
             line.setOffered(
                     Offered.newBuilder()
                             .setAttempt(o.attempt())
                             .setOwner(o.owner())
                             .setTenant(o.tenant())
-                            .setWish(of(o.wish()))
-                            .setEffect(o.effect().name())
+                            .setWish(of(o.spec()))
+                            .setEffect(JournalWords.of(o.idempotency()))
                             .setMachine(o.machine())
                             .setIncarnation(o.incarnation()));
-        } else if (p instanceof Promise.NeverRan n) {
+        } else if (p instanceof JournalRecord.NeverRan n) {
             line.setNeverRan(
                     NeverRan.newBuilder()
                             .setOwner(n.owner())
                             .setTask(n.task())
                             .setAttempt(n.attempt()));
-        } else if (p instanceof Promise.Answered a) {
+        } else if (p instanceof JournalRecord.Completed a) {
             line.setAnswered(
                     Answered.newBuilder()
                             .setOwner(a.owner())
                             .setTenant(a.tenant())
-                            .setWish(of(a.wish()))
-                            .setEffect(a.effect().name())
-                            .setResult(a.result().name())
+                            .setWish(of(a.spec()))
+                            .setEffect(JournalWords.of(a.idempotency()))
+                            .setResult(JournalWords.of(a.result()))
                             .setMachine(a.machine())
                             .setReason(a.reason()));
-        } else if (p instanceof Promise.Finished f) {
+        } else if (p instanceof JournalRecord.Finished f) {
             line.setFinished(
                     Finished.newBuilder()
                             .setOwner(f.owner())
                             .setTask(f.task())
-                            .setFate(f.fate().name()));
+                            .setFate(JournalWords.of(f.terminationCause())));
         }
         return line.build();
     }
 
-    private static Wish of(Intake.Wish w) {
+    private static Wish of(TaskSpec w) {
         return Wish.newBuilder()
                 .setId(w.id())
                 .setTaskClass(w.taskClass())
                 .setService(w.service())
-                .setKey(w.key())
+                .setKey(w.idempotencyKey())
                 .setCores(w.cores())
                 .setMemory(w.memory())
-                .setRunsFor(w.runsFor())
+                .setRunsFor(w.expectedRunMicros())
                 .build();
     }
 
     /**
      * @throws InvalidProtocolBufferException where it is of no type that this version knows
      */
-    static Promise promise(Line line) throws InvalidProtocolBufferException {
+    static JournalRecord promise(Line line) throws InvalidProtocolBufferException {
         try {
             return switch (line.getLineCase()) {
                 case OFFERED -> {
                     Offered o = line.getOffered();
-                    yield new Promise.Offered(
+                    yield new JournalRecord.Offered(
                             line.getAt(),
                             o.getAttempt(),
                             o.getOwner(),
                             o.getTenant(),
                             wish(o.getWish()),
-                            Effect.valueOf(o.getEffect()),
+                            JournalWords.idempotency(o.getEffect()),
                             o.getMachine(),
                             o.getIncarnation());
                 }
                 case NEVER_RAN ->
-                        new Promise.NeverRan(
+                        new JournalRecord.NeverRan(
                                 line.getAt(),
                                 line.getNeverRan().getOwner(),
                                 line.getNeverRan().getTask(),
                                 line.getNeverRan().getAttempt());
                 case ANSWERED -> {
                     Answered a = line.getAnswered();
-                    yield new Promise.Answered(
+                    yield new JournalRecord.Completed(
                             line.getAt(),
                             a.getOwner(),
                             a.getTenant(),
                             wish(a.getWish()),
-                            Effect.valueOf(a.getEffect()),
-                            Intake.Result.valueOf(a.getResult()),
+                            JournalWords.idempotency(a.getEffect()),
+                            JournalWords.result(a.getResult()),
                             a.getMachine(),
                             a.getReason());
                 }
                 case FINISHED ->
-                        new Promise.Finished(
+                        new JournalRecord.Finished(
                                 line.getAt(),
                                 line.getFinished().getOwner(),
                                 line.getFinished().getTask(),
-                                Fate.valueOf(line.getFinished().getFate()));
+                                JournalWords.terminationCause(line.getFinished().getFate()));
                 default ->
                         throw new InvalidProtocolBufferException(
                                 "a line of a type that this version does not know");
@@ -144,8 +142,8 @@
         }
     }
 
-    private static Intake.Wish wish(Wish w) {
-        return new Intake.Wish(
+    private static TaskSpec wish(Wish w) {
+        return new TaskSpec(
                 w.getId(),
                 w.getTaskClass(),
                 w.getService(),
--- a/state/src/main/java/thornferry/state/Reading.java
+++ b/state/src/main/java/thornferry/state/Reading.java
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import thornferry.decisions.recovery.Promise;
+import thornferry.decisions.recovery.JournalRecord;
 import thornferry.state.v1.Header;
 import thornferry.state.v1.Life;
 import thornferry.state.v1.Line;
@@ -27,7 +27,7 @@
  */
 public record Reading(
         String placer,
-        List<Promise> promises,
+        List<JournalRecord> promises,
         boolean whole,
         boolean foreign,
         String trouble,
@@ -44,7 +44,7 @@
     }
 
     static Reading of(Storage storage, Path file, String placer) throws IOException {
-        List<Promise> promises = new ArrayList<>();
+        List<JournalRecord> promises = new ArrayList<>();
         Life last = null;
         long good = MAGIC.length;
         long size = storage.size(file);
