--- a/agent/src/main/java/thornferry/agent/AgentPool.java
+++ b/agent/src/main/java/thornferry/agent/AgentPool.java
@@ -14,7 +14,7 @@
 public final class AgentPool implements AutoCloseable {
     private final MultiThreadIoEventLoopGroup loops;
     private final List<NodeAgent> nodes = new ArrayList<>();
-    private final HallKeys keys = new HallKeys();
+    private final ZoneIdempotencyKeys keys = new ZoneIdempotencyKeys();
 
     private final SslContext tls;
 
@@ -36,7 +36,7 @@
      */
     public NodeAgent add(
             NodeShape shape,
-            Behaviour behaviour,
+            NodeBehavior behaviour,
             List<SocketAddress> placers,
             String login,
             String passcode,
@@ -51,7 +51,7 @@
      */
     public NodeAgent add(
             NodeShape shape,
-            Behaviour behaviour,
+            NodeBehavior behaviour,
             List<SocketAddress> placers,
             String login,
             String passcode,
--- a/agent/src/main/java/thornferry/agent/Memory.java
+++ b/agent/src/main/java/thornferry/agent/AttemptHistory.java
@@ -17,7 +17,7 @@
  * to have been accepted. Where it must forget, it says since when it remembers all. No I/O and no
  * clock; times are microseconds.
  */
-final class Memory {
+final class AttemptHistory {
     /** Final answers of every kind are said again for so long, since some may not have arrived. */
     private static final long SAID_AGAIN = 30_000_000;
 
--- a/agent/src/main/java/thornferry/agent/NodeAgent.java
+++ b/agent/src/main/java/thornferry/agent/NodeAgent.java
@@ -27,8 +27,8 @@
 
 /**
  * One node: a connection to each placer of its list, kept up by dialling again, around a {@link
- * NodeModel}. The node needs no open port. All of it runs on one event loop; methods may be called
- * from any thread.
+ * NodeEmulator}. The node needs no open port. All of it runs on one event loop; methods may be
+ * called from any thread.
  */
 public final class NodeAgent {
     /** Sees what passes, for measurements; called on the node's event loop. */
@@ -46,7 +46,7 @@
 
     private final class Dial implements ClientConnection.Listener {
         final SocketAddress placer;
-        final Memory memory = new Memory();
+        final AttemptHistory memory = new AttemptHistory();
         String name = "";
         ClientConnection connection;
         long wait = REDIAL_LEAST_MS;
@@ -141,8 +141,8 @@
     }
 
     private final NodeShape shape;
-    private final Behaviour behaviour;
-    private final HallKeys keys;
+    private final NodeBehavior behaviour;
+    private final ZoneIdempotencyKeys keys;
     private final EventLoop loop;
     private final String login;
     private final String passcode;
@@ -154,7 +154,7 @@
     private final SplittableRandom random;
     private final List<Dial> dials = new ArrayList<>();
     private final Map<String, Dial> byName = new HashMap<>();
-    private NodeModel model;
+    private NodeEmulator model;
     private boolean closed;
     private boolean down;
     private long pausedUntil;
@@ -163,8 +163,8 @@
 
     NodeAgent(
             NodeShape shape,
-            Behaviour behaviour,
-            HallKeys keys,
+            NodeBehavior behaviour,
+            ZoneIdempotencyKeys keys,
             EventLoop loop,
             List<SocketAddress> placers,
             String login,
@@ -188,7 +188,7 @@
         this.random = new SplittableRandom(seed);
         this.watcher = watcher;
         this.model =
-                new NodeModel(
+                new NodeEmulator(
                         shape, behaviour, keys, seed, now(), System.currentTimeMillis(), warm);
         placers.forEach(p -> dials.add(new Dial(p)));
     }
@@ -237,7 +237,7 @@
         afterwards();
     }
 
-    private void say(NodeModel.Say s) {
+    private void say(NodeEmulator.AttemptReport s) {
         Answer.Builder answer =
                 Answer.newBuilder()
                         .setNode(shape.node())
@@ -334,7 +334,7 @@
                                 () -> {
                                     down = false;
                                     model =
-                                            new NodeModel(
+                                            new NodeEmulator(
                                                     shape,
                                                     behaviour,
                                                     keys,
--- a/agent/src/main/java/thornferry/agent/Behaviour.java
+++ b/agent/src/main/java/thornferry/agent/NodeBehavior.java
@@ -23,7 +23,7 @@
  * @param usesEvery how often a node reports what its tasks use; 0 for never
  * @param keyWindows by class: repeats of a key are dropped within the hall for so long
  */
-public record Behaviour(
+public record NodeBehavior(
         long thinkLeast,
         long thinkMost,
         int queue,
@@ -45,8 +45,8 @@
     private static final long SECOND = 1_000_000;
 
     /** Much like the nodes that the project's first users described. */
-    public static Behaviour usual(Map<String, Long> keyWindows) {
-        return new Behaviour(
+    public static NodeBehavior usual(Map<String, Long> keyWindows) {
+        return new NodeBehavior(
                 2 * MS,
                 8 * MS,
                 32,
@@ -67,8 +67,8 @@
     }
 
     /** Answers at once and starts at once: for measuring a placer rather than nodes. */
-    public static Behaviour instant(Map<String, Long> keyWindows) {
-        return new Behaviour(
+    public static NodeBehavior instant(Map<String, Long> keyWindows) {
+        return new NodeBehavior(
                 0,
                 0,
                 100_000,
@@ -88,7 +88,7 @@
                 keyWindows);
     }
 
-    public Behaviour {
+    public NodeBehavior {
         keyWindows = Map.copyOf(keyWindows);
         if (thinkMost < thinkLeast
                 || usesMost < usesLeast
--- a/agent/src/main/java/thornferry/agent/NodeModel.java
+++ b/agent/src/main/java/thornferry/agent/NodeEmulator.java
@@ -17,14 +17,14 @@
  * One life of a node: takes or refuses offers, starts and ends stand-in work. No I/O and no clock;
  * the same seed and the same calls give the same answers. Times are microseconds.
  */
-public final class NodeModel {
+public final class NodeEmulator {
     /**
      * What to tell the placer that offered the attempt; {@code offer} is empty where the node does
      * not hold it.
      *
      * @param silent the node works but says nothing: remembered, and not sent
      */
-    public record Say(
+    public record AttemptReport(
             String placer,
             String attempt,
             Answer.Kind kind,
@@ -68,8 +68,8 @@
     }
 
     private final NodeShape shape;
-    private final Behaviour behaviour;
-    private final HallKeys keys;
+    private final NodeBehavior behaviour;
+    private final ZoneIdempotencyKeys keys;
     private final SplittableRandom random;
     private final long startedAt;
     private final long incarnation;
@@ -94,10 +94,10 @@
     /**
      * @param warm the node has run for long: no cold start
      */
-    public NodeModel(
+    public NodeEmulator(
             NodeShape shape,
-            Behaviour behaviour,
-            HallKeys keys,
+            NodeBehavior behaviour,
+            ZoneIdempotencyKeys keys,
             long seed,
             long now,
             long incarnation,
@@ -134,7 +134,7 @@
     }
 
     // ---- offers ----
-    public void offer(long now, Offer offer, Consumer<Say> say) {
+    public void offer(long now, Offer offer, Consumer<AttemptReport> say) {
         if (fallen || works.containsKey(offer.getAttempt())) {
             return; // offered twice: the answer to the first counts for both
         }
@@ -189,7 +189,7 @@
         lookUntil = now + behaviour.thinkLeast() + (most > 0 ? random.nextLong(most) : 0);
     }
 
-    private void decide(long now, Work w, Consumer<Say> say) {
+    private void decide(long now, Work w, Consumer<AttemptReport> say) {
         Task t = w.task;
         long window = behaviour.keyWindows().getOrDefault(t.getTaskClass(), 0L);
         if (t.getCores() + cores > shape.cores() + 1e-9) {
@@ -210,15 +210,19 @@
         }
     }
 
-    private void refuse(Work w, Answer.Reason reason, Consumer<Say> say) {
+    private void refuse(Work w, Answer.Reason reason, Consumer<AttemptReport> say) {
         works.remove(w.attempt);
         say(w, Answer.Kind.REFUSED, reason, false, say);
     }
 
     private static void say(
-            Work w, Answer.Kind kind, Answer.Reason reason, boolean ran, Consumer<Say> say) {
+            Work w,
+            Answer.Kind kind,
+            Answer.Reason reason,
+            boolean ran,
+            Consumer<AttemptReport> say) {
         say.accept(
-                new Say(
+                new AttemptReport(
                         w.placer,
                         w.attempt,
                         kind,
@@ -231,12 +235,12 @@
     }
 
     /** The placer no longer wants the attempt: it is dropped at whatever point it is. */
-    public void withdraw(long now, String placer, String attempt, Consumer<Say> say) {
+    public void withdraw(long now, String placer, String attempt, Consumer<AttemptReport> say) {
         Work w = works.get(attempt);
         if (w == null) {
             // never came, or is over: for the placer that asks now it will not run any more
             say.accept(
-                    new Say(
+                    new AttemptReport(
                             placer,
                             attempt,
                             Answer.Kind.WITHDRAWN,
@@ -257,7 +261,7 @@
 
     // ---- time ----
     /** Does what is due; to be called at {@link #next} or any other time. */
-    public void tick(long now, Consumer<Say> say) {
+    public void tick(long now, Consumer<AttemptReport> say) {
         while (!fallen && !offers.isEmpty() && lookUntil <= now) {
             Work w = offers.poll();
             lookUntil = Long.MAX_VALUE;
@@ -322,7 +326,7 @@
         }
     }
 
-    private void runs(long now, Work w, Consumer<Say> say) {
+    private void runs(long now, Work w, Consumer<AttemptReport> say) {
         starting--;
         started++;
         w.state = State.RUNNING;
@@ -341,7 +345,7 @@
     }
 
     /** Memory ran out: the newest goes first, until the rest fits. */
-    private void evict(long now, Consumer<Say> say) {
+    private void evict(long now, Consumer<AttemptReport> say) {
         List<Work> running = new ArrayList<>(works.values());
         for (int i = running.size() - 1; i >= 0 && memoryUsed > shape.memory(); i--) {
             if (running.get(i).state == State.RUNNING) {
@@ -384,7 +388,7 @@
 
     // ---- what others do to it ----
     /** Starts or ends a drain; at the start everything is sent away at once. */
-    public void drain(long now, boolean on, Consumer<Say> say) {
+    public void drain(long now, boolean on, Consumer<AttemptReport> say) {
         draining = on;
         if (!on) {
             return;
@@ -415,7 +419,7 @@
     }
 
     /** Pushes out the newest tasks, as a wave of preemption would. */
-    public void preempt(long now, int most, Consumer<Say> say) {
+    public void preempt(long now, int most, Consumer<AttemptReport> say) {
         List<Work> all = new ArrayList<>(works.values());
         for (int i = all.size() - 1; i >= Math.max(0, all.size() - most); i--) {
             if (all.get(i).state == State.RUNNING) {
--- a/agent/src/main/java/thornferry/agent/HallKeys.java
+++ b/agent/src/main/java/thornferry/agent/ZoneIdempotencyKeys.java
@@ -7,7 +7,7 @@
  * The memory of keys that the nodes of one hall share: stands in for the shared store of real
  * halls, so the nodes of a hall must live in one process here. Safe for use by several threads.
  */
-public final class HallKeys {
+public final class ZoneIdempotencyKeys {
     private record Claim(String attempt, long until) {}
 
     private static final int SWEEP_ABOVE = 10_000;
--- a/agent/src/test/java/thornferry/agent/MemoryTest.java
+++ b/agent/src/test/java/thornferry/agent/AttemptHistoryTest.java
@@ -8,10 +8,10 @@
 import thornferry.protocol.v1.Register;
 import thornferry.protocol.v1.Task;
 
-class MemoryTest {
+class AttemptHistoryTest {
     private static final long SECOND = 1_000_000;
 
-    private final Memory memory = new Memory();
+    private final AttemptHistory memory = new AttemptHistory();
 
     private static Answer over(String attempt, Effect effect, Answer.Kind kind) {
         return Answer.newBuilder()
@@ -63,15 +63,15 @@
     @Test
     void moreThanFitsInAFrameIsToldNewestFirstAndTheRestAsForgotten() {
         memory.keepFor(600 * SECOND);
-        for (int i = 1; i <= Memory.MOST + 10; i++) {
+        for (int i = 1; i <= AttemptHistory.MOST + 10; i++) {
             memory.over(i * 10_000L, over("a" + i, Effect.KEYED, Answer.Kind.ENDED));
         }
         memory.over(SECOND, over("u", Effect.UNSAFE, Answer.Kind.ENDED));
         Register r = told(400 * SECOND);
-        assertThat(r.getSerializedSize()).isLessThan(Memory.MOST_OCTETS + 100);
+        assertThat(r.getSerializedSize()).isLessThan(AttemptHistory.MOST_OCTETS + 100);
         assertThat(r.getRecentList())
                 .extracting(Answer::getAttempt)
-                .contains("u", "a" + (Memory.MOST + 10))
+                .contains("u", "a" + (AttemptHistory.MOST + 10))
                 .doesNotContain("a1", "a1000");
         long lastLeftOut = 400_000 - r.getForgotKeyedMs(); // milliseconds
         assertThat(
--- a/agent/src/test/java/thornferry/agent/NodeModelTest.java
+++ b/agent/src/test/java/thornferry/agent/NodeEmulatorTest.java
@@ -6,23 +6,23 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import thornferry.agent.NodeModel.Say;
+import thornferry.agent.NodeEmulator.AttemptReport;
 import thornferry.protocol.v1.Answer.Kind;
 import thornferry.protocol.v1.Answer.Reason;
 import thornferry.protocol.v1.Offer;
 import thornferry.protocol.v1.Task;
 
 /** A node in virtual time. */
-class NodeModelTest {
+class NodeEmulatorTest {
     private static final long MS = 1_000;
     private static final long SECOND = 1_000_000;
 
-    private final HallKeys keys = new HallKeys();
-    private final List<Say> said = new ArrayList<>();
+    private final ZoneIdempotencyKeys keys = new ZoneIdempotencyKeys();
+    private final List<AttemptReport> said = new ArrayList<>();
     private long now = 100 * SECOND;
 
-    private static Behaviour behaviour(double usesMost) {
-        return new Behaviour(
+    private static NodeBehavior behaviour(double usesMost) {
+        return new NodeBehavior(
                 5 * MS,
                 5 * MS,
                 3,
@@ -42,8 +42,8 @@
                 Map.of("keyed", 5 * SECOND));
     }
 
-    private NodeModel node(boolean warm) {
-        return new NodeModel(
+    private NodeEmulator node(boolean warm) {
+        return new NodeEmulator(
                 new NodeShape("n", "std", "a", 1, 10, 20), behaviour(0.9), keys, 1, now, 5, warm);
     }
 
@@ -64,7 +64,7 @@
                 .build();
     }
 
-    private void passes(NodeModel node, long time) {
+    private void passes(NodeEmulator node, long time) {
         for (long end = now + time; now < end; ) {
             now = Math.min(end, Math.max(now + 1, node.next()));
             node.tick(now, said::add);
@@ -74,21 +74,21 @@
     private List<Kind> kinds(String attempt) {
         return said.stream()
                 .filter(s -> s.attempt().equals(attempt) && !s.silent())
-                .map(Say::kind)
+                .map(AttemptReport::kind)
                 .toList();
     }
 
     private Reason refused(String attempt) {
         return said.stream()
                 .filter(s -> s.attempt().equals(attempt) && s.kind() == Kind.REFUSED)
-                .map(Say::reason)
+                .map(AttemptReport::reason)
                 .findFirst()
                 .orElse(null);
     }
 
     @Test
     void whatFitsIsAcceptedRunsAndEndsOnce() {
-        NodeModel node = node(true);
+        NodeEmulator node = node(true);
         node.offer(now, offer("a", "safe", 1, 1), said::add);
         node.offer(now, offer("a", "safe", 1, 1), said::add); // the same one again counts once
         passes(node, 10 * SECOND);
@@ -98,7 +98,7 @@
 
     @Test
     void whatDoesNotFitIsRefusedAndWhichIsSaid() {
-        NodeModel node = node(true);
+        NodeEmulator node = node(true);
         node.offer(now, offer("a", "safe", 11, 1), said::add);
         node.offer(now, offer("b", "safe", 1, 21), said::add);
         passes(node, SECOND);
@@ -108,7 +108,7 @@
 
     @Test
     void itLooksAtOneOfferAtATimeAndLetsOnlySoManyWait() {
-        NodeModel node = node(true);
+        NodeEmulator node = node(true);
         for (int i = 0; i < 5; i++) {
             node.offer(now, offer("a" + i, "safe", 1, 1), said::add);
         }
@@ -120,7 +120,7 @@
 
     @Test
     void aStartIsDearerWithoutTheProgram() {
-        NodeModel node = node(true);
+        NodeEmulator node = node(true);
         node.offer(now, offer("a", "safe", 1, 1), said::add);
         passes(node, 500 * MS);
         assertThat(kinds("a")).doesNotContain(Kind.RUNS);
@@ -132,8 +132,8 @@
 
     @Test
     void repeatsOfAKeyAreDroppedInTheHallWithinTheWindow() {
-        NodeModel first = node(true);
-        NodeModel second = node(true);
+        NodeEmulator first = node(true);
+        NodeEmulator second = node(true);
         first.offer(now, offer("a", "keyed", 1, 1), said::add);
         passes(first, SECOND);
         second.offer(now, offer("b", "keyed", 1, 1), said::add);
@@ -147,16 +147,16 @@
 
     @Test
     void aKeyWhoseAttemptNeverRanIsGivenBack() {
-        NodeModel node = node(true);
+        NodeEmulator node = node(true);
         node.offer(now, offer("x", "safe", 1, 1), said::add);
         node.offer(now, offer("y", "safe", 1, 1), said::add);
         node.offer(now, offer("a", "keyed", 1, 1), said::add);
         passes(node, 16 * MS); // accepted, but two starts go before it
         node.withdraw(now, "p", "a", said::add);
         assertThat(said.get(said.size() - 1))
-                .returns("a", Say::attempt)
-                .returns(Kind.WITHDRAWN, Say::kind)
-                .returns(false, Say::ran);
+                .returns("a", AttemptReport::attempt)
+                .returns(Kind.WITHDRAWN, AttemptReport::kind)
+                .returns(false, AttemptReport::ran);
         node.offer(now, offer("b", "keyed", 1, 1), said::add);
         passes(node, SECOND);
         assertThat(kinds("b")).contains(Kind.ACCEPTED);
@@ -164,7 +164,7 @@
 
     @Test
     void aColdNodeIsSlowerAndFallsOverWhenPushed() {
-        NodeModel node = node(false);
+        NodeEmulator node = node(false);
         node.offer(now, offer("a", "safe", 1, 1), said::add);
         passes(node, 2 * SECOND);
         assertThat(kinds("a")).doesNotContain(Kind.RUNS);
@@ -179,7 +179,7 @@
 
     @Test
     void aDrainSendsEverythingAwayAndTakesNothing() {
-        NodeModel node = node(true);
+        NodeEmulator node = node(true);
         node.offer(now, offer("a", "safe", 1, 1), said::add);
         passes(node, SECOND);
         node.drain(now, true, said::add);
@@ -191,8 +191,8 @@
 
     @Test
     void whenMemoryRunsOutTheNewestIsEvicted() {
-        NodeModel node =
-                new NodeModel(
+        NodeEmulator node =
+                new NodeEmulator(
                         new NodeShape("n", "std", "a", 1, 10, 20),
                         behaviour(1.5),
                         keys,
@@ -210,7 +210,7 @@
 
     @Test
     void aMutedClassIsTakenAndNothingIsSaid() {
-        NodeModel node = node(true);
+        NodeEmulator node = node(true);
         node.mute("safe", now + SECOND);
         node.offer(now, offer("a", "safe", 1, 1), said::add);
         node.offer(now, offer("b", "other", 1, 1), said::add);
--- a/app/src/main/java/thornferry/app/AgentCommand.java
+++ b/app/src/main/java/thornferry/app/AgentCommand.java
@@ -11,8 +11,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import thornferry.agent.AgentPool;
-import thornferry.agent.Behaviour;
 import thornferry.agent.NodeAgent;
+import thornferry.agent.NodeBehavior;
 import thornferry.agent.NodeShape;
 import thornferry.protocol.Heartbeat;
 
@@ -107,7 +107,8 @@
         placers.forEach(p -> targets.addAll(Addresses.parse(spec, "--placer", p)));
         Map<String, Long> windows = new HashMap<>();
         keyWindows.forEach((k, ms) -> windows.put(k, ms * 1_000));
-        Behaviour behaviour = instant ? Behaviour.instant(windows) : Behaviour.usual(windows);
+        NodeBehavior behaviour =
+                instant ? NodeBehavior.instant(windows) : NodeBehavior.usual(windows);
         AgentPool pool =
                 new AgentPool(
                         Math.min(Runtime.getRuntime().availableProcessors(), count), tls.context());
--- a/app/src/main/java/thornferry/app/AuditCommand.java
+++ b/app/src/main/java/thornferry/app/AuditCommand.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import thornferry.standin.Auditor;
+import thornferry.testbed.TraceAuditor;
 
 @Command(
         name = "audit",
@@ -32,10 +32,10 @@
 
     @Override
     public Integer call() throws Exception {
-        return print(capture, Auditor.audit(capture, slack * 1_000));
+        return print(capture, TraceAuditor.audit(capture, slack * 1_000));
     }
 
-    static int print(Path capture, Auditor.Verdict v) {
+    static int print(Path capture, TraceAuditor.Verdict v) {
         v.breaches().stream()
                 .limit(MOST_PRINTED)
                 .forEach(
--- a/app/src/main/java/thornferry/app/ConfigCommand.java
+++ b/app/src/main/java/thornferry/app/ConfigCommand.java
@@ -25,9 +25,9 @@
             System.out.println(
                     file
                             + ": good; "
-                            + read.site().module().classes().size()
+                            + read.site().placement().classes().size()
                             + " classes, "
-                            + read.site().module().machineKinds().size()
+                            + read.site().placement().machineKinds().size()
                             + " kinds, "
                             + read.site().accounts().size()
                             + " accounts");
--- a/app/src/main/java/thornferry/app/DemoCommand.java
+++ b/app/src/main/java/thornferry/app/DemoCommand.java
@@ -12,8 +12,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import thornferry.agent.AgentPool;
-import thornferry.agent.Behaviour;
 import thornferry.agent.NodeAgent;
+import thornferry.agent.NodeBehavior;
 import thornferry.agent.NodeShape;
 import thornferry.config.ConfigException;
 import thornferry.config.SiteFile;
@@ -52,7 +52,7 @@
         Placer placer = Placer.start(site.site(), site.host(), port, 1);
         InetSocketAddress address = placer.addresses().get(0);
         AgentPool nodes = new AgentPool(1);
-        Behaviour behaviour = Behaviour.usual(Map.of("depot-sync", 5_000_000L));
+        NodeBehavior behaviour = NodeBehavior.usual(Map.of("depot-sync", 5_000_000L));
         for (int i = 1; i <= 3; i++) {
             NodeShape shape =
                     new NodeShape(
--- a/app/src/main/java/thornferry/app/LoadCommand.java
+++ b/app/src/main/java/thornferry/app/LoadCommand.java
@@ -24,11 +24,11 @@
 import picocli.CommandLine.Option;
 import thornferry.config.SiteFile;
 import thornferry.config.TomlFile;
-import thornferry.standin.Auditor;
-import thornferry.standin.Capture;
-import thornferry.standin.Load;
-import thornferry.standin.Relay;
 import thornferry.state.Durability;
+import thornferry.testbed.Capture;
+import thornferry.testbed.LoadGenerator;
+import thornferry.testbed.RecordingProxy;
+import thornferry.testbed.TraceAuditor;
 
 @Command(
         name = "load",
@@ -147,16 +147,16 @@
         List<SocketAddress> targets = new ArrayList<>();
         attach.forEach(a -> targets.addAll(Addresses.parse(spec, "--attach", a)));
         int code = 0;
-        try (Load load =
-                new Load(
+        try (LoadGenerator load =
+                new LoadGenerator(
                         targets,
                         owners(),
                         "load",
                         "load-node",
-                        new Load.Fleet(nodes, "std-node", 24, 60, beat))) {
+                        new LoadGenerator.Fleet(nodes, "std-node", 24, 60, beat))) {
             Thread.sleep(5_000);
             for (double rate : rates) {
-                Load.Report report = load.run(rate, seconds, vanishEvery);
+                LoadGenerator.Report report = load.run(rate, seconds, vanishEvery);
                 print(report, Duration.ZERO, -1);
                 code = report.levyTwice() > 0 || report.unanswered() > 0 ? Main.FAILED : code;
             }
@@ -186,7 +186,7 @@
         SiteFile site = SiteFile.of(TomlFile.read(config));
         Process placer = start(config);
         Path captureFile = Files.createTempFile("thornferry-load", ".jsonl");
-        List<Relay> relays = new ArrayList<>();
+        List<RecordingProxy> relays = new ArrayList<>();
         int code = 0;
         try (Capture capture = new Capture(captureFile)) {
             int port = port(placer);
@@ -197,23 +197,23 @@
             if (audit) {
                 capture.site(site.site(), 1e9);
                 for (int i = 0; i < instances; i++) {
-                    relays.add(new Relay("p" + i, targets.get(i), capture));
+                    relays.add(new RecordingProxy("p" + i, targets.get(i), capture));
                     targets.set(i, relays.get(i).address());
                 }
             }
-            try (Load load =
-                    new Load(
+            try (LoadGenerator load =
+                    new LoadGenerator(
                             targets,
                             owners(),
                             "load",
                             "load-node",
-                            new Load.Fleet(nodes, "std-node", 24, 60, beat))) {
+                            new LoadGenerator.Fleet(nodes, "std-node", 24, 60, beat))) {
                 Thread.sleep(1_000 + nodes * (long) instances / 5); // all connect
                 load.run(Math.min(500, rates.get(0)), 5, 0); // the machines that run this warm up
                 load.fill(waiting);
                 for (double rate : rates) {
                     Duration before = placer.info().totalCpuDuration().orElse(Duration.ZERO);
-                    Load.Report report = load.run(rate, seconds, vanishEvery);
+                    LoadGenerator.Report report = load.run(rate, seconds, vanishEvery);
                     Duration after = placer.info().totalCpuDuration().orElse(Duration.ZERO);
                     print(report, after.minus(before), resident(placer));
                     code = report.levyTwice() > 0 || report.unanswered() > 0 ? Main.FAILED : code;
@@ -221,7 +221,7 @@
                 capture.close();
             }
         } finally {
-            relays.forEach(Relay::close);
+            relays.forEach(RecordingProxy::close);
             placer.destroy();
             placer.waitFor();
             Files.deleteIfExists(config);
@@ -233,7 +233,8 @@
             code =
                     Math.max(
                             code,
-                            AuditCommand.print(captureFile, Auditor.audit(captureFile, 250_000)));
+                            AuditCommand.print(
+                                    captureFile, TraceAuditor.audit(captureFile, 250_000)));
         }
         if (code == 0) {
             Files.deleteIfExists(captureFile);
@@ -313,7 +314,7 @@
         return -1;
     }
 
-    private void print(Load.Report r, Duration cpu, long megabytes) {
+    private void print(LoadGenerator.Report r, Duration cpu, long megabytes) {
         double perTask = cpu.toNanos() / 1e3 / Math.max(1, r.asked());
         if (json) {
             ObjectNode o =
--- a/app/src/main/java/thornferry/app/Main.java
+++ b/app/src/main/java/thornferry/app/Main.java
@@ -38,7 +38,7 @@
             LimitsCommand.class,
             NodesCommand.class,
             DrainCommand.class,
-            DayCommand.class,
+            ScenarioCommand.class,
             AuditCommand.class,
             LoadCommand.class,
             OverloadCommand.class,
--- a/app/src/main/java/thornferry/app/OverloadCommand.java
+++ b/app/src/main/java/thornferry/app/OverloadCommand.java
@@ -16,7 +16,7 @@
 import thornferry.config.SiteFile;
 import thornferry.config.TomlFile;
 import thornferry.placer.Site;
-import thornferry.standin.Overload;
+import thornferry.testbed.OverloadExperiment;
 
 @Command(
         name = "overload",
@@ -24,11 +24,11 @@
                 "Measure what the waiting line does under overload, against none; with charts.",
         footer = {"", "Example:", "  thornferry overload --charts charts"})
 final class OverloadCommand implements Callable<Integer> {
-    private static final List<Overload.Tenant> TENANTS =
+    private static final List<OverloadExperiment.Tenant> TENANTS =
             List.of(
-                    new Overload.Tenant("depots", "owner-0", 0.5),
-                    new Overload.Tenant("levies", "owner-1", 0.3),
-                    new Overload.Tenant("gauges", "owner-2", 0.2));
+                    new OverloadExperiment.Tenant("depots", "owner-0", 0.5),
+                    new OverloadExperiment.Tenant("levies", "owner-1", 0.3),
+                    new OverloadExperiment.Tenant("gauges", "owner-2", 0.2));
 
     @Option(
             names = "--load",
@@ -69,7 +69,7 @@
 
     @Override
     public Integer call() throws Exception {
-        Overload overload = new Overload(site(), TENANTS, nodes);
+        OverloadExperiment overload = new OverloadExperiment(site(), TENANTS, nodes);
         System.out.printf("%d nodes bear about %.0f tasks a second%n", nodes, overload.borne());
         System.out.printf(
                 "%5s %5s %7s %7s %8s %6s %-18s %9s %7s %7s %10s%n",
@@ -84,10 +84,10 @@
                 "EARLY",
                 "LATE",
                 "UNANSWERED");
-        List<Overload.Outcome> outcomes = new ArrayList<>();
+        List<OverloadExperiment.Outcome> outcomes = new ArrayList<>();
         for (double load : loads) {
             for (boolean line : new boolean[] {false, true}) {
-                Overload.Outcome o = overload.run(load, line, seconds);
+                OverloadExperiment.Outcome o = overload.run(load, line, seconds);
                 outcomes.add(o);
                 System.out.printf(
                         "%5.1f %5s %7d %7d %8.0f %6.3f %-18s %9.0f %7d %7d %10d%n",
@@ -110,7 +110,7 @@
         }
         for (double load : large) {
             for (boolean gather : new boolean[] {false, true}) {
-                Overload.Large l = overload.large(load, gather, seconds);
+                OverloadExperiment.Large l = overload.large(load, gather, seconds);
                 System.out.printf(
                         "load %.1f, room gathered for large tasks %s: %d of %d placed, worth of all"
                                 + " %.0f/s%n",
@@ -119,7 +119,7 @@
         }
         Map<String, double[][]> recoveries = new LinkedHashMap<>();
         for (boolean line : new boolean[] {false, true}) {
-            Overload.Recovery r = overload.storm(line, storm, 30);
+            OverloadExperiment.Recovery r = overload.storm(line, storm, 30);
             System.out.printf(
                     "storm of %d, line %s: %s%n",
                     r.tasks(),
@@ -138,26 +138,26 @@
                     "worth",
                     "Worth placed a second",
                     "worth/s",
-                    Overload.Outcome::worthPerSecond);
+                    OverloadExperiment.Outcome::worthPerSecond);
             chart(
                     outcomes,
                     "fairness",
                     "Jain's index over served of entitled",
                     "index",
-                    Overload.Outcome::jain);
+                    OverloadExperiment.Outcome::jain);
             chart(outcomes, "answers", "p99 of the time to an answer", "ms", o -> o.p99() / 1e3);
             chart(
                     outcomes,
                     "late",
                     "Refusals after nine tenths of patience",
                     "refusals",
-                    Overload.Outcome::late);
+                    OverloadExperiment.Outcome::late);
             chart(
                     outcomes,
                     "early",
                     "Refusals within half of patience",
                     "refusals",
-                    Overload.Outcome::early);
+                    OverloadExperiment.Outcome::early);
             Charts.write(
                     charts.resolve("recovery.png"),
                     "Fresh tasks placed within a second, after a storm of " + storm,
@@ -170,11 +170,11 @@
     }
 
     private void chart(
-            List<Overload.Outcome> outcomes,
+            List<OverloadExperiment.Outcome> outcomes,
             String file,
             String title,
             String unit,
-            ToDoubleFunction<Overload.Outcome> of)
+            ToDoubleFunction<OverloadExperiment.Outcome> of)
             throws IOException {
         Map<String, double[][]> series = new LinkedHashMap<>();
         for (boolean line : new boolean[] {false, true}) {
@@ -198,7 +198,7 @@
         try (InputStream in = OverloadCommand.class.getResourceAsStream("/load.toml")) {
             text.append(new String(in.readAllBytes(), StandardCharsets.UTF_8));
         }
-        for (Overload.Tenant t : TENANTS) {
+        for (OverloadExperiment.Tenant t : TENANTS) {
             text.append("[[tenant]]\nname = \"")
                     .append(t.name())
                     .append("\"\nshare = ")
--- a/app/src/main/java/thornferry/app/DayCommand.java
+++ b/app/src/main/java/thornferry/app/ScenarioCommand.java
@@ -6,17 +6,17 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import thornferry.standin.Auditor;
-import thornferry.standin.Day;
-import thornferry.standin.DayFile;
-import thornferry.standin.Scenarios;
 import thornferry.state.Durability;
+import thornferry.testbed.PendingReasonScenarios;
+import thornferry.testbed.ScenarioFile;
+import thornferry.testbed.ScenarioRunner;
+import thornferry.testbed.TraceAuditor;
 
 @Command(
         name = "day",
         description = "Scripted days on loopback.",
-        subcommands = {DayCommand.Run.class, DayCommand.Reasons.class})
-final class DayCommand extends Main.Group {
+        subcommands = {ScenarioCommand.Run.class, ScenarioCommand.Reasons.class})
+final class ScenarioCommand extends Main.Group {
     @Command(
             name = "reasons",
             description =
@@ -34,7 +34,7 @@
         public Integer call() throws Exception {
             System.out.printf(
                     "%-46s %-14s %10s %10s%n", "SCENARIO", "SHOWN", "AFTER ms", "PLACED ms");
-            for (Scenarios.Shown s : Scenarios.play()) {
+            for (PendingReasonScenarios.Shown s : PendingReasonScenarios.play()) {
                 System.out.printf(
                         "%-46s %-14s %10.1f %10s%n",
                         s.scenario(),
@@ -42,7 +42,7 @@
                         s.shownMicros() / 1e3,
                         s.placedMicros() < 0 ? "-" : String.format("%.1f", s.placedMicros() / 1e3));
             }
-            long[] medians = Scenarios.timing(2_000);
+            long[] medians = PendingReasonScenarios.timing(2_000);
             System.out.printf(
                     "asked about another's task: median %d us; about one that there is not: %d"
                             + " us%n",
@@ -88,7 +88,7 @@
 
         @Override
         public Integer call() throws Exception {
-            DayFile file = DayFile.read(script);
+            ScenarioFile file = ScenarioFile.read(script);
             if (seed != null) {
                 file = file.withSeed(seed);
             }
@@ -96,7 +96,7 @@
                 file = file.withDurability(durability);
             }
             Path to = capture == null ? Files.createTempFile("thornferry-day", ".jsonl") : capture;
-            Day.Outcome o = Day.play(file, to);
+            ScenarioRunner.Outcome o = ScenarioRunner.play(file, to);
             System.out.printf(
                     "seed %d: %d tasks, %d asks: %d placed, %d refused, %d failed, %d unanswered;"
                             + " then %d ended, %d evicted, %d lost; module failures %d%n",
@@ -111,7 +111,7 @@
                     o.evicted(),
                     o.lost(),
                     o.moduleFailures());
-            Auditor.Verdict verdict = Auditor.audit(to, slack * 1_000);
+            TraceAuditor.Verdict verdict = TraceAuditor.audit(to, slack * 1_000);
             int code = AuditCommand.print(to, verdict);
             if (capture == null && code == 0) {
                 Files.delete(to);
--- a/app/src/main/java/thornferry/app/ServeCommand.java
+++ b/app/src/main/java/thornferry/app/ServeCommand.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
-import thornferry.platform.Serve;
+import thornferry.platform.PlatformServer;
 
 @Command(
         name = "serve",
@@ -13,6 +13,6 @@
 final class ServeCommand implements Callable<Integer> {
     @Override
     public Integer call() {
-        return Serve.run(System.getenv(), System.err);
+        return PlatformServer.run(System.getenv(), System.err);
     }
 }
--- a/app/src/main/java/thornferry/app/StateCommand.java
+++ b/app/src/main/java/thornferry/app/StateCommand.java
@@ -17,9 +17,9 @@
 import thornferry.decisions.recovery.JournalRecord;
 import thornferry.decisions.recovery.Recovery;
 import thornferry.state.Durability;
+import thornferry.state.JournalContents;
 import thornferry.state.JournalFile;
 import thornferry.state.JournalWords;
-import thornferry.state.Reading;
 
 @Command(
         name = "state",
@@ -131,8 +131,8 @@
         public Integer call() throws IOException {
             ObjectMapper mapper = new ObjectMapper();
             for (Path file : newest(folder)) {
-                Reading reading = Reading.of(file, null);
-                List<Row> rows = rows(recovery(reading.promises()).snapshot());
+                JournalContents reading = JournalContents.of(file, null);
+                List<Row> rows = rows(recovery(reading.records()).snapshot());
                 Map<String, Long> counts = new LinkedHashMap<>();
                 rows.forEach(r -> counts.merge(r.state(), 1L, Long::sum));
                 if (json) {
@@ -140,9 +140,9 @@
                             mapper.createObjectNode()
                                     .put("file", file.toString())
                                     .put("placer", reading.placer())
-                                    .put("lines", reading.promises().size())
-                                    .put("whole", reading.whole())
-                                    .put("trouble", reading.trouble());
+                                    .put("lines", reading.records().size())
+                                    .put("whole", reading.complete())
+                                    .put("trouble", reading.problem());
                     counts.forEach(line::put);
                     System.out.println(line);
                 } else {
@@ -151,12 +151,12 @@
                                     + ": placer "
                                     + reading.placer()
                                     + ", "
-                                    + reading.promises().size()
+                                    + reading.records().size()
                                     + " lines, "
                                     + counts
-                                    + (reading.trouble().isEmpty()
+                                    + (reading.problem().isEmpty()
                                             ? ""
-                                            : "; " + reading.trouble()));
+                                            : "; " + reading.problem()));
                 }
                 for (Row r : tasks ? rows : List.<Row>of()) {
                     if (json) {
@@ -185,14 +185,14 @@
         public Integer call() throws IOException {
             boolean good = true;
             for (Path file : newest(folder)) {
-                Reading reading = Reading.of(file, null);
-                good &= reading.whole() && !reading.foreign();
+                JournalContents reading = JournalContents.of(file, null);
+                good &= reading.complete() && !reading.foreign();
                 System.out.println(
                         file
                                 + ": "
-                                + (reading.trouble().isEmpty()
-                                        ? "whole, " + reading.promises().size() + " lines"
-                                        : reading.trouble()));
+                                + (reading.problem().isEmpty()
+                                        ? "whole, " + reading.records().size() + " lines"
+                                        : reading.problem()));
             }
             return good ? 0 : Main.FAILED;
         }
@@ -216,21 +216,21 @@
                                 + " holds folders of instances; name one of them, such as "
                                 + file.getParent());
             }
-            Reading reading = Reading.of(file, null);
-            if (reading.foreign() || !reading.whole()) {
-                throw new IOException(file + " " + reading.trouble() + "; it is left as it is");
+            JournalContents reading = JournalContents.of(file, null);
+            if (reading.foreign() || !reading.complete()) {
+                throw new IOException(file + " " + reading.problem() + "; it is left as it is");
             }
             Durability durability =
-                    reading.last() == null
+                    reading.lastIncarnation() == null
                             ? Durability.OS
-                            : Durability.valueOf(reading.last().getDurability());
+                            : Durability.valueOf(reading.lastIncarnation().getDurability());
             try (JournalFile journal = JournalFile.open(folder, reading.placer(), durability)) {
-                List<JournalRecord> left = recovery(journal.promises()).snapshot();
-                journal.begin(left);
+                List<JournalRecord> left = recovery(journal.records()).snapshot();
+                journal.startIncarnation(left);
                 System.out.println(
                         folder
                                 + ": "
-                                + journal.promises().size()
+                                + journal.records().size()
                                 + " lines before, "
                                 + left.size()
                                 + " now");
--- a/app/src/test/java/thornferry/app/CommandLineTest.java
+++ b/app/src/test/java/thornferry/app/CommandLineTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import thornferry.agent.AgentPool;
-import thornferry.agent.Behaviour;
 import thornferry.agent.NodeAgent;
+import thornferry.agent.NodeBehavior;
 import thornferry.agent.NodeShape;
 import thornferry.config.SiteFile;
 import thornferry.decisions.placement.Placement.Idempotency;
@@ -274,7 +274,7 @@
         assertThat(run("config", "check", "../examples/site.toml").out())
                 .contains("good; 3 classes, 2 kinds, 3 accounts");
         for (String day : new String[] {"short", "long"}) {
-            thornferry.standin.DayFile.read(Path.of("../examples/days/" + day + ".toml"));
+            thornferry.testbed.ScenarioFile.read(Path.of("../examples/days/" + day + ".toml"));
         }
     }
 
@@ -314,7 +314,7 @@
         Path instance = state.resolve("p-0");
         TaskSpec wish = new TaskSpec("t-1", "levy-run", "s", "", 1, 1, null, 0);
         try (JournalFile journal = JournalFile.open(instance, "p-0", Durability.OS)) {
-            journal.begin(List.of());
+            journal.startIncarnation(List.of());
             for (int i = 0; i < 3; i++) {
                 journal.append(
                         new JournalRecord.Offered(
@@ -424,7 +424,7 @@
             String at = Integer.toString(placer.addresses().get(0).getPort());
             nodes.add(
                     new NodeShape("n1", "std-node", "hall-a", 0, 24, 48),
-                    Behaviour.usual(Map.of()),
+                    NodeBehavior.usual(Map.of()),
                     List.of(placer.addresses().get(0)),
                     null,
                     null,
--- a/client/src/main/java/thornferry/client/TaskClient.java
+++ b/client/src/main/java/thornferry/client/TaskClient.java
@@ -41,20 +41,20 @@
  */
 public final class TaskClient implements AutoCloseable {
     /** The placer did not take the task, or its result did not come while the owner waited. */
-    public static final class NotTaken extends Exception {
+    public static final class RequestNotAcceptedException extends Exception {
         private static final long serialVersionUID = 1;
 
-        NotTaken(String message) {
+        RequestNotAcceptedException(String message) {
             super(message);
         }
     }
 
-    private static final class Asked {
+    private static final class OutstandingRequest {
         final Task task;
         final CompletableFuture<TaskNews> result = new CompletableFuture<>();
         final long until;
 
-        Asked(Task task, long until) {
+        OutstandingRequest(Task task, long until) {
             this.task = task;
             this.until = until;
         }
@@ -80,7 +80,7 @@
     private final EventLoop loop;
     private final MultiThreadIoEventLoopGroup ownLoops;
     private final Consumer<TaskNews> events;
-    private final Map<String, Asked> waiting = new LinkedHashMap<>();
+    private final Map<String, OutstandingRequest> waiting = new LinkedHashMap<>();
     private final Map<String, CompletableFuture<Frame>> questions =
             new HashMap<>(); // by correlation id
     private Consumer<Why> reasons;
@@ -133,16 +133,16 @@
 
     /**
      * Asks for a task. The future ends with its result (placed, refused or failed), or
-     * exceptionally with {@link NotTaken} where the placer does not take it or says nothing in
-     * time.
+     * exceptionally with {@link RequestNotAcceptedException} where the placer does not take it or
+     * says nothing in time.
      */
     public CompletableFuture<TaskNews> submit(Task task) {
         long patience = task.hasPatienceMs() ? task.getPatienceMs() : USUAL_PATIENCE_MS;
         long until = now() + patience + GRACE_MS;
-        Asked asked = new Asked(task, until);
+        OutstandingRequest asked = new OutstandingRequest(task, until);
         loop.execute(
                 () -> {
-                    Asked before = waiting.putIfAbsent(task.getId(), asked);
+                    OutstandingRequest before = waiting.putIfAbsent(task.getId(), asked);
                     if (before != null) {
                         before.result.whenComplete((news, e) -> pass(asked, news, e));
                         return;
@@ -158,7 +158,7 @@
         return asked.result;
     }
 
-    private static void pass(Asked asked, TaskNews news, Throwable e) {
+    private static void pass(OutstandingRequest asked, TaskNews news, Throwable e) {
         if (e == null) {
             asked.result.complete(news);
         } else {
@@ -166,13 +166,13 @@
         }
     }
 
-    private void give(Asked asked, String why) {
+    private void give(OutstandingRequest asked, String why) {
         if (waiting.remove(asked.task.getId(), asked)) {
-            asked.result.completeExceptionally(new NotTaken(why));
+            asked.result.completeExceptionally(new RequestNotAcceptedException(why));
         }
     }
 
-    private void send(Asked asked) {
+    private void send(OutstandingRequest asked) {
         Task task = asked.task;
         if (task.hasPatienceMs()) {
             // asked again after a break: what is left of the owner's patience, not the whole of it
@@ -196,7 +196,8 @@
         loop.execute(
                 () -> {
                     if (connection == null || !connection.open()) {
-                        done.completeExceptionally(new NotTaken("not connected"));
+                        done.completeExceptionally(
+                                new RequestNotAcceptedException("not connected"));
                         return;
                     }
                     connection.request(
@@ -206,7 +207,8 @@
                                 if (error == null) {
                                     done.complete(null);
                                 } else {
-                                    done.completeExceptionally(new NotTaken(error));
+                                    done.completeExceptionally(
+                                            new RequestNotAcceptedException(error));
                                 }
                             });
                 });
@@ -259,7 +261,8 @@
         loop.execute(
                 () -> {
                     if (connection == null || !connection.open()) {
-                        answer.completeExceptionally(new NotTaken("not connected"));
+                        answer.completeExceptionally(
+                                new RequestNotAcceptedException("not connected"));
                         return;
                     }
                     String id = "c" + ++questionNumber;
@@ -271,9 +274,9 @@
                                         try {
                                             if (e != null) {
                                                 answer.completeExceptionally(
-                                                        e instanceof NotTaken
+                                                        e instanceof RequestNotAcceptedException
                                                                 ? e
-                                                                : new NotTaken(
+                                                                : new RequestNotAcceptedException(
                                                                         "no answer in time"));
                                             } else {
                                                 answer.complete(Bodies.<M>read(frame, into));
@@ -296,7 +299,8 @@
                                     false),
                             error -> {
                                 if (error != null && questions.remove(id) != null) {
-                                    got.completeExceptionally(new NotTaken(error));
+                                    got.completeExceptionally(
+                                            new RequestNotAcceptedException(error));
                                 }
                             });
                 });
@@ -370,7 +374,7 @@
                 return; // of a later version of the protocol: not for us
             }
             if (!news.getResult().isEmpty()) {
-                Asked asked = waiting.remove(news.getTask());
+                OutstandingRequest asked = waiting.remove(news.getTask());
                 if (asked != null) {
                     asked.result.complete(news);
                 }
@@ -383,7 +387,7 @@
         public void closed(ClientConnection c, String why) {
             connection = null;
             List.copyOf(questions.values())
-                    .forEach(q -> q.completeExceptionally(new NotTaken(why)));
+                    .forEach(q -> q.completeExceptionally(new RequestNotAcceptedException(why)));
             questions.clear();
             boolean refused = why.startsWith("login or passcode");
             if (refused) {
--- a/config/src/main/java/thornferry/config/LineSection.java
+++ b/config/src/main/java/thornferry/config/AdmissionSection.java
@@ -15,7 +15,7 @@
  * The table {@code [line]}, the tables {@code [[limit]]}, the shares of tenants and what classes do
  * at a limit.
  */
-final class LineSection {
+final class AdmissionSection {
     private static final long HOUR_MS = 3_600_000;
     private static final double NONE = Double.POSITIVE_INFINITY;
 
@@ -25,7 +25,7 @@
         REFUSE
     }
 
-    private LineSection() {}
+    private AdmissionSection() {}
 
     static AdmissionSettings read(Section root, Placement.Settings module) {
         AdmissionSettings usual = AdmissionSettings.defaults();
--- a/config/src/main/java/thornferry/config/SiteFile.java
+++ b/config/src/main/java/thornferry/config/SiteFile.java
@@ -63,7 +63,7 @@
                         accounts(root, module),
                         membership(root),
                         intake(root),
-                        LineSection.read(root, module),
+                        AdmissionSection.read(root, module),
                         TlsSection.read(root, file.directory()),
                         limits,
                         heartbeat,
--- a/decisions/src/main/java/thornferry/decisions/placement/Placement.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/Placement.java
@@ -92,7 +92,7 @@
         EVACUATED
     }
 
-    /** Why a listed, ready machine gets no offer of a held task now; see {@link Pending}. */
+    /** Why a listed, ready machine gets no offer of a held task now; see {@link PendingAppend}. */
     enum FilterReason {
         MACHINE_TOO_SMALL,
         WRONG_KIND,
--- a/placer/src/main/java/thornferry/placer/Access.java
+++ b/placer/src/main/java/thornferry/placer/DestinationPermissions.java
@@ -7,9 +7,9 @@
 import thornferry.protocol.Destinations;
 
 /** Which destination takes which role: the one place where that stands. */
-final class Access {
+final class DestinationPermissions {
     /** What a destination leads to. */
-    enum To {
+    enum Endpoint {
         TASKS,
         STOP,
         RESULTS,
@@ -30,44 +30,45 @@
     private static final Set<Role> AGENTS = EnumSet.of(Role.AGENT);
     private static final Set<Role> OPERATORS = EnumSet.of(Role.OPERATOR);
 
-    private static final Map<String, To> SEND =
+    private static final Map<String, Endpoint> SEND =
             Map.ofEntries(
-                    Map.entry(Destinations.TASKS, To.TASKS), Map.entry(Destinations.STOP, To.STOP),
-                    Map.entry(Destinations.WHY, To.WHY),
-                            Map.entry(Destinations.WAITING, To.WAITING),
-                    Map.entry(Destinations.LIMITS, To.LIMITS),
-                            Map.entry(Destinations.RELOAD, To.RELOAD),
-                    Map.entry(Destinations.REGISTER, To.REGISTER),
-                            Map.entry(Destinations.ANSWERS, To.ANSWERS),
-                    Map.entry(Destinations.PROBES, To.PROBES),
-                            Map.entry(Destinations.DRAIN, To.DRAIN));
+                    Map.entry(Destinations.TASKS, Endpoint.TASKS),
+                            Map.entry(Destinations.STOP, Endpoint.STOP),
+                    Map.entry(Destinations.WHY, Endpoint.WHY),
+                            Map.entry(Destinations.WAITING, Endpoint.WAITING),
+                    Map.entry(Destinations.LIMITS, Endpoint.LIMITS),
+                            Map.entry(Destinations.RELOAD, Endpoint.RELOAD),
+                    Map.entry(Destinations.REGISTER, Endpoint.REGISTER),
+                            Map.entry(Destinations.ANSWERS, Endpoint.ANSWERS),
+                    Map.entry(Destinations.PROBES, Endpoint.PROBES),
+                            Map.entry(Destinations.DRAIN, Endpoint.DRAIN));
 
-    private static final Map<String, To> SUBSCRIBE =
+    private static final Map<String, Endpoint> SUBSCRIBE =
             Map.of(
                     Destinations.RESULTS,
-                    To.RESULTS,
+                    Endpoint.RESULTS,
                     Destinations.WAITING,
-                    To.WAITING,
+                    Endpoint.WAITING,
                     Destinations.NODES,
-                    To.NODES);
+                    Endpoint.NODES);
 
-    private Access() {}
+    private DestinationPermissions() {}
 
     /** What a SEND leads to, or null where there is no such destination. */
-    static To send(String destination) {
+    static Endpoint send(String destination) {
         return SEND.get(destination);
     }
 
     /** What a SUBSCRIBE leads to, or null. Names are compared whole: there are no patterns. */
-    static To subscribe(String destination) {
+    static Endpoint subscribe(String destination) {
         return Destinations.nodeOfOffers(destination) != null
-                ? To.OFFERS
+                ? Endpoint.OFFERS
                 : destination.startsWith(Destinations.REPLIES)
-                        ? To.REPLIES
+                        ? Endpoint.REPLIES
                         : SUBSCRIBE.get(destination);
     }
 
-    static boolean allows(Role role, To to) {
+    static boolean allows(Role role, Endpoint to) {
         return switch (to) {
             case TASKS, STOP, RESULTS, WAITING, WHY, LIMITS -> OWNERS.contains(role);
             case REGISTER, ANSWERS, PROBES, OFFERS -> AGENTS.contains(role);
--- a/placer/src/main/java/thornferry/placer/Gate.java
+++ b/placer/src/main/java/thornferry/placer/LoginAuthenticator.java
@@ -24,7 +24,7 @@
  * remembered as a keyed digest until accounts change, so that a thousand nodes that dial again do
  * not cost a thousand hashes. Safe for use by several threads.
  */
-final class Gate implements AutoCloseable {
+final class LoginAuthenticator implements AutoCloseable {
     private static final int THREADS = 2;
     private static final int QUEUE = 512;
     private static final int REMEMBERED = 20_000;
@@ -50,7 +50,7 @@
             new ConcurrentHashMap<>(); // digest of login, passcode and stored secret
     private volatile Map<String, Account> accounts;
 
-    Gate(List<Account> accounts) {
+    LoginAuthenticator(List<Account> accounts) {
         new SecureRandom().nextBytes(secret);
         set(accounts);
     }
@@ -74,7 +74,11 @@
      * microseconds.
      */
     void check(
-            String address, String login, String passcode, Later later, Consumer<String> answer) {
+            String address,
+            String login,
+            String passcode,
+            DelayedExecutor later,
+            Consumer<String> answer) {
         String name = login == null ? "" : login.length() > Passcodes.MOST_LENGTH ? "" : login;
         Account account = accounts.get(name);
         String digest =
@@ -115,7 +119,7 @@
     }
 
     /** Runs something after so many microseconds. */
-    interface Later {
+    interface DelayedExecutor {
         void run(long micros, Runnable what);
     }
 
--- a/placer/src/main/java/thornferry/placer/TlsPort.java
+++ b/placer/src/main/java/thornferry/placer/OptionalTlsHandler.java
@@ -15,12 +15,12 @@
  * The first handler of a port that speaks TLS. One who comes in plain text is told so, in plain
  * text, and cut off.
  */
-final class TlsPort extends OptionalSslHandler {
+final class OptionalTlsHandler extends OptionalSslHandler {
     private static final String TOLD = "ERROR\nmessage:this port speaks TLS 1.3 only\n\n\0\n";
 
     private final int handshakeMs;
 
-    TlsPort(SslContext context, int handshakeMs) {
+    OptionalTlsHandler(SslContext context, int handshakeMs) {
         super(context);
         this.handshakeMs = handshakeMs;
     }
--- a/placer/src/main/java/thornferry/placer/Placer.java
+++ b/placer/src/main/java/thornferry/placer/Placer.java
@@ -45,13 +45,13 @@
     private static final int READ_OCTETS = 8 << 10;
 
     private final MultiThreadIoEventLoopGroup loops;
-    private final List<PlacerInstance> instances = new ArrayList<>();
+    private final List<PlacerServer> instances = new ArrayList<>();
     private final List<EventLoop> loopOf = new ArrayList<>();
     private final List<Channel> listeners = new ArrayList<>();
     private final List<ChannelGroup> accepted = new ArrayList<>();
     private final List<JournalFile> journals = new ArrayList<>();
 
-    private final Gate gate;
+    private final LoginAuthenticator gate;
     private volatile SslContext tls; // null for plain text
     private volatile Site site;
     private volatile Source source =
@@ -68,7 +68,7 @@
     private Placer(Site site, int threads) throws IOException {
         this.site = site;
         tls = context(site);
-        gate = new Gate(site.accounts());
+        gate = new LoginAuthenticator(site.accounts());
         loops = new MultiThreadIoEventLoopGroup(threads, NioIoHandler.newFactory());
     }
 
@@ -115,12 +115,11 @@
             Function<Placement.Settings, Placement> maker)
             throws IOException {
         EventLoop loop = loops.next();
-        Core.Kept kept = kept(site, number);
-        PlacerInstance instance =
-                new PlacerInstance(
-                        site, number, loop, Clock.system(), gate, reloading, maker, kept);
+        PlacerCore.RecoveredState kept = kept(site, number);
+        PlacerServer instance =
+                new PlacerServer(site, number, loop, Clock.system(), gate, reloading, maker, kept);
         if (kept.journal() instanceof JournalFile file) {
-            file.begin(instance.promised());
+            file.startIncarnation(instance.recordsToKeep());
         }
         ChannelGroup open = new DefaultChannelGroup(loop);
         Channel listener;
@@ -151,7 +150,7 @@
                                             if (context != null) {
                                                 channel.pipeline()
                                                         .addLast(
-                                                                new TlsPort(
+                                                                new OptionalTlsHandler(
                                                                         context,
                                                                         site.handshakeMs()));
                                             }
@@ -187,11 +186,11 @@
      * What former lives of an instance left. A folder that cannot be used costs what must be
      * promised, and no more.
      */
-    private Core.Kept kept(Site site, int number) throws IOException {
+    private PlacerCore.RecoveredState kept(Site site, int number) throws IOException {
         if (site.state().durability() == Durability.NONE) {
-            return Core.Kept.NOTHING;
+            return PlacerCore.RecoveredState.NOTHING;
         }
-        String name = PlacerInstance.name(site, number);
+        String name = PlacerServer.name(site, number);
         Path folder = site.state().folder().resolve(name);
         try {
             JournalFile file = JournalFile.open(folder, name, site.state().durability());
@@ -201,17 +200,20 @@
                     .log(
                             "journal in {}: {} lines of former lives{}",
                             folder,
-                            file.promises().size(),
-                            file.lacking().isEmpty() ? "" : "; " + file.lacking());
-            return new Core.Kept(file, file.promises(), file.lacking().isEmpty());
-        } catch (JournalFile.InUse e) {
+                            file.records().size(),
+                            file.incompleteBecause().isEmpty()
+                                    ? ""
+                                    : "; " + file.incompleteBecause());
+            return new PlacerCore.RecoveredState(
+                    file, file.records(), file.incompleteBecause().isEmpty());
+        } catch (JournalFile.JournalInUseException e) {
             throw e;
         } catch (IOException e) {
             String why = "the journal in " + folder + " cannot be used: " + e;
             LOG.atError()
                     .addKeyValue("instance", name)
                     .log("{}; keyed and unsafe tasks are refused", why);
-            return new Core.Kept(Journal.broken(why), List.of(), false);
+            return new PlacerCore.RecoveredState(Journal.broken(why), List.of(), false);
         }
     }
 
@@ -219,8 +221,8 @@
         return site.tls() == null ? null : Tls.server(site.tls().files(), site.tls().clients());
     }
 
-    private final PlacerInstance.Reloading reloading =
-            new PlacerInstance.Reloading() {
+    private final PlacerServer.ConfigurationReloader reloading =
+            new PlacerServer.ConfigurationReloader() {
                 @Override
                 public String reload() {
                     return Placer.this.reload();
@@ -255,13 +257,13 @@
             tls = context;
             gate.set(next.accounts());
             String left =
-                    next.module().equals(site.module())
+                    next.placement().equals(site.placement())
                             ? ""
                             : "; changes of classes, kinds, rules or prices wait"
                                     + " for a restart";
             site = next;
             for (int i = 0; i < instances.size(); i++) {
-                PlacerInstance instance = instances.get(i);
+                PlacerServer instance = instances.get(i);
                 loopOf.get(i).execute(() -> instance.reload(next));
             }
             lastReload = java.time.Instant.now() + ": good" + left;
@@ -291,14 +293,19 @@
 
     /** Asks, results and offers since the start; tasks in hand and attempts held now. */
     public record Totals(
-            long asks, long results, long offers, long moduleFailures, int inHand, int attempts) {
+            long requests,
+            long results,
+            long offers,
+            long policyFailures,
+            int pending,
+            int attempts) {
         private Totals plus(Totals o) {
             return new Totals(
-                    asks + o.asks,
+                    requests + o.requests,
                     results + o.results,
                     offers + o.offers,
-                    moduleFailures + o.moduleFailures,
-                    inHand + o.inHand,
+                    policyFailures + o.policyFailures,
+                    pending + o.pending,
                     attempts + o.attempts);
         }
     }
--- a/placer/src/main/java/thornferry/placer/Core.java
+++ b/placer/src/main/java/thornferry/placer/PlacerCore.java
@@ -40,47 +40,47 @@
  * the next. It knows neither frames nor sockets and decides nothing; docs/design/placer.md and
  * waiting.md say what means what. Everything runs on one event loop.
  */
-final class Core {
+final class PlacerCore {
     /** What leads out of the modules. */
-    interface Out {
+    interface Output {
         /**
          * Sends an offer; false where nothing was written. A write that fails later is told by
          * {@link #notWritten}.
          */
         boolean offer(String machine, String attempt, RequestTracker.OfferDetails of);
 
-        void withdraw(String machine, String attempt);
+        void cancelAttempt(String machine, String attempt);
 
         /** Sends a probe; false where nothing was written. */
-        boolean probe(String machine, long number);
+        boolean checkHealth(String machine, long number);
 
-        void tellDrain(String machine, boolean on);
+        void notifyDrain(String machine, boolean on);
 
         /** A machine is admitted: it is to remember so long what it ran for this placer. */
         void welcome(String machine, long remember);
 
-        void deliver(ResultNotification news);
+        void notifyResult(ResultNotification news);
 
-        void closeLink(long link, String why);
+        void closeConnection(long link, String why);
 
         /** A task's reason or state is another now. */
-        void changed(PendingReasons.ReasonChanged changed);
+        void reasonChanged(PendingReasons.ReasonChanged changed);
     }
 
     /** An attempt that a machine says it holds. */
-    record Held(String attempt, String owner, TaskSpec wish, boolean runs) {}
+    record HeldAttempt(String attempt, String owner, TaskSpec spec, boolean running) {}
 
     /** What a machine says of an attempt; {@code report} may be null. */
-    record Said(
+    record AttemptReport(
             String attempt,
-            AttemptStatus word,
-            RejectionReason why,
+            AttemptStatus status,
+            RejectionReason rejectionReason,
             boolean ran,
             double[] report) {}
 
-    private record Probing(long number, long sentAt) {}
+    private record PendingHealthCheck(long number, long sentAt) {}
 
-    private static final Logger LOG = LoggerFactory.getLogger(Core.class);
+    private static final Logger LOG = LoggerFactory.getLogger(PlacerCore.class);
     private static final int SLOW_TICK = 5; // membership is looked after every so many ticks
     private static final long PROBE_GIVEN_UP = 2_000_000;
     private static final int HISTORY = 32;
@@ -88,8 +88,8 @@
     private final String name;
     private final EventLoop loop;
     private final Clock clock;
-    private final Out out;
-    private final ModuleHost module;
+    private final Output out;
+    private final PolicyExecutor module;
     private final Membership membership;
     private final AttemptTracker attempts;
     private final RequestTracker intake;
@@ -107,9 +107,9 @@
     private final Map<String, Double> worths = new HashMap<>();
     private final Map<String, Placement.PlacementRequest> asks =
             new HashMap<>(); // by request, until it is placed or answered
-    private final Map<String, Probing> probing = new LinkedHashMap<>();
-    private final Map<String, Held> adoptable = new HashMap<>(); // during one registration
-    private List<Said> recent = List.of(); // likewise
+    private final Map<String, PendingHealthCheck> probing = new LinkedHashMap<>();
+    private final Map<String, HeldAttempt> adoptable = new HashMap<>(); // during one registration
+    private List<AttemptReport> recent = List.of(); // likewise
     private List<RetainedAttempt> recalled = List.of(); // likewise
     private Map<Placement.Idempotency, Long> remembersSince = Map.of(); // likewise
     private RejectionReason saying = RejectionReason.NONE; // during one answer
@@ -122,17 +122,17 @@
      * What former lives left.
      *
      * @param journal where this life writes
-     * @param promises what stood in it
-     * @param whole whether all that former lives offered stands in it
+     * @param records what stood in it
+     * @param complete whether all that former lives offered stands in it
      */
-    record Kept(Journal journal, List<JournalRecord> promises, boolean whole) {
-        static final Kept NOTHING = new Kept(Journal.NONE, List.of(), false);
+    record RecoveredState(Journal journal, List<JournalRecord> records, boolean complete) {
+        static final RecoveredState NOTHING = new RecoveredState(Journal.NONE, List.of(), false);
     }
 
     /**
      * @param tenants gives an owner's tenant, empty for none
      */
-    Core(
+    PlacerCore(
             Site site,
             int number,
             String name,
@@ -140,19 +140,19 @@
             Clock clock,
             Function<Placement.Settings, Placement> maker,
             Function<String, String> tenants,
-            Kept kept,
-            Out out) {
+            RecoveredState kept,
+            Output out) {
         this.name = name;
         this.loop = loop;
         this.clock = clock;
         this.out = out;
         this.tenants = tenants;
-        Placement.Settings settings = site.moduleOf(number);
+        Placement.Settings settings = site.placementOf(number);
         long now = clock.now();
         settings.classes().forEach(c -> effects.put(c.name(), c.idempotency()));
         settings.classes().forEach(c -> worths.put(c.name(), c.priorityWeight()));
         module =
-                new ModuleHost(
+                new PolicyExecutor(
                         maker.apply(settings),
                         loop,
                         clock,
@@ -160,25 +160,27 @@
                         this::moduleFailed,
                         LOG,
                         name);
-        membership = new Membership(site.membership(), settings.machineKinds());
+        membership = new Membership(site.membershipLimits(), settings.machineKinds());
         attempts = new AttemptTracker(name + "." + Long.toString(now, 36));
         intake =
                 new RequestTracker(
-                        kept.whole() ? site.intake().withoutSettling() : site.intake(),
+                        kept.complete()
+                                ? site.requestLimits().withoutSettling()
+                                : site.requestLimits(),
                         settings.classes(),
                         settings.seed(),
                         now);
         recovery =
                 new Recovery(
                         new Recovery.Limits(
-                                site.intake().retentionMicros(),
-                                site.intake().maxWaitMicros(),
-                                site.membership().goneAfterMicros(),
-                                site.intake().maxRetained(),
-                                kept.whole()));
+                                site.requestLimits().retentionMicros(),
+                                site.requestLimits().maxWaitMicros(),
+                                site.membershipLimits().goneAfterMicros(),
+                                site.requestLimits().maxRetained(),
+                                kept.complete()));
         journal = kept.journal();
         fleet = new ClusterView(settings.machineKinds());
-        line = new AdmissionQueue(site.line(), fleet, settings.seed());
+        line = new AdmissionQueue(site.admission(), fleet, settings.seed());
         Map<String, String> needs = new HashMap<>();
         settings.classes().stream()
                 .filter(c -> c.requiredKind() >= 0)
@@ -190,26 +192,26 @@
         reasons =
                 new PendingReasons(
                         new PendingReasons.Limits(
-                                site.line().enabled(),
-                                site.intake().maxRetained(),
+                                site.admission().enabled(),
+                                site.requestLimits().maxRetained(),
                                 HISTORY,
-                                site.intake().retentionMicros()),
+                                site.requestLimits().retentionMicros()),
                         fleet,
                         line,
                         needs,
                         membership::connectionOf);
-        kept.promises().forEach(recovery::apply);
+        kept.records().forEach(recovery::apply);
         recovery.begin(now, this::carryOut);
-        intake.setUnavailable(journal.trouble());
+        intake.setUnavailable(journal.writeFailure());
         loop.execute(
                 () ->
-                        module.on(
+                        module.accept(
                                 new Placement.MachineListUpdated(
                                         0, Placement.ListUpdateKind.FULL, List.of())));
     }
 
     /** What still counts of what was promised: the beginning of a journal. */
-    List<JournalRecord> promised() {
+    List<JournalRecord> recordsToKeep() {
         return recovery.snapshot();
     }
 
@@ -246,18 +248,18 @@
         attempts.tick(now, this::carryOut);
         intake.tick(now, this::carryOut);
         line.tick(now, this::carryOut);
-        reasons.tick(now, out::changed);
+        reasons.tick(now, out::reasonChanged);
         if (++ticks % SLOW_TICK == 0) {
             membership.tick(now, this::carryOut);
             recovery.tick(now, this::carryOut);
             journal.compact(recovery::snapshot);
-            intake.setUnavailable(journal.trouble());
+            intake.setUnavailable(journal.writeFailure());
             probing.entrySet()
                     .removeIf(
                             e -> {
                                 boolean late = e.getValue().sentAt() < now - PROBE_GIVEN_UP;
                                 if (late) {
-                                    module.on(
+                                    module.accept(
                                             new Placement.HealthCheckCompleted(
                                                     e.getKey(),
                                                     false,
@@ -274,7 +276,7 @@
     }
 
     // ---- owners and operators ----
-    void ask(String owner, TaskSpec wish) throws InvalidRequestException {
+    void submit(String owner, TaskSpec wish) throws InvalidRequestException {
         intake.submit(
                 clock.now(),
                 owner,
@@ -315,8 +317,8 @@
     void registered(
             long link,
             Membership.Registration registration,
-            List<Held> held,
-            List<Said> lately,
+            List<HeldAttempt> held,
+            List<AttemptReport> lately,
             List<RetainedAttempt> remembers,
             Map<Placement.Idempotency, Long> since) {
         adoptable.clear();
@@ -330,7 +332,7 @@
         adoptable.clear();
     }
 
-    void linkClosed(long link) {
+    void connectionClosed(long link) {
         String machine = membership.machineOf(link);
         if (machine != null) {
             long now = clock.now();
@@ -340,17 +342,17 @@
         }
     }
 
-    void said(String machine, Said s) {
+    void attemptReported(String machine, AttemptReport s) {
         if (s.report() != null) {
             fleet.loadReported(machine, s.report()[0], s.report()[1]);
         }
-        saying = s.why();
+        saying = s.rejectionReason();
         attempts.reported(
                 clock.now(),
                 machine,
                 s.attempt(),
-                s.word(),
-                reason(s.why()),
+                s.status(),
+                reason(s.rejectionReason()),
                 s.ran(),
                 s.report(),
                 this::carryOut);
@@ -367,7 +369,7 @@
         };
     }
 
-    void uses(String machine, String attempt, double cores, double memory) {
+    void usageReported(String machine, String attempt, double cores, double memory) {
         attempts.usageReported(machine, attempt, cores, memory, this::carryOut);
     }
 
@@ -375,21 +377,21 @@
         attempts.notWritten(clock.now(), attempt, this::carryOut);
     }
 
-    void probeReply(String machine, long number, double[] report) {
-        Probing asked = probing.get(machine);
+    void healthCheckAnswered(String machine, long number, double[] report) {
+        PendingHealthCheck asked = probing.get(machine);
         if (asked != null && asked.number() == number) {
             probing.remove(machine);
             fleet.loadReported(machine, report[0], report[1]);
-            module.on(
+            module.accept(
                     new Placement.HealthCheckCompleted(
                             machine, true, clock.now() - asked.sentAt(), report));
         }
     }
 
     private void probeOver(String machine) {
-        Probing asked = probing.remove(machine);
+        PendingHealthCheck asked = probing.remove(machine);
         if (asked != null) {
-            module.on(
+            module.accept(
                     new Placement.HealthCheckCompleted(
                             machine, false, clock.now() - asked.sentAt(), null));
         }
@@ -498,7 +500,7 @@
         if (wrong == null && attempts.isOpen(attempt) && membership.ready(machine)) {
             send(machine, attempt, of);
         } else {
-            intake.setUnavailable(journal.trouble());
+            intake.setUnavailable(journal.writeFailure());
             attempts.notWritten(clock.now(), attempt, this::carryOut);
         }
     }
@@ -529,7 +531,7 @@
                     List<ResultNotification> waited = untold.remove(key);
                     if (waited != null) {
                         waited.forEach(
-                                out::deliver); // also where it could not be written: a result
+                                out::notifyResult); // also where it could not be written: a result
                         // there must be
                     }
                 });
@@ -537,8 +539,8 @@
 
     private void probe(String machine) {
         long number = ++probeNumber;
-        probing.put(machine, new Probing(number, clock.now()));
-        if (!out.probe(machine, number)) {
+        probing.put(machine, new PendingHealthCheck(number, clock.now()));
+        if (!out.checkHealth(machine, number)) {
             loop.execute(
                     () -> probeOver(machine)); // told later, not from within the module's own call
         }
@@ -548,7 +550,7 @@
         long now = clock.now();
         intake.failed(now, request, "internal error", this::carryOut);
         attempts.cancel(request, TerminationCause.STOPPED, this::carryOut);
-        module.on(new Placement.ClientDisconnected(request));
+        module.accept(new Placement.ClientDisconnected(request));
     }
 
     // ---- actions of the other decision modules ----
@@ -557,7 +559,7 @@
             Placement.PlacementRequest a = asks.get(release.requestId());
             reasons.stageChanged(release.requestId());
             if (a != null) {
-                module.on(
+                module.accept(
                         new Placement.PlacementRequested(
                                 new Placement.PlacementRequest(
                                         a.id(),
@@ -573,7 +575,7 @@
             }
         } else if (action instanceof AdmissionQueue.Recall back) {
             reasons.stageChanged(back.requestId());
-            module.on(new Placement.ClientDisconnected(back.requestId()));
+            module.accept(new Placement.ClientDisconnected(back.requestId()));
         } else if (action instanceof AdmissionQueue.Shed turn) {
             intake.shed(
                     clock.now(),
@@ -602,7 +604,7 @@
                 // nobody to look after it
                 attempts.notWritten(now, w.attempt(), this::carryOut);
             } else {
-                out.withdraw(w.machine(), w.attempt());
+                out.cancelAttempt(w.machine(), w.attempt());
             }
         } else if (action instanceof AttemptTracker.RequestPlaced placed) {
             intake.placed(now, placed.requestId(), placed.machine(), this::carryOut);
@@ -616,7 +618,7 @@
         } else if (action instanceof AttemptTracker.AdoptTask adopt) {
             adopt(adopt);
         } else if (action instanceof AttemptTracker.ProtocolViolation guilty) {
-            out.closeLink(membership.connectionOf(guilty.machine()), guilty.description());
+            out.closeConnection(membership.connectionOf(guilty.machine()), guilty.description());
         }
     }
 
@@ -634,12 +636,12 @@
         } else if (event instanceof Placement.AttemptAccepted e) {
             fleet.accepted(e.machine());
         }
-        module.on(event);
+        module.accept(event);
     }
 
     private void adopt(AttemptTracker.AdoptTask a) {
-        Held held = adoptable.get(a.attempt());
-        TaskSpec wish = held.wish();
+        HeldAttempt held = adoptable.get(a.attempt());
+        TaskSpec wish = held.spec();
         String tenant = tenants.apply(held.owner());
         Placement.PlacementRequest ask =
                 intake.adopt(clock.now(), held.owner(), tenant, wish, a.machine(), this::carryOut);
@@ -654,9 +656,9 @@
                 a.machine(),
                 membership.incarnation(a.machine()),
                 effects.getOrDefault(ask.taskClass(), Placement.Idempotency.NON_IDEMPOTENT),
-                held.runs());
+                held.running());
         line.adopted(clock.now(), item(ask, held.owner(), 0, ""));
-        module.on(new Placement.TaskAdopted(ask, a.machine()));
+        module.accept(new Placement.TaskAdopted(ask, a.machine()));
         LOG.atInfo()
                 .addKeyValue("instance", name)
                 .addKeyValue("node", a.machine())
@@ -755,12 +757,12 @@
             if (waiting != null) {
                 waiting.add(d.notification());
             } else {
-                out.deliver(d.notification());
+                out.notifyResult(d.notification());
             }
         } else if (action instanceof RequestTracker.Abandon abandon) {
             asks.remove(abandon.requestId());
             attempts.cancel(abandon.requestId(), abandon.terminationCause(), this::carryOut);
-            module.on(new Placement.ClientDisconnected(abandon.requestId()));
+            module.accept(new Placement.ClientDisconnected(abandon.requestId()));
             if (line.status(now, abandon.requestId()).stage() != AdmissionQueue.Stage.PLACED) {
                 line.finished(now, abandon.requestId(), this::carryOut);
             }
@@ -823,11 +825,11 @@
         long now = clock.now();
         if (action instanceof Membership.MachinesChanged changed) {
             fleet.update(changed.entries());
-            module.on(
+            module.accept(
                     new Placement.MachineListUpdated(
                             0, Placement.ListUpdateKind.DELTA, changed.entries()));
         } else if (action instanceof Membership.CloseConnection close) {
-            out.closeLink(close.connection(), close.reason());
+            out.closeConnection(close.connection(), close.reason());
         } else if (action instanceof Membership.IncarnationEnded life) {
             LOG.atWarn()
                     .addKeyValue("instance", name)
@@ -837,11 +839,11 @@
         } else if (action instanceof Membership.MachineForgotten gone) {
             fleet.remove(gone.machine());
         } else if (action instanceof Membership.MachineAdmitted admitted) {
-            recent.forEach(each -> said(admitted.machine(), each));
+            recent.forEach(each -> attemptReported(admitted.machine(), each));
             Set<String> running = new HashSet<>();
             adoptable.forEach(
                     (id, held) -> {
-                        if (held.runs()) {
+                        if (held.running()) {
                             running.add(id);
                         }
                     });
@@ -866,7 +868,7 @@
                     this::carryOut);
             out.welcome(admitted.machine(), recovery.limits().machineRetentionMicros());
         } else if (action instanceof Membership.NotifyDrain drain) {
-            out.tellDrain(drain.machine(), drain.draining());
+            out.notifyDrain(drain.machine(), drain.draining());
         }
     }
 }
--- a/placer/src/main/java/thornferry/placer/PlacerInstance.java
+++ b/placer/src/main/java/thornferry/placer/PlacerServer.java
@@ -57,11 +57,11 @@
 import thornferry.security.Tls;
 
 /**
- * One placer on its sockets: sessions, destinations and bodies around its {@link Core}. It carries
- * events in and actions out and decides nothing. Everything runs on the event loop.
+ * One placer on its sockets: sessions, destinations and bodies around its {@link PlacerCore}. It
+ * carries events in and actions out and decides nothing. Everything runs on the event loop.
  */
-final class PlacerInstance implements ServerSession.Front, Core.Out {
-    private static final Logger LOG = LoggerFactory.getLogger(PlacerInstance.class);
+final class PlacerServer implements ServerSession.SessionHandler, PlacerCore.Output {
+    private static final Logger LOG = LoggerFactory.getLogger(PlacerServer.class);
     private static final long TICK_MS = 20;
     private static final int SLOW_TICK =
             5; // the operators' view is looked after every so many ticks
@@ -75,13 +75,13 @@
     private static final int WAITING_MOST = 10_000;
 
     /** What the instance keeps with a session. */
-    private static final class Peer {
+    private static final class ConnectionState {
         final long link;
         final Account account;
         boolean binary; // whether the node speaks protobuf to us
         final Set<String> dirty = new LinkedHashSet<>(); // own tasks whose reasons are to be told
 
-        Peer(long link, Account account) {
+        ConnectionState(long link, Account account) {
             this.link = link;
             this.account = account;
         }
@@ -90,9 +90,9 @@
     private final String name;
     private final EventLoop loop;
     private final Clock clock;
-    private final Core core;
-    private final Gate gate;
-    private final Reloading reloading;
+    private final PlacerCore core;
+    private final LoginAuthenticator gate;
+    private final ConfigurationReloader reloading;
     private final Map<Long, ServerSession> links = new HashMap<>();
     private final Map<String, Set<ServerSession>> owners =
             new HashMap<>(); // those who watch their results
@@ -106,7 +106,7 @@
     private int ticks;
 
     /** Reads the configuration anew. */
-    interface Reloading {
+    interface ConfigurationReloader {
         /** Null where it went well, else what is wrong; the former configuration then stays. */
         String reload();
 
@@ -114,22 +114,22 @@
         String last();
     }
 
-    PlacerInstance(
+    PlacerServer(
             Site site,
             int number,
             EventLoop loop,
             Clock clock,
-            Gate gate,
-            Reloading reloading,
+            LoginAuthenticator gate,
+            ConfigurationReloader reloading,
             Function<Placement.Settings, Placement> maker,
-            Core.Kept kept) {
+            PlacerCore.RecoveredState kept) {
         this.name = name(site, number);
         this.loop = loop;
         this.clock = clock;
         this.gate = gate;
         this.reloading = reloading;
         this.core =
-                new Core(
+                new PlacerCore(
                         site,
                         number,
                         name,
@@ -153,9 +153,9 @@
         return site.name() + "-" + number;
     }
 
-    /** See {@link Core#promised}. */
-    List<JournalRecord> promised() {
-        return core.promised();
+    /** See {@link PlacerCore#recordsToKeep}. */
+    List<JournalRecord> recordsToKeep() {
+        return core.recordsToKeep();
     }
 
     /** To be called on the event loop. */
@@ -165,7 +165,7 @@
 
     /** Likewise. */
     void reload(Site site) {
-        core.reload(site.line());
+        core.reload(site.admission());
     }
 
     private void tick() {
@@ -189,7 +189,7 @@
         SslHandler tls = session.channel().pipeline().get(SslHandler.class);
         String certified = tls == null ? null : Tls.peer(tls.engine().getSession());
         if (certified != null && passcode == null) {
-            if (!Gate.fits(login, certified)) {
+            if (!LoginAuthenticator.fits(login, certified)) {
                 session.fail("the certificate is not that of the login", null);
             } else if (gate.account(certified) == null) {
                 session.fail("login or passcode not accepted", null);
@@ -229,17 +229,18 @@
         }
     }
 
-    private Peer peer(ServerSession session) {
+    private ConnectionState peer(ServerSession session) {
         if (session.attachment() == null) {
-            session.attach(new Peer(++linkNumber, gate.account(session.login())));
+            session.attach(new ConnectionState(++linkNumber, gate.account(session.login())));
         }
-        return (Peer) session.attachment();
+        return (ConnectionState) session.attachment();
     }
 
-    private void allow(ServerSession session, Access.To to, String destination)
+    private void allow(
+            ServerSession session, DestinationPermissions.Endpoint to, String destination)
             throws ProtocolException {
         Account account = peer(session).account;
-        if (account == null || !Access.allows(account.role(), to)) {
+        if (account == null || !DestinationPermissions.allows(account.role(), to)) {
             throw new ProtocolException("login " + session.login() + " may not use " + destination);
         }
     }
@@ -247,7 +248,7 @@
     @Override
     public void sent(ServerSession session, String destination, Frame frame)
             throws ProtocolException {
-        Access.To to = Access.send(destination);
+        DestinationPermissions.Endpoint to = DestinationPermissions.send(destination);
         if (to == null) {
             throw new ProtocolException("unknown destination " + destination);
         }
@@ -267,19 +268,22 @@
                 reply(
                         session,
                         frame,
-                        Views.why(
+                        ProtocolMapper.why(
                                 core.reasons().explain(clock.now(), session.login(), q.getTask()),
                                 true));
             }
             case WAITING -> {
                 Bodies.<WaitingQuery>read(frame, WaitingQuery.newBuilder());
                 boolean all = peer(session).account.role() == Account.Role.OPERATOR;
-                reply(session, frame, Views.table(core, all ? null : session.login()));
+                reply(session, frame, ProtocolMapper.table(core, all ? null : session.login()));
             }
             case LIMITS -> {
                 Bodies.<LimitsQuery>read(frame, LimitsQuery.newBuilder());
                 Account account = peer(session).account;
-                reply(session, frame, Views.limits(core.line(), account, reloading.last()));
+                reply(
+                        session,
+                        frame,
+                        ProtocolMapper.limits(core.line(), account, reloading.last()));
             }
             case RELOAD -> {
                 String wrong = reloading.reload();
@@ -298,7 +302,7 @@
             }
             case PROBES -> {
                 ProbeReply reply = Bodies.read(frame, ProbeReply.newBuilder());
-                core.probeReply(
+                core.healthCheckAnswered(
                         registered(session, reply.getNode()),
                         reply.getNumber(),
                         report(reply.getLoad()));
@@ -334,7 +338,7 @@
     private void ask(ServerSession session, Task task) throws ProtocolException {
         try {
             askCount++;
-            core.ask(session.login(), wish(task));
+            core.submit(session.login(), wish(task));
         } catch (InvalidRequestException e) {
             throw new ProtocolException("task not taken: " + e.getMessage());
         }
@@ -358,7 +362,7 @@
     }
 
     private void drain(ServerSession session, Drain drain) throws ProtocolException {
-        Peer peer = peer(session);
+        ConnectionState peer = peer(session);
         boolean itself = drain.getNode().equals(core.membership().machineOf(peer.link));
         if (peer.account.role() != Account.Role.OPERATOR && !itself) {
             throw new ProtocolException(
@@ -376,7 +380,7 @@
     @Override
     public void subscribed(ServerSession session, String id, String destination)
             throws ProtocolException {
-        Access.To to = Access.subscribe(destination);
+        DestinationPermissions.Endpoint to = DestinationPermissions.subscribe(destination);
         if (to == null) {
             throw new ProtocolException("unknown destination " + destination);
         }
@@ -385,7 +389,7 @@
             case RESULTS -> {
                 owners.computeIfAbsent(session.login(), o -> new LinkedHashSet<>()).add(session);
                 // after this frame is done with, so that the receipt of the SUBSCRIBE goes first
-                loop.execute(() -> core.undelivered(session.login()).forEach(this::deliver));
+                loop.execute(() -> core.undelivered(session.login()).forEach(this::notifyResult));
             }
             case WAITING -> {
                 waiters.computeIfAbsent(session.login(), o -> new LinkedHashSet<>()).add(session);
@@ -436,7 +440,7 @@
 
     @Override
     public void closed(ServerSession session, String why) {
-        Peer peer = peer(session);
+        ConnectionState peer = peer(session);
         forget(session, Destinations.RESULTS);
         forget(session, Destinations.WAITING);
         forget(session, Destinations.NODES);
@@ -447,7 +451,7 @@
                     .addKeyValue("instance", name)
                     .addKeyValue("node", machine)
                     .log("connection over: {}", why);
-            core.linkClosed(peer.link);
+            core.connectionClosed(peer.link);
         }
     }
 
@@ -457,13 +461,15 @@
             throw new ProtocolException(
                     "subscribe to " + Destinations.offers(r.getNode()) + " before registering");
         }
-        Peer peer = peer(session);
+        ConnectionState peer = peer(session);
         links.put(peer.link, session);
-        List<Core.Held> held = new ArrayList<>();
+        List<PlacerCore.HeldAttempt> held = new ArrayList<>();
         for (Held h : r.getHeldList()) {
-            held.add(new Core.Held(h.getAttempt(), h.getOwner(), wish(h.getTask()), h.getRuns()));
+            held.add(
+                    new PlacerCore.HeldAttempt(
+                            h.getAttempt(), h.getOwner(), wish(h.getTask()), h.getRuns()));
         }
-        List<Core.Said> recent = new ArrayList<>();
+        List<PlacerCore.AttemptReport> recent = new ArrayList<>();
         List<RetainedAttempt> recalled = new ArrayList<>();
         for (Answer a : r.getRecentList()) {
             if (a.getKind() != Answer.Kind.USES) {
@@ -476,7 +482,7 @@
                                 a.getOwner(),
                                 wish(a.getTask()),
                                 effect(a.getEffect()),
-                                said(a).word(),
+                                said(a).status(),
                                 a.getRan(),
                                 clock.now() - micros(Math.max(0, a.getEndedMsAgo()))));
             }
@@ -530,13 +536,13 @@
 
     private void answer(String machine, Answer a) throws ProtocolException {
         if (a.getKind() == Answer.Kind.USES) {
-            core.uses(machine, a.getAttempt(), a.getCoresUsed(), a.getMemoryUsed());
+            core.usageReported(machine, a.getAttempt(), a.getCoresUsed(), a.getMemoryUsed());
         } else {
-            core.said(machine, said(a));
+            core.attemptReported(machine, said(a));
         }
     }
 
-    private static Core.Said said(Answer a) throws ProtocolException {
+    private static PlacerCore.AttemptReport said(Answer a) throws ProtocolException {
         AttemptStatus word =
                 switch (a.getKind()) {
                     case ACCEPTED -> AttemptStatus.ACCEPTED;
@@ -558,7 +564,7 @@
                     case DRAINING -> RejectionReason.DRAINING;
                     default -> RejectionReason.NONE;
                 };
-        return new Core.Said(
+        return new PlacerCore.AttemptReport(
                 a.getAttempt(), word, why, a.getRan(), a.hasLoad() ? report(a.getLoad()) : null);
     }
 
@@ -612,7 +618,7 @@
     }
 
     @Override
-    public void withdraw(String machine, String attempt) {
+    public void cancelAttempt(String machine, String attempt) {
         send(
                 machine,
                 Order.newBuilder().setWithdraw(Withdraw.newBuilder().setAttempt(attempt)).build(),
@@ -620,7 +626,7 @@
     }
 
     @Override
-    public boolean probe(String machine, long number) {
+    public boolean checkHealth(String machine, long number) {
         return send(
                         machine,
                         Order.newBuilder().setProbe(Probe.newBuilder().setNumber(number)).build(),
@@ -629,7 +635,7 @@
     }
 
     @Override
-    public void tellDrain(String machine, boolean on) {
+    public void notifyDrain(String machine, boolean on) {
         send(
                 machine,
                 Order.newBuilder().setDrain(Drain.newBuilder().setNode(machine).setOn(on)).build(),
@@ -650,7 +656,7 @@
     }
 
     @Override
-    public void closeLink(long link, String why) {
+    public void closeConnection(long link, String why) {
         ServerSession session = links.get(link);
         if (session != null) {
             session.fail(why, null);
@@ -658,7 +664,7 @@
     }
 
     @Override
-    public void deliver(ResultNotification news) {
+    public void notifyResult(ResultNotification news) {
         Set<ServerSession> watching = owners.get(news.owner());
         if (watching == null) {
             return; // kept until its owner subscribes
@@ -715,7 +721,7 @@
 
     // ---- reasons, for those who watch ----
     @Override
-    public void changed(PendingReasons.ReasonChanged c) {
+    public void reasonChanged(PendingReasons.ReasonChanged c) {
         Set<ServerSession> watching = waiters.get(c.owner());
         if (watching != null) {
             watching.forEach(session -> peer(session).dirty.add(c.task()));
@@ -743,7 +749,7 @@
                                     task,
                                     "state",
                                     WireWords.state(why.state())),
-                            Views.why(why, false),
+                            ProtocolMapper.why(why, false),
                             false));
         }
     }
--- a/placer/src/main/java/thornferry/placer/ModuleHost.java
+++ b/placer/src/main/java/thornferry/placer/PolicyExecutor.java
@@ -12,11 +12,11 @@
  * It decides nothing. Events that come up while the module is at work wait their turn, so that it
  * is never entered twice.
  */
-public final class ModuleHost {
+public final class PolicyExecutor {
     /**
      * What to do when the module throws: the request of the event, or null where it was about none.
      */
-    public interface Failed {
+    public interface FailureHandler {
         void request(String id);
     }
 
@@ -24,19 +24,19 @@
     private final EventLoop loop;
     private final Clock clock;
     private final Consumer<Placement.Action> actions;
-    private final Failed failed;
+    private final FailureHandler failed;
     private final Logger log;
     private final String instance;
     private final ArrayDeque<Placement.Event> waiting = new ArrayDeque<>();
     private boolean working;
     private long failures;
 
-    public ModuleHost(
+    public PolicyExecutor(
             Placement module,
             EventLoop loop,
             Clock clock,
             Consumer<Placement.Action> actions,
-            Failed failed,
+            FailureHandler failed,
             Logger log,
             String instance) {
         this.module = module;
@@ -48,7 +48,7 @@
         this.instance = instance;
     }
 
-    public void on(Placement.Event event) {
+    public void accept(Placement.Event event) {
         waiting.add(event);
         if (working) {
             return;
@@ -96,7 +96,7 @@
                     if (clock.now() < timer.atMicros()) {
                         set(timer);
                     } else {
-                        on(new Placement.TimerFired(timer.ref()));
+                        accept(new Placement.TimerFired(timer.ref()));
                     }
                 },
                 delay,
--- a/placer/src/main/java/thornferry/placer/Views.java
+++ b/placer/src/main/java/thornferry/placer/ProtocolMapper.java
@@ -11,8 +11,8 @@
 import thornferry.protocol.v1.Why;
 
 /** What the decision modules hold, as messages of the protocol. */
-final class Views {
-    private Views() {}
+final class ProtocolMapper {
+    private ProtocolMapper() {}
 
     static Reason reason(PendingReasons.Reason r) {
         Reason.Builder b =
@@ -66,7 +66,7 @@
     /**
      * @param owner whose; null for all, as operators see it
      */
-    static WaitingTable table(Core core, String owner) {
+    static WaitingTable table(PlacerCore core, String owner) {
         WaitingTable.Builder b = WaitingTable.newBuilder();
         int[] waiting = {0};
         core.reasons()
--- a/placer/src/main/java/thornferry/placer/Site.java
+++ b/placer/src/main/java/thornferry/placer/Site.java
@@ -16,22 +16,22 @@
  * app.
  *
  * @param name of the placer; instance i of it is called NAME-i
- * @param module settings of the placement module; seed and number are set for each instance
+ * @param placement settings of the placement module; seed and number are set for each instance
  * @param seed from which the instances' seeds are drawn
  * @param handshakeMs a peer that has not sent CONNECT after so long is cut off
- * @param line limits and order of what waits
+ * @param admission limits and order of what waits
  * @param tls certificate, key and authorities; null for plain text
  * @param connections open at once, for each instance; more are closed as they come
  * @param state what is kept over restarts
  */
 public record Site(
         String name,
-        Placement.Settings module,
+        Placement.Settings placement,
         long seed,
         List<Account> accounts,
-        Membership.Limits membership,
-        RequestTracker.Limits intake,
-        AdmissionSettings line,
+        Membership.Limits membershipLimits,
+        RequestTracker.Limits requestLimits,
+        AdmissionSettings admission,
         TlsFiles tls,
         FrameLimits frames,
         Heartbeat heartbeat,
@@ -50,8 +50,8 @@
     public record TlsFiles(Tls.Pem files, Tls.Clients clients) {}
 
     /** The module's settings for one instance. */
-    Placement.Settings moduleOf(int instance) {
-        return settings(seed * 1_000_003 + instance, instance, module.instanceCount());
+    Placement.Settings placementOf(int instance) {
+        return settings(seed * 1_000_003 + instance, instance, placement.instanceCount());
     }
 
     /**
@@ -61,12 +61,12 @@
     public Site asPlacer(String name, int number, int placers, long seed, List<Account> accounts) {
         return new Site(
                 name,
-                settings(module.seed(), number, placers),
+                settings(placement.seed(), number, placers),
                 seed,
                 accounts,
-                membership,
-                intake,
-                line,
+                membershipLimits,
+                requestLimits,
+                admission,
                 tls,
                 frames,
                 heartbeat,
@@ -79,11 +79,11 @@
     public Site withLine(AdmissionSettings other) {
         return new Site(
                 name,
-                module,
+                placement,
                 seed,
                 accounts,
-                membership,
-                intake,
+                membershipLimits,
+                requestLimits,
                 other,
                 tls,
                 frames,
@@ -95,19 +95,19 @@
 
     /** The same with neither line nor reasons, for measuring what they cost and bring. */
     public Site withoutLine() {
-        return withLine(line.disabled());
+        return withLine(admission.disabled());
     }
 
     /** The same over TLS. */
     public Site withTls(TlsFiles files) {
         return new Site(
                 name,
-                module,
+                placement,
                 seed,
                 accounts,
-                membership,
-                intake,
-                line,
+                membershipLimits,
+                requestLimits,
+                admission,
                 files,
                 frames,
                 heartbeat,
@@ -120,12 +120,12 @@
     public Site withState(State other) {
         return new Site(
                 name,
-                module,
+                placement,
                 seed,
                 accounts,
-                membership,
-                intake,
-                line,
+                membershipLimits,
+                requestLimits,
+                admission,
                 tls,
                 frames,
                 heartbeat,
@@ -135,7 +135,7 @@
     }
 
     private Placement.Settings settings(long moduleSeed, int number, int placers) {
-        Placement.Settings s = module;
+        Placement.Settings s = placement;
         return new Placement.Settings(
                 moduleSeed,
                 number,
--- a/placer/src/test/java/thornferry/placer/LivesTest.java
+++ b/placer/src/test/java/thornferry/placer/IncarnationTest.java
@@ -39,7 +39,7 @@
  * contradict one told before, and in the end each ask must have its result. {@code -Dlives=N} plays
  * about so many lives; {@code -Dseed=S} begins with that world.
  */
-class LivesTest {
+class IncarnationTest {
     private static final long MS = 1_000;
     private static final long SECOND = 1_000_000;
     private static final int LIVES_OF_A_WORLD = 20;
@@ -102,7 +102,7 @@
         }
     }
 
-    private static final class World implements Core.Out {
+    private static final class World implements PlacerCore.Output {
         final SplittableRandom random;
         final Planted planted;
         final boolean journaled;
@@ -122,7 +122,7 @@
         final List<JournalRecord> pending = new ArrayList<>();
         final List<Consumer<String>> unacknowledged = new ArrayList<>();
         EmbeddedChannel channel;
-        Core core; // null while the placer is down
+        PlacerCore core; // null while the placer is down
         int life;
         long now = 1_000 * SECOND;
         long order;
@@ -135,19 +135,19 @@
             this.planted = planted;
             this.journaled = journaled;
             site =
-                    Sites.of(
+                    SiteFixtures.of(
                             seed,
                             16,
                             List.of(
-                                    Sites.cls(
+                                    SiteFixtures.cls(
                                             "safe",
                                             Idempotency.IDEMPOTENT,
                                             Placement.TopologyScope.NONE),
-                                    Sites.cls(
+                                    SiteFixtures.cls(
                                             "keyed",
                                             Idempotency.IDEMPOTENT_WITH_KEY,
                                             Placement.TopologyScope.NONE),
-                                    Sites.cls(
+                                    SiteFixtures.cls(
                                             "unsafe",
                                             Idempotency.NON_IDEMPOTENT,
                                             Placement.TopologyScope.NONE)),
@@ -213,7 +213,7 @@
             channel.freezeTime();
             List<JournalRecord> left = List.copyOf(durable);
             core =
-                    new Core(
+                    new PlacerCore(
                             site,
                             0,
                             "p-0",
@@ -222,11 +222,11 @@
                             Policy::new,
                             owner -> "",
                             journaled
-                                    ? new Core.Kept(new Disk(life), left, true)
-                                    : Core.Kept.NOTHING,
+                                    ? new PlacerCore.RecoveredState(new Disk(life), left, true)
+                                    : PlacerCore.RecoveredState.NOTHING,
                             this);
             durable.clear();
-            durable.addAll(core.promised());
+            durable.addAll(core.recordsToKeep());
             nodes.forEach(n -> at(between(0, 1_000 * MS), () -> dial(n)));
             asked.forEach((id, a) -> at(between(0, 500 * MS), () -> ask(a)));
         }
@@ -287,7 +287,7 @@
             }
 
             @Override
-            public String trouble() {
+            public String writeFailure() {
                 return "";
             }
 
@@ -319,7 +319,7 @@
             TaskSpec w = a.wish;
             a.asks++;
             try {
-                core.ask(
+                core.submit(
                         "o",
                         new TaskSpec(
                                 w.id(),
@@ -336,7 +336,7 @@
         }
 
         @Override
-        public void deliver(ResultNotification news) {
+        public void notifyResult(ResultNotification news) {
             int of = life;
             at(
                     between(0, 20 * MS),
@@ -394,12 +394,12 @@
             }
             Link link = new Link(++links);
             n.link = link;
-            List<Core.Held> held = new ArrayList<>();
+            List<PlacerCore.HeldAttempt> held = new ArrayList<>();
             n.held.values()
                     .forEach(
                             w ->
                                     held.add(
-                                            new Core.Held(
+                                            new PlacerCore.HeldAttempt(
                                                     w.attempt(),
                                                     w.owner(),
                                                     w.wish(),
@@ -415,11 +415,11 @@
                     planted == Planted.NO_MEMORY ? List.of() : List.copyOf(n.memory.keySet());
             Map<Idempotency, Long> told = planted == Planted.NO_MEMORY ? Map.of() : since;
             long incarnation = n.incarnation;
-            List<Core.Said> lately =
+            List<PlacerCore.AttemptReport> lately =
                     remembered.stream()
                             .map(
                                     r ->
-                                            new Core.Said(
+                                            new PlacerCore.AttemptReport(
                                                     r.attempt(),
                                                     r.status(),
                                                     RejectionReason.NONE,
@@ -497,7 +497,7 @@
                                 ++order,
                                 () -> {
                                     if (life == of && core != null) {
-                                        core.linkClosed(link.id);
+                                        core.connectionClosed(link.id);
                                     }
                                 }));
             }
@@ -529,9 +529,9 @@
                         link,
                         () -> {
                             if (n.name.equals(core.membership().machineOf(link.id))) {
-                                core.said(
+                                core.attemptReported(
                                         n.name,
-                                        new Core.Said(
+                                        new PlacerCore.AttemptReport(
                                                 w.attempt(),
                                                 word,
                                                 RejectionReason.NONE,
@@ -658,7 +658,7 @@
         }
 
         @Override
-        public void withdraw(String machine, String attempt) {
+        public void cancelAttempt(String machine, String attempt) {
             Node n = node(machine);
             Link link =
                     opened.get(core.membership().connectionOf(machine)); // as the placer believes
@@ -682,7 +682,7 @@
         }
 
         @Override
-        public boolean probe(String machine, long number) {
+        public boolean checkHealth(String machine, long number) {
             Node n = node(machine);
             Link link = opened.get(core.membership().connectionOf(machine));
             if (link != null && link.open) {
@@ -694,7 +694,7 @@
                                         n,
                                         link,
                                         () ->
-                                                core.probeReply(
+                                                core.healthCheckAnswered(
                                                         machine,
                                                         number,
                                                         new double[] {16, 16, 0})));
@@ -703,7 +703,7 @@
         }
 
         @Override
-        public void tellDrain(String machine, boolean on) {
+        public void notifyDrain(String machine, boolean on) {
             // none drains here
         }
 
@@ -713,15 +713,15 @@
         }
 
         @Override
-        public void closeLink(long link, String why) {
+        public void closeConnection(long link, String why) {
             if (!why.startsWith("registered again") && !why.startsWith("incarnation ")) {
                 breaches.add("a node was cut off: " + why);
             }
-            core.linkClosed(link);
+            core.connectionClosed(link);
         }
 
         @Override
-        public void changed(PendingReasons.ReasonChanged changed) {
+        public void reasonChanged(PendingReasons.ReasonChanged changed) {
             // nobody watches
         }
 
--- a/placer/src/test/java/thornferry/placer/ReasonsTest.java
+++ b/placer/src/test/java/thornferry/placer/PendingReasonsTest.java
@@ -34,7 +34,7 @@
  * and an oracle that knows the nodes' truth: every claim that a shown reason makes is checked
  * against it, and nothing that waits shows none.
  */
-class ReasonsTest {
+class PendingReasonsTest {
     private static final long MS = 1_000;
     private static final long SECOND = 1_000_000;
     private static final double CORES = 16;
@@ -103,10 +103,10 @@
     private record Out(String attempt, String owner, TaskSpec wish) {}
 
     /** One world with its own randomness. */
-    private static final class World implements Core.Out {
+    private static final class World implements PlacerCore.Output {
         final SplittableRandom random;
         final EmbeddedChannel channel = new EmbeddedChannel();
-        final Core core;
+        final PlacerCore core;
         final List<Node> nodes = new ArrayList<>();
         final Map<String, TaskSpec> wishes = new LinkedHashMap<>(); // owner/task
         final Map<String, String> results = new HashMap<>(); // owner/task, of the latest ask
@@ -134,23 +134,23 @@
                                     null,
                                     Map.of("t0", 0.5, "t1", 0.5));
             Site site =
-                    Sites.of(
+                    SiteFixtures.of(
                             seed,
                             CORES,
                             List.of(
-                                    Sites.cls(
+                                    SiteFixtures.cls(
                                             "safe",
                                             Placement.Idempotency.IDEMPOTENT,
                                             Placement.TopologyScope.NONE),
-                                    Sites.cls(
+                                    SiteFixtures.cls(
                                             "keyed",
                                             Placement.Idempotency.IDEMPOTENT_WITH_KEY,
                                             Placement.TopologyScope.NONE),
-                                    Sites.cls(
+                                    SiteFixtures.cls(
                                             "unsafe",
                                             Placement.Idempotency.NON_IDEMPOTENT,
                                             Placement.TopologyScope.NONE),
-                                    Sites.cls(
+                                    SiteFixtures.cls(
                                             "spread",
                                             Placement.Idempotency.IDEMPOTENT,
                                             Placement.TopologyScope.MACHINE)),
@@ -158,7 +158,7 @@
                                     1_000, 10_000, 30 * SECOND, 60 * SECOND, 0, SECOND, 8 * SECOND),
                             line);
             core =
-                    new Core(
+                    new PlacerCore(
                             site,
                             0,
                             "p-0",
@@ -166,7 +166,7 @@
                             () -> now,
                             Policy::new,
                             owner -> "t" + owner.charAt(1),
-                            Core.Kept.NOTHING,
+                            PlacerCore.RecoveredState.NOTHING,
                             this);
             for (int i = 0; i < 3; i++) {
                 nodes.add(new Node("n" + i));
@@ -204,9 +204,13 @@
             }
             n.link = ++links;
             n.known = true;
-            List<Core.Held> held = new ArrayList<>();
+            List<PlacerCore.HeldAttempt> held = new ArrayList<>();
             n.runs.values()
-                    .forEach(o -> held.add(new Core.Held(o.attempt(), o.owner(), o.wish(), true)));
+                    .forEach(
+                            o ->
+                                    held.add(
+                                            new PlacerCore.HeldAttempt(
+                                                    o.attempt(), o.owner(), o.wish(), true)));
             n.told = Math.min(n.free, n.everHeard ? n.told : n.free);
             n.everHeard = true;
             n.open.clear(); // what was on its way never arrived
@@ -234,7 +238,7 @@
                 long link = n.link;
                 n.link = -1;
                 n.troubleAt = now;
-                core.linkClosed(link);
+                core.connectionClosed(link);
             }
         }
 
@@ -242,9 +246,9 @@
             if (n.link >= 0) {
                 int before = core.attemptsAt(n.name);
                 double free = n.free;
-                core.said(
+                core.attemptReported(
                         n.name,
-                        new Core.Said(
+                        new PlacerCore.AttemptReport(
                                 o.attempt(), word, why, word != AttemptStatus.REJECTED, load(n)));
                 if (core.attemptsAt(n.name)
                         < before) { // else it spoke of an attempt given up, and was not listened to
@@ -301,7 +305,7 @@
                             (1 + random.nextInt(10)) * SECOND,
                             0);
             wishes.put(owner + "/" + id, wish);
-            core.ask(owner, wish);
+            core.submit(owner, wish);
         }
 
         void something() throws InvalidRequestException {
@@ -348,7 +352,7 @@
         }
 
         @Override
-        public void withdraw(String machine, String attempt) {
+        public void cancelAttempt(String machine, String attempt) {
             Node n = node(machine);
             later.add(
                     () -> {
@@ -369,20 +373,20 @@
         }
 
         @Override
-        public boolean probe(String machine, long probe) {
+        public boolean checkHealth(String machine, long probe) {
             Node n = node(machine);
             later.add(
                     () -> {
                         if (n.link >= 0) {
                             n.tell(now, n.free);
-                            core.probeReply(machine, probe, load(n));
+                            core.healthCheckAnswered(machine, probe, load(n));
                         }
                     });
             return n.link >= 0;
         }
 
         @Override
-        public void tellDrain(String machine, boolean on) {
+        public void notifyDrain(String machine, boolean on) {
             // the world knows, for it began the drain
         }
 
@@ -392,19 +396,19 @@
         }
 
         @Override
-        public void deliver(ResultNotification news) {
+        public void notifyResult(ResultNotification news) {
             if (news.result() != null) {
                 results.put(news.owner() + "/" + news.task(), news.result().name());
             }
         }
 
         @Override
-        public void closeLink(long link, String why) {
+        public void closeConnection(long link, String why) {
             throw new AssertionError("a node was cut off: " + why);
         }
 
         @Override
-        public void changed(PendingReasons.ReasonChanged changed) {
+        public void reasonChanged(PendingReasons.ReasonChanged changed) {
             // read on demand here
         }
 
--- a/placer/src/test/java/thornferry/placer/ModuleHostTest.java
+++ b/placer/src/test/java/thornferry/placer/PolicyExecutorTest.java
@@ -15,7 +15,7 @@
 import org.slf4j.helpers.NOPLogger;
 import thornferry.decisions.placement.Placement;
 
-class ModuleHostTest {
+class PolicyExecutorTest {
     private final DefaultEventLoop loop = new DefaultEventLoop();
     private final List<String> seen = new CopyOnWriteArrayList<>();
     private final List<Placement.Action> actions = new ArrayList<>();
@@ -25,11 +25,11 @@
         loop.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private ModuleHost host(
+    private PolicyExecutor host(
             BiConsumer<Placement.Event, Consumer<Placement.Action>> module,
             Consumer<Placement.Action> also) {
         Placement placement = (now, event, sink) -> module.accept(event, sink);
-        return new ModuleHost(
+        return new PolicyExecutor(
                 placement,
                 loop,
                 Clock.system(),
@@ -48,7 +48,7 @@
 
     @Test
     void anEventRaisedByAnActionWaitsUntilTheModuleHasReturned() {
-        ModuleHost[] host = new ModuleHost[1];
+        PolicyExecutor[] host = new PolicyExecutor[1];
         host[0] =
                 host(
                         (event, sink) -> {
@@ -58,8 +58,8 @@
                             }
                             seen.add("out " + event);
                         },
-                        action -> host[0].on(left("b")));
-        host[0].on(left("a"));
+                        action -> host[0].accept(left("b")));
+        host[0].accept(left("a"));
         assertThat(seen)
                 .containsExactly(
                         "in " + left("a"),
@@ -70,7 +70,7 @@
 
     @Test
     void aModuleThatThrowsLosesOnlyTheTaskInHand() {
-        ModuleHost host =
+        PolicyExecutor host =
                 host(
                         (event, sink) -> {
                             if (event instanceof Placement.PlacementRequested) {
@@ -79,11 +79,11 @@
                             seen.add("took " + event);
                         },
                         action -> {});
-        host.on(
+        host.accept(
                 new Placement.PlacementRequested(
                         new Placement.PlacementRequest(
                                 "q1", "c", "", "t", 1, 0, "s", 1, 1, false)));
-        host.on(left("q2"));
+        host.accept(left("q2"));
         assertThat(seen).containsExactly("failed q1", "took " + left("q2"));
         assertThat(host.failures()).isEqualTo(1);
     }
@@ -103,10 +103,10 @@
                         sink.accept(new Placement.SetTimer(at, 3));
                     }
                 };
-        ModuleHost host =
-                new ModuleHost(
+        PolicyExecutor host =
+                new PolicyExecutor(
                         placement, loop, clock, actions::add, id -> {}, NOPLogger.NOP_LOGGER, "p");
-        loop.execute(() -> host.on(left("x")));
+        loop.execute(() -> host.accept(left("x")));
         assertThat(fired.await(10, TimeUnit.SECONDS)).isTrue();
         assertThat(when[0]).isGreaterThanOrEqualTo(at);
     }
--- a/placer/src/test/java/thornferry/placer/Sites.java
+++ b/placer/src/test/java/thornferry/placer/SiteFixtures.java
@@ -9,11 +9,11 @@
 import thornferry.protocol.Heartbeat;
 
 /** Sites of one kind of machine, for tests of the decision modules together. */
-final class Sites {
+final class SiteFixtures {
     static final long MS = 1_000;
     static final long SECOND = 1_000_000;
 
-    private Sites() {}
+    private SiteFixtures() {}
 
     static Placement.TaskClass cls(
             String name, Placement.Idempotency effect, Placement.TopologyScope spread) {
--- a/placer/src/test/java/thornferry/placer/PromisesTest.java
+++ b/placer/src/test/java/thornferry/placer/WriteAheadTest.java
@@ -33,7 +33,7 @@
  * An offer of what must not start twice leaves only when its promise is durable, and only if it
  * still should.
  */
-class PromisesTest implements Core.Out {
+class WriteAheadTest implements PlacerCore.Output {
     private static final long MS = 1_000;
     private static final long SECOND = 1_000_000;
 
@@ -45,7 +45,7 @@
     private final List<String> withdrawn = new ArrayList<>();
     private String trouble = "";
     private long now = 1_000 * SECOND;
-    private Core core;
+    private PlacerCore core;
 
     private final Journal slow =
             new Journal() {
@@ -61,7 +61,7 @@
                 }
 
                 @Override
-                public String trouble() {
+                public String writeFailure() {
                     return trouble;
                 }
 
@@ -75,15 +75,15 @@
     void start() {
         channel.freezeTime();
         Site site =
-                Sites.of(
+                SiteFixtures.of(
                         1,
                         16,
                         List.of(
-                                Sites.cls(
+                                SiteFixtures.cls(
                                         "levy-run",
                                         Idempotency.NON_IDEMPOTENT,
                                         Placement.TopologyScope.NONE),
-                                Sites.cls(
+                                SiteFixtures.cls(
                                         "safe",
                                         Idempotency.IDEMPOTENT,
                                         Placement.TopologyScope.NONE)),
@@ -97,7 +97,7 @@
                                 8 * SECOND),
                         AdmissionSettings.defaults());
         core =
-                new Core(
+                new PlacerCore(
                         site,
                         0,
                         "p-0",
@@ -105,7 +105,7 @@
                         () -> now,
                         Policy::new,
                         owner -> "",
-                        new Core.Kept(slow, List.of(), true),
+                        new PlacerCore.RecoveredState(slow, List.of(), true),
                         this);
         channel.runPendingTasks();
         core.registered(
@@ -130,7 +130,7 @@
     }
 
     private void ask(String cls) throws InvalidRequestException {
-        core.ask("o", new TaskSpec("t", cls, "s", "", 1, 1, 2 * SECOND, 0));
+        core.submit("o", new TaskSpec("t", cls, "s", "", 1, 1, 2 * SECOND, 0));
         channel.runPendingTasks();
         pass(60 * MS);
     }
@@ -149,9 +149,9 @@
         assertThat(offers).isEmpty();
         acknowledge(null);
         assertThat(offers).hasSize(1);
-        core.said(
+        core.attemptReported(
                 "n",
-                new Core.Said(
+                new PlacerCore.AttemptReport(
                         offers.get(0), AttemptStatus.ACCEPTED, RejectionReason.NONE, false, null));
         assertThat(written.get(1)).isInstanceOf(JournalRecord.Completed.class);
         assertThat(news).isEmpty();
@@ -195,7 +195,7 @@
     @Test
     void anOfferWhoseNodeReconnectedMeanwhileIsNotSentUnderItsOldName() throws Exception {
         ask("levy-run");
-        core.linkClosed(1);
+        core.connectionClosed(1);
         core.registered(
                 2,
                 new Membership.Registration("n", 5, "std", "a", 1, 16, 16, 3_600 * SECOND, 16, 16),
@@ -219,17 +219,17 @@
         pass(3 * SECOND);
         assertThat(offers).isEmpty();
         assertThat(news).last().returns(RequestResult.REJECTED, ResultNotification::result);
-        core.ask("o", new TaskSpec("u", "levy-run", "s", "", 1, 1, 2 * SECOND, 0));
+        core.submit("o", new TaskSpec("u", "levy-run", "s", "", 1, 1, 2 * SECOND, 0));
         assertThat(news)
                 .last()
                 .returns("u", ResultNotification::task)
                 .returns(trouble, ResultNotification::reason);
-        core.ask("o", new TaskSpec("v", "safe", "s", "", 1, 1, 2 * SECOND, 0));
+        core.submit("o", new TaskSpec("v", "safe", "s", "", 1, 1, 2 * SECOND, 0));
         pass(500 * MS);
         assertThat(offers).hasSize(1);
         trouble = "";
         pass(200 * MS);
-        core.ask("o", new TaskSpec("w", "levy-run", "s", "", 1, 1, 2 * SECOND, 0));
+        core.submit("o", new TaskSpec("w", "levy-run", "s", "", 1, 1, 2 * SECOND, 0));
         pass(500 * MS);
         acknowledge(null);
         assertThat(offers).hasSize(2);
@@ -243,17 +243,17 @@
     }
 
     @Override
-    public void withdraw(String machine, String attempt) {
+    public void cancelAttempt(String machine, String attempt) {
         withdrawn.add(attempt);
     }
 
     @Override
-    public boolean probe(String machine, long number) {
+    public boolean checkHealth(String machine, long number) {
         return true;
     }
 
     @Override
-    public void tellDrain(String machine, boolean on) {
+    public void notifyDrain(String machine, boolean on) {
         // not looked at here
     }
 
@@ -263,17 +263,17 @@
     }
 
     @Override
-    public void deliver(ResultNotification n) {
+    public void notifyResult(ResultNotification n) {
         news.add(n);
     }
 
     @Override
-    public void closeLink(long link, String why) {
+    public void closeConnection(long link, String why) {
         throw new AssertionError(why);
     }
 
     @Override
-    public void changed(PendingReasons.ReasonChanged changed) {
+    public void reasonChanged(PendingReasons.ReasonChanged changed) {
         // nobody watches
     }
 }
--- a/protocol/src/main/java/thornferry/protocol/ServerSession.java
+++ b/protocol/src/main/java/thornferry/protocol/ServerSession.java
@@ -23,7 +23,7 @@
 /**
  * The server's half of one STOMP 1.2 connection: handshake, subscriptions, acknowledgements,
  * transactions, receipts, and an ERROR before the close for whatever the peer does wrong. What the
- * frames mean is the {@link Front}'s.
+ * frames mean is the {@link SessionHandler}'s.
  *
  * <p>Everything runs on the connection's event loop.
  */
@@ -32,7 +32,7 @@
      * What stands behind the sessions. An exception refuses the frame: the peer gets an ERROR and
      * is cut off.
      */
-    public interface Front {
+    public interface SessionHandler {
         /**
          * Who the peer is. {@code login} and {@code passcode} may be null where it sent none. The
          * answer may come later, on the connection's event loop: {@link #admit} or {@link #fail}.
@@ -68,7 +68,7 @@
     private static final int MOST_TRANSACTIONS = 16;
     private static final int MOST_IN_TRANSACTION = 256;
 
-    private final Front front;
+    private final SessionHandler front;
     private final Heartbeat heartbeat;
     private final String server;
     private final int handshakeMs;
@@ -85,7 +85,8 @@
     private long messages;
     private Object attachment;
 
-    private ServerSession(Front front, Heartbeat heartbeat, String server, int handshakeMs) {
+    private ServerSession(
+            SessionHandler front, Heartbeat heartbeat, String server, int handshakeMs) {
         this.front = front;
         this.heartbeat = heartbeat;
         this.server = server;
@@ -99,7 +100,7 @@
      */
     public static void install(
             Channel channel,
-            Front front,
+            SessionHandler front,
             FrameLimits limits,
             Heartbeat heartbeat,
             String server,
--- a/state/src/main/java/thornferry/state/Journal.java
+++ b/state/src/main/java/thornferry/state/Journal.java
@@ -29,7 +29,7 @@
             }
 
             @Override
-            public String trouble() {
+            public String writeFailure() {
                 return why == null ? "" : why;
             }
 
@@ -55,7 +55,7 @@
     void compact(Supplier<Iterable<JournalRecord>> snapshot);
 
     /** What keeps it from writing now; empty where it writes. */
-    String trouble();
+    String writeFailure();
 
     @Override
     void close();
--- a/state/src/main/java/thornferry/state/Reading.java
+++ b/state/src/main/java/thornferry/state/JournalContents.java
@@ -18,32 +18,32 @@
  * piece, so that a file of any size costs no more memory than its good lines.
  *
  * @param placer whose it is; empty where that cannot be read
- * @param whole nothing is lacking but, at most, a last line that was being written
- * @param trouble what is wrong, empty for nothing; with {@code foreign} the lines are not ours to
+ * @param complete nothing is lacking but, at most, a last line that was being written
+ * @param problem what is wrong, empty for nothing; with {@code foreign} the lines are not ours to
  *     use
  * @param foreign of another placer, of a later version, or no journal at all
- * @param last the last start of a placer with it; null where there was none
- * @param good octets up to the end of the last whole line
+ * @param lastIncarnation the last start of a placer with it; null where there was none
+ * @param validBytes octets up to the end of the last whole line
  */
-public record Reading(
+public record JournalContents(
         String placer,
-        List<JournalRecord> promises,
-        boolean whole,
+        List<JournalRecord> records,
+        boolean complete,
         boolean foreign,
-        String trouble,
-        Life last,
-        long good) {
+        String problem,
+        Life lastIncarnation,
+        long validBytes) {
     static final int VERSION = 1;
     static final byte[] MAGIC = {'T', 'F', 'J', '\n'};
 
     /**
      * @param placer whose journal it must be; null for anyone's
      */
-    public static Reading of(Path file, String placer) throws IOException {
+    public static JournalContents of(Path file, String placer) throws IOException {
         return of(Storage.SYSTEM, file, placer);
     }
 
-    static Reading of(Storage storage, Path file, String placer) throws IOException {
+    static JournalContents of(Storage storage, Path file, String placer) throws IOException {
         List<JournalRecord> promises = new ArrayList<>();
         Life last = null;
         long good = MAGIC.length;
@@ -63,12 +63,12 @@
             if (placer != null && !header.getPlacer().equals(placer)) {
                 return foreign("is that of placer " + header.getPlacer() + ", not of " + placer);
             }
-            good += Lines.PREFIX + first.length;
+            good += RecordCodec.HEADER_BYTES + first.length;
             while (good < size) {
                 byte[] body = next(in);
                 if (body == null) {
                     boolean torn = restIsNoLine(in);
-                    return new Reading(
+                    return new JournalContents(
                             header.getPlacer(),
                             promises,
                             torn,
@@ -85,18 +85,18 @@
                 if (line.hasLife()) {
                     last = line.getLife();
                 } else {
-                    promises.add(Lines.promise(line));
+                    promises.add(RecordCodec.decode(line));
                 }
-                good += Lines.PREFIX + body.length;
+                good += RecordCodec.HEADER_BYTES + body.length;
             }
-            return new Reading(header.getPlacer(), promises, true, false, "", last, good);
+            return new JournalContents(header.getPlacer(), promises, true, false, "", last, good);
         } catch (InvalidProtocolBufferException e) {
             return foreign(e.getMessage());
         }
     }
 
-    private static Reading foreign(String why) {
-        return new Reading("", List.of(), false, true, why, null, 0);
+    private static JournalContents foreign(String why) {
+        return new JournalContents("", List.of(), false, true, why, null, 0);
     }
 
     /** The next body, or null where no whole line follows. */
@@ -104,11 +104,11 @@
         try {
             int length = in.readInt();
             int crc = in.readInt();
-            if (length < 0 || length > Lines.MOST) {
+            if (length < 0 || length > RecordCodec.MAX_BODY_BYTES) {
                 return null;
             }
             byte[] body = in.readNBytes(length);
-            return body.length == length && Lines.crc(body, 0, length) == crc ? body : null;
+            return body.length == length && RecordCodec.crc(body, 0, length) == crc ? body : null;
         } catch (EOFException e) {
             return null;
         }
@@ -120,8 +120,8 @@
      * lines behind it may be lost.
      */
     private static boolean restIsNoLine(DataInputStream in) throws IOException {
-        byte[] rest = in.readNBytes(Lines.MOST + 1);
-        if (rest.length > Lines.MOST) {
+        byte[] rest = in.readNBytes(RecordCodec.MAX_BODY_BYTES + 1);
+        if (rest.length > RecordCodec.MAX_BODY_BYTES) {
             return false;
         }
         for (byte b : rest) {
--- a/state/src/main/java/thornferry/state/JournalFile.java
+++ b/state/src/main/java/thornferry/state/JournalFile.java
@@ -38,10 +38,10 @@
  */
 public final class JournalFile implements Journal {
     /** Another process, or another instance of this one, uses the folder. */
-    public static final class InUse extends IOException {
+    public static final class JournalInUseException extends IOException {
         private static final long serialVersionUID = 1;
 
-        InUse(Path folder) {
+        JournalInUseException(Path folder) {
             super(
                     "state folder "
                             + folder
@@ -66,7 +66,7 @@
     /** Octets of one write of a file that is written anew. */
     private static final int PIECE = 1 << 18;
 
-    private record Pending(byte[] octets, Consumer<String> done) {}
+    private record PendingAppend(byte[] octets, Consumer<String> done) {}
 
     private final Path folder;
     private final String placer;
@@ -75,13 +75,13 @@
     private final LongSupplier nanos;
     private final boolean threads;
     private final Closeable lock;
-    private final Reading read;
+    private final JournalContents read;
     private final String restartTrouble;
-    private final ArrayDeque<Pending> queue =
+    private final ArrayDeque<PendingAppend> queue =
             new ArrayDeque<>(); // for the writer thread; guarded by itself
     private final Thread writer;
     long compactFrom = COMPACT_FROM;
-    private Storage.Out out; // from here on guarded by this
+    private Storage.WritableFile out; // from here on guarded by this
     private Path file;
     private long number;
     private long good; // octets that are whole lines
@@ -112,16 +112,16 @@
         this.threads = threads;
         this.lock = lock;
         List<Path> files = files(storage, folder);
-        Reading found = new Reading(placer, List.of(), true, false, "", null, 0);
+        JournalContents found = new JournalContents(placer, List.of(), true, false, "", null, 0);
         if (!files.isEmpty()) {
             Path newest = files.get(files.size() - 1);
             number = number(newest);
             file = newest;
-            found = Reading.of(storage, newest, placer);
-            if (!found.trouble().isEmpty()) {
-                LOG.warn("journal {} {}", newest, found.trouble());
+            found = JournalContents.of(storage, newest, placer);
+            if (!found.problem().isEmpty()) {
+                LOG.warn("journal {} {}", newest, found.problem());
             }
-            if (!found.whole()) {
+            if (!found.complete()) {
                 // kept for whoever looks into it; never read again
                 Path aside =
                         newest.resolveSibling(
@@ -141,10 +141,10 @@
 
     /**
      * Opens the journal of a placer instance, or begins one. Reads what is there; nothing is
-     * written before {@link #begin}.
+     * written before {@link #startIncarnation}.
      *
      * @param durability {@link Durability#OS} or {@link Durability#DISK}
-     * @throws InUse where another has it open
+     * @throws JournalInUseException where another has it open
      * @throws IOException where the folder cannot be made, read or written
      */
     public static JournalFile open(Path folder, String placer, Durability durability)
@@ -161,13 +161,13 @@
         try {
             FileLock lock = channel.tryLock();
             if (lock == null) {
-                throw new InUse(folder);
+                throw new JournalInUseException(folder);
             }
             return new JournalFile(
                     folder, placer, durability, Storage.SYSTEM, System::nanoTime, true, channel);
         } catch (OverlappingFileLockException e) {
             channel.close();
-            throw new InUse(folder);
+            throw new JournalInUseException(folder);
         } catch (IOException | RuntimeException e) {
             channel.close();
             throw e;
@@ -192,27 +192,27 @@
     }
 
     /** What may be lacking since the former life; empty for nothing. */
-    private String lacks(Reading found) {
-        if (!found.whole()) { // a foreign one is never whole
-            return "the journal found " + found.trouble();
-        } else if (found.last() != null
-                && found.last().getDurability().equals(Durability.OS.name())
-                && !found.last().getBoot().equals(boot())) {
+    private String lacks(JournalContents found) {
+        if (!found.complete()) { // a foreign one is never whole
+            return "the journal found " + found.problem();
+        } else if (found.lastIncarnation() != null
+                && found.lastIncarnation().getDurability().equals(Durability.OS.name())
+                && !found.lastIncarnation().getBoot().equals(boot())) {
             return "the machine was started anew, and with durability os its last lines may be"
                     + " lost";
-        } else if (found.last() == null) {
+        } else if (found.lastIncarnation() == null) {
             return "there was no journal before";
         }
         return "";
     }
 
     /** What former lives wrote, oldest first. */
-    public List<JournalRecord> promises() {
-        return read.promises();
+    public List<JournalRecord> records() {
+        return read.records();
     }
 
     /** Why what former lives offered may not all stand here; empty where it does. */
-    public String lacking() {
+    public String incompleteBecause() {
         return restartTrouble;
     }
 
@@ -220,7 +220,7 @@
      * Begins this life with a file that holds what still counts; from now on {@link #append} may be
      * called.
      */
-    public void begin(Iterable<JournalRecord> snapshot) throws IOException {
+    public void startIncarnation(Iterable<JournalRecord> snapshot) throws IOException {
         rewrite(snapshot);
         if (writer != null) {
             writer.setDaemon(true);
@@ -241,10 +241,10 @@
     // ---- appending ----
     @Override
     public void append(JournalRecord promise, Consumer<String> done) {
-        byte[] octets = Lines.framed(Lines.of(promise));
+        byte[] octets = RecordCodec.frame(RecordCodec.encode(promise));
         if (writer != null) {
             synchronized (queue) {
-                queue.add(new Pending(octets, done));
+                queue.add(new PendingAppend(octets, done));
                 queue.notifyAll();
             }
             return;
@@ -296,7 +296,7 @@
     /** The writer's thread: what came up during one force goes with the next. */
     private void write() {
         while (true) {
-            List<Pending> batch = new ArrayList<>();
+            List<PendingAppend> batch = new ArrayList<>();
             int octets = 0;
             synchronized (queue) {
                 while (queue.isEmpty()) {
@@ -318,7 +318,7 @@
             batch.forEach(p -> all.put(p.octets()));
             String wrong;
             synchronized (this) {
-                wrong = put(all.array(), batch.stream().map(Pending::octets).toList());
+                wrong = put(all.array(), batch.stream().map(PendingAppend::octets).toList());
             }
             batch.forEach(p -> p.done().accept(wrong));
         }
@@ -329,7 +329,7 @@
     }
 
     @Override
-    public synchronized String trouble() {
+    public synchronized String writeFailure() {
         return trouble;
     }
 
@@ -377,7 +377,7 @@
     }
 
     private void rewrite(Iterable<JournalRecord> lines) throws IOException {
-        Beside beside = null;
+        PendingSnapshot beside = null;
         try {
             beside = beside(lines);
             synchronized (this) {
@@ -396,23 +396,23 @@
     }
 
     /** A file made beside, open, of this size. */
-    private record Beside(Path path, Storage.Out out, long size) {}
+    private record PendingSnapshot(Path path, Storage.WritableFile out, long size) {}
 
-    private Beside beside(Iterable<JournalRecord> lines) throws IOException {
+    private PendingSnapshot beside(Iterable<JournalRecord> lines) throws IOException {
         Path made = folder.resolve("journal-new.tmp");
-        Storage.Out to = storage.create(made);
+        Storage.WritableFile to = storage.create(made);
         try {
             ByteArrayOutputStream buffer = new ByteArrayOutputStream(PIECE);
-            buffer.write(Reading.MAGIC);
+            buffer.write(JournalContents.MAGIC);
             buffer.write(
-                    Lines.framed(
+                    RecordCodec.frame(
                             Header.newBuilder()
-                                    .setVersion(Reading.VERSION)
+                                    .setVersion(JournalContents.VERSION)
                                     .setPlacer(placer)
                                     .build()));
             long size = 0;
             for (JournalRecord p : lines) {
-                buffer.write(Lines.framed(Lines.of(p)));
+                buffer.write(RecordCodec.frame(RecordCodec.encode(p)));
                 if (buffer.size() >= PIECE) {
                     to.write(size, buffer.toByteArray());
                     size += buffer.size();
@@ -422,7 +422,7 @@
             buffer.write(life());
             to.write(size, buffer.toByteArray());
             to.force();
-            return new Beside(made, to, size + buffer.size());
+            return new PendingSnapshot(made, to, size + buffer.size());
         } catch (IOException e) {
             to.close();
             throw e;
@@ -430,14 +430,14 @@
     }
 
     private byte[] life() {
-        return Lines.framed(
+        return RecordCodec.frame(
                 Line.newBuilder()
                         .setLife(Life.newBuilder().setBoot(boot()).setDurability(durability.name()))
                         .build());
     }
 
     /** The file made beside takes over, with what was appended meanwhile. */
-    private void take(Beside made) throws IOException {
+    private void take(PendingSnapshot made) throws IOException {
         if (closed) {
             throw new IOException("the journal is closed");
         }
@@ -455,7 +455,7 @@
         storage.rename(made.path(), named);
         // from here on the new file is the newest, so it takes the lines whatever fails below
         Path former = file;
-        Storage.Out formerOut = out;
+        Storage.WritableFile formerOut = out;
         out = made.out();
         file = named;
         number++;
--- a/state/src/main/java/thornferry/state/Lines.java
+++ b/state/src/main/java/thornferry/state/RecordCodec.java
@@ -14,17 +14,17 @@
 import thornferry.state.v1.Wish;
 
 /** The form of a line: length (4 octets), CRC-32C of length and body (4 octets), body. */
-final class Lines {
-    static final int PREFIX = 8;
+final class RecordCodec {
+    static final int HEADER_BYTES = 8;
 
     /** No line is longer: ids, keys and names have limits of their own far below it. */
-    static final int MOST = 1 << 16;
+    static final int MAX_BODY_BYTES = 1 << 16;
 
-    private Lines() {}
+    private RecordCodec() {}
 
-    static byte[] framed(MessageLite message) {
+    static byte[] frame(MessageLite message) {
         byte[] body = message.toByteArray();
-        ByteBuffer framed = ByteBuffer.allocate(PREFIX + body.length);
+        ByteBuffer framed = ByteBuffer.allocate(HEADER_BYTES + body.length);
         framed.putInt(body.length).putInt(crc(body, 0, body.length)).put(body);
         return framed.array();
     }
@@ -40,7 +40,7 @@
         return (int) crc.getValue();
     }
 
-    static Line of(JournalRecord p) {
+    static Line encode(JournalRecord p) {
         Line.Builder line = Line.newBuilder().setAt(p.atMicros());
         if (p instanceof JournalRecord.Offered o) {
             line.setOffered(
@@ -48,7 +48,7 @@
                             .setAttempt(o.attempt())
                             .setOwner(o.owner())
                             .setTenant(o.tenant())
-                            .setWish(of(o.spec()))
+                            .setWish(encode(o.spec()))
                             .setEffect(JournalWords.of(o.idempotency()))
                             .setMachine(o.machine())
                             .setIncarnation(o.incarnation()));
@@ -63,7 +63,7 @@
                     Answered.newBuilder()
                             .setOwner(a.owner())
                             .setTenant(a.tenant())
-                            .setWish(of(a.spec()))
+                            .setWish(encode(a.spec()))
                             .setEffect(JournalWords.of(a.idempotency()))
                             .setResult(JournalWords.of(a.result()))
                             .setMachine(a.machine())
@@ -78,7 +78,7 @@
         return line.build();
     }
 
-    private static Wish of(TaskSpec w) {
+    private static Wish encode(TaskSpec w) {
         return Wish.newBuilder()
                 .setId(w.id())
                 .setTaskClass(w.taskClass())
@@ -93,7 +93,7 @@
     /**
      * @throws InvalidProtocolBufferException where it is of no type that this version knows
      */
-    static JournalRecord promise(Line line) throws InvalidProtocolBufferException {
+    static JournalRecord decode(Line line) throws InvalidProtocolBufferException {
         try {
             return switch (line.getLineCase()) {
                 case OFFERED -> {
--- a/state/src/main/java/thornferry/state/Storage.java
+++ b/state/src/main/java/thornferry/state/Storage.java
@@ -21,7 +21,7 @@
  */
 interface Storage {
     /** An open file. */
-    interface Out extends Closeable {
+    interface WritableFile extends Closeable {
         /** Writes all of it at this offset; where it throws, any part may have been written. */
         void write(long at, byte[] octets) throws IOException;
 
@@ -32,7 +32,7 @@
     }
 
     /** A new file, empty; one of the name is overwritten. */
-    Out create(Path file) throws IOException;
+    WritableFile create(Path file) throws IOException;
 
     /** Atomic where the file system can; it outlasts a power loss after {@link #forceFolder}. */
     void rename(Path from, Path to) throws IOException;
@@ -53,14 +53,14 @@
                 private static final Logger LOG = LoggerFactory.getLogger(Storage.class);
 
                 @Override
-                public Out create(Path file) throws IOException {
+                public WritableFile create(Path file) throws IOException {
                     FileChannel channel =
                             FileChannel.open(
                                     file,
                                     StandardOpenOption.CREATE,
                                     StandardOpenOption.TRUNCATE_EXISTING,
                                     StandardOpenOption.WRITE);
-                    return new Out() {
+                    return new WritableFile() {
                         @Override
                         public void write(long at, byte[] octets) throws IOException {
                             ByteBuffer buffer = ByteBuffer.wrap(octets);
--- a/state/src/test/java/thornferry/state/CrashingStorage.java
+++ b/state/src/test/java/thornferry/state/CrashingStorage.java
@@ -114,12 +114,12 @@
     }
 
     @Override
-    public Out create(Path file) throws IOException {
+    public WritableFile create(Path file) throws IOException {
         step();
         Inode inode = new Inode();
         names.put(file, inode);
         named();
-        return new Out() {
+        return new WritableFile() {
             @Override
             public void write(long at, byte[] octets) throws IOException {
                 int length = octets.length;
--- a/state/src/test/java/thornferry/state/JournalFileTest.java
+++ b/state/src/test/java/thornferry/state/JournalFileTest.java
@@ -74,14 +74,14 @@
             long[] nanos = {0};
             try {
                 JournalFile file = open(storage, durability, nanos);
-                List<String> read = attempts(file.promises());
+                List<String> read = attempts(file.records());
                 assertThat(read)
                         .as("seed %d life %d", seed, life)
                         .containsAll(acknowledged)
                         .isSubsetOf(attempts(appended))
                         .isSorted();
                 appended.removeIf(p -> !read.contains(((JournalRecord.Offered) p).attempt()));
-                file.begin(file.promises());
+                file.startIncarnation(file.records());
                 for (int i = 0; i < 100; i++) {
                     JournalRecord.Offered p = offered(1_000 + ++number);
                     appended.add(p);
@@ -138,17 +138,17 @@
     private static byte[] some() throws IOException {
         CrashingStorage storage = new CrashingStorage(new SplittableRandom(1));
         JournalFile file = open(storage, Durability.OS, new long[1]);
-        file.begin(List.of());
+        file.startIncarnation(List.of());
         for (int i = 0; i < 5; i++) {
             file.append(offered(i), wrong -> {});
         }
         return storage.content(FOLDER.resolve("journal-1.tfj"));
     }
 
-    private static Reading read(byte[] content, String placer) throws IOException {
+    private static JournalContents read(byte[] content, String placer) throws IOException {
         CrashingStorage storage = new CrashingStorage(new SplittableRandom(1));
         storage.put(FOLDER.resolve("journal-1.tfj"), content);
-        return Reading.of(storage, FOLDER.resolve("journal-1.tfj"), placer);
+        return JournalContents.of(storage, FOLDER.resolve("journal-1.tfj"), placer);
     }
 
     @Test
@@ -156,15 +156,15 @@
         byte[] all = some();
         int most = 0;
         for (int length = 0; length <= all.length; length++) {
-            Reading reading = read(Arrays.copyOf(all, length), "p-0");
-            assertThat(reading.promises().size()).isBetween(most, most + 1);
-            most = Math.max(most, reading.promises().size());
+            JournalContents reading = read(Arrays.copyOf(all, length), "p-0");
+            assertThat(reading.records().size()).isBetween(most, most + 1);
+            most = Math.max(most, reading.records().size());
             // a kill leaves no more than one line that is not whole, so nothing is lacking but that
             // one
-            assertThat(reading.whole()).isEqualTo(!reading.foreign());
+            assertThat(reading.complete()).isEqualTo(!reading.foreign());
         }
         assertThat(most).isEqualTo(5);
-        assertThat(read(all, "p-0").trouble()).isEmpty();
+        assertThat(read(all, "p-0").problem()).isEmpty();
     }
 
     @Test
@@ -173,25 +173,25 @@
         for (int at = 0; at < all.length; at++) {
             byte[] wrong = all.clone();
             wrong[at] ^= 0x41;
-            Reading reading = read(wrong, "p-0");
-            assertThat(reading.trouble()).as("octet %d", at).isNotEmpty();
-            assertThat(attempts(reading.promises()))
+            JournalContents reading = read(wrong, "p-0");
+            assertThat(reading.problem()).as("octet %d", at).isNotEmpty();
+            assertThat(attempts(reading.records()))
                     .isEqualTo(
                             List.of("a0", "a1", "a2", "a3", "a4")
-                                    .subList(0, reading.promises().size()));
+                                    .subList(0, reading.records().size()));
         }
     }
 
     @Test
     void aForeignALaterAndANoisyFileAreKeptAsideAndSaid() throws IOException {
-        assertThat(read(some(), "p-1").trouble()).contains("is that of placer p-0, not of p-1");
-        assertThat(read("no journal at all".getBytes(), "p-0").trouble())
+        assertThat(read(some(), "p-1").problem()).contains("is that of placer p-0, not of p-1");
+        assertThat(read("no journal at all".getBytes(), "p-0").problem())
                 .isEqualTo("is no journal");
         Files.write(Files.createDirectories(folder).resolve("journal-7.tfj"), some());
         try (JournalFile file = JournalFile.open(folder, "p-1", Durability.DISK)) {
-            assertThat(file.promises()).isEmpty();
-            assertThat(file.lacking()).contains("is that of placer p-0");
-            file.begin(List.of());
+            assertThat(file.records()).isEmpty();
+            assertThat(file.incompleteBecause()).contains("is that of placer p-0");
+            file.startIncarnation(List.of());
         }
         try (var left = Files.list(folder)) {
             assertThat(left.map(f -> f.getFileName().toString().replaceAll("aside-\\d+", "aside")))
@@ -203,10 +203,10 @@
     void aSecondOwnerIsTurnedAwayAndTheFirstOnesLinesAreThereAfterwards() throws Exception {
         CountDownLatch done = new CountDownLatch(20);
         try (JournalFile file = JournalFile.open(folder, "p-0", Durability.DISK)) {
-            assertThat(file.lacking()).isEqualTo("there was no journal before");
-            file.begin(List.of());
+            assertThat(file.incompleteBecause()).isEqualTo("there was no journal before");
+            file.startIncarnation(List.of());
             assertThatThrownBy(() -> JournalFile.open(folder, "p-0", Durability.DISK))
-                    .isInstanceOf(JournalFile.InUse.class)
+                    .isInstanceOf(JournalFile.JournalInUseException.class)
                     .hasMessageContaining("is in use by another placer");
             for (int i = 10; i < 30; i++) {
                 file.append(offered(i), wrong -> done.countDown());
@@ -214,8 +214,8 @@
             assertThat(done.await(10, TimeUnit.SECONDS)).isTrue();
         }
         try (JournalFile again = JournalFile.open(folder, "p-0", Durability.DISK)) {
-            assertThat(again.lacking()).isEmpty();
-            assertThat(again.promises()).hasSize(20).contains(offered(17));
+            assertThat(again.incompleteBecause()).isEmpty();
+            assertThat(again.records()).hasSize(20).contains(offered(17));
         }
     }
 }
--- a/state/src/test/java/thornferry/state/StoredJournalTest.java
+++ b/state/src/test/java/thornferry/state/StoredJournalTest.java
@@ -133,46 +133,50 @@
             String placer, List<JournalRecord> first, Life life, List<JournalRecord> then)
             throws IOException {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
-        all.write(Reading.MAGIC);
+        all.write(JournalContents.MAGIC);
         all.write(
-                Lines.framed(
-                        Header.newBuilder().setVersion(Reading.VERSION).setPlacer(placer).build()));
+                RecordCodec.frame(
+                        Header.newBuilder()
+                                .setVersion(JournalContents.VERSION)
+                                .setPlacer(placer)
+                                .build()));
         for (JournalRecord p : first) {
-            all.write(Lines.framed(Lines.of(p)));
+            all.write(RecordCodec.frame(RecordCodec.encode(p)));
         }
-        all.write(Lines.framed(Line.newBuilder().setLife(life).build()));
+        all.write(RecordCodec.frame(Line.newBuilder().setLife(life).build()));
         for (JournalRecord p : then) {
-            all.write(Lines.framed(Lines.of(p)));
+            all.write(RecordCodec.frame(RecordCodec.encode(p)));
         }
         return all.toByteArray();
     }
 
     @Test
     void readsEveryRecordKindOfARewrittenFile() throws IOException {
-        Reading reading = Reading.of(REWRITTEN, "placer-0");
-        assertThat(reading.trouble()).isEmpty();
-        assertThat(reading.whole()).isTrue();
+        JournalContents reading = JournalContents.of(REWRITTEN, "placer-0");
+        assertThat(reading.problem()).isEmpty();
+        assertThat(reading.complete()).isTrue();
         assertThat(reading.foreign()).isFalse();
         assertThat(reading.placer()).isEqualTo("placer-0");
-        assertThat(reading.last().getDurability()).isEqualTo("OS");
-        assertThat(reading.promises().subList(0, 3)).isEqualTo(CARRIED_OVER);
-        assertThat(reading.promises().subList(3, reading.promises().size())).isEqualTo(APPENDED);
+        assertThat(reading.lastIncarnation().getDurability()).isEqualTo("OS");
+        assertThat(reading.records().subList(0, 3)).isEqualTo(CARRIED_OVER);
+        assertThat(reading.records().subList(3, reading.records().size())).isEqualTo(APPENDED);
     }
 
     @Test
     void encodesTheSameRecordsToTheSameBytes() throws IOException {
-        Life life = Reading.of(REWRITTEN, "placer-0").last();
+        Life life = JournalContents.of(REWRITTEN, "placer-0").lastIncarnation();
         assertThat(encoded("placer-0", CARRIED_OVER, life, APPENDED))
                 .isEqualTo(Files.readAllBytes(REWRITTEN));
     }
 
     @Test
     void readsATornTailUpToItsLastWholeRecord() throws IOException {
-        Reading reading = Reading.of(TORN, "placer-1");
-        assertThat(reading.whole()).isTrue();
-        assertThat(reading.trouble()).startsWith("its last line was not whole and is cut off");
-        assertThat(reading.promises()).isEqualTo(APPENDED.subList(0, 3));
-        byte[] whole = encoded("placer-1", List.of(), reading.last(), APPENDED.subList(0, 4));
+        JournalContents reading = JournalContents.of(TORN, "placer-1");
+        assertThat(reading.complete()).isTrue();
+        assertThat(reading.problem()).startsWith("its last line was not whole and is cut off");
+        assertThat(reading.records()).isEqualTo(APPENDED.subList(0, 3));
+        byte[] whole =
+                encoded("placer-1", List.of(), reading.lastIncarnation(), APPENDED.subList(0, 4));
         byte[] torn = Files.readAllBytes(TORN);
         assertThat(torn).isEqualTo(Arrays.copyOf(whole, torn.length));
     }
@@ -182,11 +186,11 @@
         Path copy = Files.createDirectories(folder.resolve("placer-0"));
         Files.copy(REWRITTEN, copy.resolve("journal-2.tfj"));
         try (JournalFile journal = JournalFile.open(copy, "placer-0", Durability.DISK)) {
-            assertThat(journal.promises()).hasSize(12);
-            journal.begin(journal.promises());
+            assertThat(journal.records()).hasSize(12);
+            journal.startIncarnation(journal.records());
         }
-        Reading again = Reading.of(copy.resolve("journal-3.tfj"), "placer-0");
-        assertThat(again.promises().subList(3, 12)).isEqualTo(APPENDED);
-        assertThat(again.last().getDurability()).isEqualTo("DISK");
+        JournalContents again = JournalContents.of(copy.resolve("journal-3.tfj"), "placer-0");
+        assertThat(again.records().subList(3, 12)).isEqualTo(APPENDED);
+        assertThat(again.lastIncarnation().getDurability()).isEqualTo("DISK");
     }
 }
--- a/standin/src/main/java/thornferry/standin/Capture.java
+++ b/testbed/src/main/java/thornferry/testbed/Capture.java
@@ -1,4 +1,4 @@
-package thornferry.standin;
+package thornferry.testbed;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -77,7 +77,7 @@
      * @param startsPerSecond what the weakest node can start, warm, of tasks whose program it lacks
      */
     public void site(Site site, double startsPerSecond) {
-        Placement.Settings m = site.module();
+        Placement.Settings m = site.placement();
         ObjectNode line =
                 JSON.createObjectNode()
                         .put("k", "site")
@@ -90,7 +90,7 @@
                 .put("coldMultiple", m.rules().slowStartMultiple())
                 .put("coldWindow", m.rules().slowStartWindowMicros())
                 .put("coldOffers", m.rules().slowStartOffers())
-                .put("mostPatience", site.intake().maxWaitMicros())
+                .put("mostPatience", site.requestLimits().maxWaitMicros())
                 .put("startsPerSecond", startsPerSecond);
         ArrayNode classes = line.putArray("classes");
         m.classes()
--- a/standin/src/main/java/thornferry/standin/Child.java
+++ b/testbed/src/main/java/thornferry/testbed/ChildProcess.java
@@ -1,4 +1,4 @@
-package thornferry.standin;
+package thornferry.testbed;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -15,14 +15,14 @@
  * A process of our own with this program's classes, that can be killed as the system kills
  * (SIGKILL) and stood still (SIGSTOP). It ends by itself when its parent does.
  */
-final class Child {
+final class ChildProcess {
     private static final long FAILURES_EVERY_MS = 500;
 
     private final Process process;
     private final int port;
     private final long serving = System.nanoTime();
 
-    private Child(Process process, int port) {
+    private ChildProcess(Process process, int port) {
         this.process = process;
         this.port = port;
     }
@@ -30,7 +30,8 @@
     /**
      * Starts one and waits until it serves; {@code failures} hears what its {@link #serve} counts.
      */
-    static Child start(Class<?> main, List<String> args, LongConsumer failures) throws IOException {
+    static ChildProcess start(Class<?> main, List<String> args, LongConsumer failures)
+            throws IOException {
         List<String> command =
                 new ArrayList<>(
                         List.of(
@@ -67,7 +68,7 @@
                                 });
                 reader.setDaemon(true);
                 reader.start();
-                return new Child(process, Integer.parseInt(line.substring(7)));
+                return new ChildProcess(process, Integer.parseInt(line.substring(7)));
             }
         }
         process.destroyForcibly();
--- a/standin/src/main/java/thornferry/standin/Owners.java
+++ b/testbed/src/main/java/thornferry/testbed/ClientWorkload.java
@@ -1,4 +1,4 @@
-package thornferry.standin;
+package thornferry.testbed;
 
 import io.netty.channel.EventLoop;
 import java.util.ArrayList;
@@ -19,7 +19,7 @@
  * Those who ask, for one placer: a few clients, each an owner of its own, that ask for tasks, ask
  * again after a refusal or a loss, stop services and vanish. All on one event loop.
  */
-final class Owners {
+final class ClientWorkload {
     /** What became of the asks; for a report. */
     record Tally(
             long tasks,
@@ -32,12 +32,12 @@
             long evicted,
             long lost) {}
 
-    private static final class Wish {
+    private static final class SubmittedTask {
         final Task task;
         final int client;
         int asksLeft;
 
-        Wish(Task task, int client, int asksLeft) {
+        SubmittedTask(Task task, int client, int asksLeft) {
             this.task = task;
             this.client = client;
             this.asksLeft = asksLeft;
@@ -47,7 +47,7 @@
     private final EventLoop loop;
     private final SplittableRandom random;
     private final List<TaskClient> clients = new ArrayList<>();
-    private final Map<String, Wish> placed = new HashMap<>();
+    private final Map<String, SubmittedTask> placed = new HashMap<>();
     private final Set<String> unsafe;
     private final String prefix;
     private long number;
@@ -62,7 +62,7 @@
     private final AtomicLong evicted = new AtomicLong();
     private final AtomicLong lost = new AtomicLong();
 
-    Owners(
+    ClientWorkload(
             EventLoop loop,
             List<ClientConnection.Target> targets,
             Set<String> unsafe,
@@ -81,11 +81,11 @@
      * Starts one stream of asks, until {@link #end}; {@code rate} tells how many a second at this
      * moment.
      */
-    void stream(DayFile.Traffic t, java.util.function.DoubleSupplier rate) {
+    void stream(ScenarioFile.Traffic t, java.util.function.DoubleSupplier rate) {
         loop.execute(() -> next(t, rate));
     }
 
-    private void next(DayFile.Traffic t, java.util.function.DoubleSupplier rate) {
+    private void next(ScenarioFile.Traffic t, java.util.function.DoubleSupplier rate) {
         if (over) {
             return;
         }
@@ -106,7 +106,7 @@
         return least + random.nextDouble() * (most - least);
     }
 
-    private void ask(DayFile.Traffic t) {
+    private void ask(ScenarioFile.Traffic t) {
         String id = prefix + ++number;
         Task.Builder task =
                 Task.newBuilder()
@@ -124,10 +124,10 @@
             task.setPatienceMs(t.patience());
         }
         tasks.incrementAndGet();
-        submit(new Wish(task.build(), random.nextInt(clients.size()), t.asks()));
+        submit(new SubmittedTask(task.build(), random.nextInt(clients.size()), t.asks()));
     }
 
-    private void submit(Wish wish) {
+    private void submit(SubmittedTask wish) {
         asked.incrementAndGet();
         wish.asksLeft--;
         clients.get(wish.client)
@@ -153,7 +153,7 @@
                         loop);
     }
 
-    private void again(Wish wish, long millis) {
+    private void again(SubmittedTask wish, long millis) {
         if (wish.asksLeft > 0 && !over) {
             loop.schedule(
                     () -> {
@@ -167,7 +167,7 @@
     }
 
     private void happened(TaskNews news) {
-        Wish wish = placed.remove(news.getTask());
+        SubmittedTask wish = placed.remove(news.getTask());
         switch (news.getEvent()) {
             case "ended" -> ended.incrementAndGet();
             case "evicted", "lost", "moved" -> {
@@ -184,7 +184,7 @@
     void restartServices(double part) {
         loop.execute(
                 () -> {
-                    for (Wish wish : List.copyOf(placed.values())) {
+                    for (SubmittedTask wish : List.copyOf(placed.values())) {
                         if (random.nextDouble() < part
                                 && !unsafe.contains(wish.task.getTaskClass())) {
                             clients.get(wish.client).stop(wish.task.getId());
@@ -192,7 +192,7 @@
                             tasks.incrementAndGet();
                             Task anew = wish.task.toBuilder().setId(id).setKey("key-" + id).build();
                             loop.schedule(
-                                    () -> submit(new Wish(anew, wish.client, 3)),
+                                    () -> submit(new SubmittedTask(anew, wish.client, 3)),
                                     random.nextInt(1_000),
                                     TimeUnit.MILLISECONDS);
                         }
--- a/standin/src/main/java/thornferry/standin/Load.java
+++ b/testbed/src/main/java/thornferry/testbed/LoadGenerator.java
@@ -1,4 +1,4 @@
-package thornferry.standin;
+package thornferry.testbed;
 
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -14,8 +14,8 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 import thornferry.agent.AgentPool;
-import thornferry.agent.Behaviour;
 import thornferry.agent.NodeAgent;
+import thornferry.agent.NodeBehavior;
 import thornferry.agent.NodeShape;
 import thornferry.client.TaskClient;
 import thornferry.protocol.ClientConnection;
@@ -30,7 +30,7 @@
  * from when a task was due, so that a placer that falls behind cannot slow down those who measure
  * it. Nodes are stand-ins of this process that answer at once; bounded in time.
  */
-public final class Load implements AutoCloseable {
+public final class LoadGenerator implements AutoCloseable {
     /**
      * @param nodes stand-in nodes to bring along; 0 where others run them
      * @param cores of each node, and {@code memory}, as the placers' configuration has them for
@@ -73,7 +73,7 @@
     /**
      * @param owners one client each, for the placers in turn
      */
-    public Load(
+    public LoadGenerator(
             List<SocketAddress> placers,
             List<String> owners,
             String passcode,
@@ -81,7 +81,7 @@
             Fleet fleet) {
         loops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
         Heartbeat beat = new Heartbeat(fleet.beatMs(), fleet.beatMs());
-        Behaviour behaviour = Behaviour.instant(Map.of("depot-sync", 5_000_000L));
+        NodeBehavior behaviour = NodeBehavior.instant(Map.of("depot-sync", 5_000_000L));
         for (int i = 0; i < fleet.nodes(); i++) {
             pool.add(
                     new NodeShape(
--- a/standin/src/main/java/thornferry/standin/Overload.java
+++ b/testbed/src/main/java/thornferry/testbed/OverloadExperiment.java
@@ -1,4 +1,4 @@
-package thornferry.standin;
+package thornferry.testbed;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -11,8 +11,8 @@
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
 import thornferry.agent.AgentPool;
-import thornferry.agent.Behaviour;
 import thornferry.agent.NodeAgent;
+import thornferry.agent.NodeBehavior;
 import thornferry.agent.NodeShape;
 import thornferry.client.TaskClient;
 import thornferry.decisions.placement.Placement;
@@ -27,7 +27,7 @@
  * ask alike, though their shares are not alike, and ask again when refused. One placer and stand-in
  * nodes in this process, bounded in time.
  */
-public final class Overload {
+public final class OverloadExperiment {
     /** A tenant and what it is entitled to. */
     public record Tenant(String name, String owner, double share) {}
 
@@ -70,11 +70,11 @@
      * @param site with an owner account for each tenant, passcode {@code load}, and an agent {@code
      *     load-node}
      */
-    public Overload(Site site, List<Tenant> tenants, int nodes) {
+    public OverloadExperiment(Site site, List<Tenant> tenants, int nodes) {
         this.site = site;
         this.tenants = tenants;
         this.nodes = nodes;
-        this.kind = site.module().machineKinds().get(0);
+        this.kind = site.placement().machineKinds().get(0);
         this.cores = kind.cores();
     }
 
@@ -110,9 +110,9 @@
         Stage(Site on) throws Exception {
             placer = Placer.start(on, "127.0.0.1", 0, 1);
             List<SocketAddress> address = List.of(placer.addresses().get(0));
-            Behaviour b = Behaviour.usual(Map.of("depot-sync", 5_000_000L));
-            Behaviour quick =
-                    new Behaviour(
+            NodeBehavior b = NodeBehavior.usual(Map.of("depot-sync", 5_000_000L));
+            NodeBehavior quick =
+                    new NodeBehavior(
                             500,
                             1_500,
                             64,
@@ -323,7 +323,7 @@
      */
     public Large large(double load, boolean gather, int seconds) throws Exception {
         try (Stage stage =
-                new Stage(gather ? site : site.withLine(site.line().withoutReservations()))) {
+                new Stage(gather ? site : site.withLine(site.admission().withoutReservations()))) {
             stage.offer(load * borne(), 5);
             Sums sums = new Sums(tenants.size());
             int[] placed = {0};
--- a/standin/src/main/java/thornferry/standin/Scenarios.java
+++ b/testbed/src/main/java/thornferry/testbed/PendingReasonScenarios.java
@@ -1,4 +1,4 @@
-package thornferry.standin;
+package thornferry.testbed;
 
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -29,7 +29,7 @@
  * nodes make it so; then the change that is said to end it, after which the task must be placed.
  * Times run from the fact to its being shown.
  */
-public final class Scenarios {
+public final class PendingReasonScenarios {
     /**
      * What was shown; {@code shownMicros} after the fact, {@code placedMicros} after the change, -1
      * where none is made.
@@ -38,10 +38,10 @@
             String scenario, Kind kind, String sentence, long shownMicros, long placedMicros) {}
 
     /** A scenario in which something else was shown than what was true. */
-    public static final class Untrue extends Exception {
+    public static final class ScenarioFailedException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Untrue(String message) {
+        ScenarioFailedException(String message) {
             super(message);
         }
     }
@@ -181,7 +181,7 @@
         void placed(String id) throws Exception {
             TaskNews news = results.get(id).get(WAIT_MS, TimeUnit.MILLISECONDS);
             if (!news.getResult().equals("placed")) {
-                throw new Untrue(
+                throw new ScenarioFailedException(
                         "task "
                                 + id
                                 + " should have been placed, not "
@@ -202,7 +202,7 @@
                 }
                 Thread.sleep(2);
             }
-            throw new Untrue(what + " should be shown for " + id + ", not " + why);
+            throw new ScenarioFailedException(what + " should be shown for " + id + ", not " + why);
         }
 
         @Override
@@ -223,7 +223,7 @@
     private record Scenario(
             String name, String line, Play fact, Kind kind, String evidence, Play end) {}
 
-    private Scenarios() {}
+    private PendingReasonScenarios() {}
 
     private static List<Scenario> all() {
         List<Scenario> list = new ArrayList<>();
@@ -513,7 +513,8 @@
                             s.name() + ": " + s.kind());
             Why why = stage.owner.why("t").get(WAIT_MS, TimeUnit.MILLISECONDS);
             if (why.toString().contains("secret")) {
-                throw new Untrue(s.name() + ": another owner's task is named: " + why);
+                throw new ScenarioFailedException(
+                        s.name() + ": another owner's task is named: " + why);
             }
             long placed = -1;
             if (s.end() != null) {
@@ -523,12 +524,12 @@
                 placed = (System.nanoTime() - begin) / 1_000;
                 Why after = stage.owner.why("t").get(WAIT_MS, TimeUnit.MILLISECONDS);
                 if (!after.getState().equals("placed") || after.hasReason()) {
-                    throw new Untrue(s.name() + ": a placed task shows " + after);
+                    throw new ScenarioFailedException(s.name() + ": a placed task shows " + after);
                 }
             }
             return new Shown(s.name(), s.kind(), why.getReason().getSentence(), micros, placed);
         } catch (ExecutionException | TimeoutException | ConfigException e) {
-            throw new Untrue(s.name() + ": " + e);
+            throw new ScenarioFailedException(s.name() + ": " + e);
         }
     }
 
@@ -548,7 +549,7 @@
                         stage.other.why(i % 2 == 0 ? "t" : "u").get(WAIT_MS, TimeUnit.MILLISECONDS);
                 took.get(i % 2).add((System.nanoTime() - begin) / 1_000);
                 if (!why.getState().equals("unknown")) {
-                    throw new Untrue("another's task is told: " + why);
+                    throw new ScenarioFailedException("another's task is told: " + why);
                 }
             }
             took.forEach(t -> t.sort(null));
@@ -591,7 +592,8 @@
             why.getHistoryList().forEach(c -> history.add(c.getReason().getKind()));
             if (history.indexOf(Kind.REFUSED) < 0
                     || history.indexOf(Kind.DRAINING) < history.indexOf(Kind.REFUSED)) {
-                throw new Untrue("the history should tell refused, then draining: " + history);
+                throw new ScenarioFailedException(
+                        "the history should tell refused, then draining: " + history);
             }
             shown.add(new Shown("changing: room comes", Kind.UNKNOWN, why.getState(), 0, placed));
         }
--- a/standin/src/main/java/thornferry/standin/Relay.java
+++ b/testbed/src/main/java/thornferry/testbed/RecordingProxy.java
@@ -1,4 +1,4 @@
-package thornferry.standin;
+package thornferry.testbed;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -35,7 +35,7 @@
  * passed on, and does transport faults. It changes no frame; what it cuts off or swallows is not
  * recorded.
  */
-public final class Relay implements AutoCloseable {
+public final class RecordingProxy implements AutoCloseable {
     private static final AtomicLong LINKS = new AtomicLong();
     private static final FrameLimits WIDE = new FrameLimits(1 << 20, 10_000, 1 << 26, 1 << 26);
 
@@ -50,7 +50,7 @@
     private volatile SocketAddress target;
 
     /** Listens on a free port and passes everything to {@code target}. */
-    public Relay(String placer, SocketAddress target, Capture capture) throws IOException {
+    public RecordingProxy(String placer, SocketAddress target, Capture capture) throws IOException {
         this(placer, target, capture, null, null);
     }
 
@@ -60,7 +60,7 @@
      *
      * @param front towards peers, {@code back} towards the placer; both null for plain text
      */
-    public Relay(
+    public RecordingProxy(
             String placer, SocketAddress target, Capture capture, SslContext front, SslContext back)
             throws IOException {
         this.front = front;
--- a/standin/src/main/java/thornferry/standin/DayFile.java
+++ b/testbed/src/main/java/thornferry/testbed/ScenarioFile.java
@@ -1,10 +1,10 @@
-package thornferry.standin;
+package thornferry.testbed;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import thornferry.agent.Behaviour;
+import thornferry.agent.NodeBehavior;
 import thornferry.config.ConfigException;
 import thornferry.config.SiteFile;
 import thornferry.config.TomlFile;
@@ -25,7 +25,7 @@
  * @param nodeProcesses that the nodes are spread over, those of one zone in the same; 0 for none
  *     but this one
  */
-public record DayFile(
+public record ScenarioFile(
         Path script,
         SiteFile site,
         int seconds,
@@ -38,10 +38,10 @@
         boolean tls,
         List<Fleet> fleets,
         List<Traffic> traffic,
-        List<Trouble> troubles) {
+        List<Fault> troubles) {
     /** The same day with other chances. */
-    public DayFile withSeed(long other) {
-        return new DayFile(
+    public ScenarioFile withSeed(long other) {
+        return new ScenarioFile(
                 script,
                 site,
                 seconds,
@@ -58,9 +58,9 @@
     }
 
     /** The same day with placers that keep their promises so durably. */
-    public DayFile withDurability(Durability durability) {
+    public ScenarioFile withDurability(Durability durability) {
         Site kept = site.site().withState(new Site.State(durability, Path.of("state")));
-        return new DayFile(
+        return new ScenarioFile(
                 script,
                 new SiteFile(kept, site.host(), site.port(), site.instances()),
                 seconds,
@@ -82,7 +82,7 @@
             int count,
             Placement.MachineKind kind,
             List<String> zones,
-            Behaviour behaviour) {}
+            NodeBehavior behaviour) {}
 
     /**
      * Tasks of a class, a Poisson stream; sizes, run times and services are drawn. Milliseconds.
@@ -104,7 +104,7 @@
      * What goes wrong, when, for how long (from {@code millis} to {@code most}, drawn anew each
      * time) and for which part.
      */
-    public record Trouble(
+    public record Fault(
             double at,
             Kind kind,
             double part,
@@ -166,14 +166,14 @@
         }
     }
 
-    public static DayFile read(Path path) throws ConfigException {
+    public static ScenarioFile read(Path path) throws ConfigException {
         return of(path, TomlFile.read(path));
     }
 
     /**
      * @param script null where it stands in no file: it can then be checked, not played
      */
-    static DayFile of(Path script, TomlFile file) throws ConfigException {
+    static ScenarioFile of(Path script, TomlFile file) throws ConfigException {
         Section root = file.root();
         Section day = root.table("day");
         int seconds = day.whole("seconds", 1, 86_400, 30);
@@ -189,7 +189,7 @@
         List<Section> troubles = root.tables("trouble");
         List<Fleet> fleet = new ArrayList<>();
         List<Traffic> streams = new ArrayList<>();
-        List<Trouble> wrong = new ArrayList<>();
+        List<Fault> wrong = new ArrayList<>();
         // read before the site, whose reading raises every complaint of the file at once
         List<String[]> kindOf = new ArrayList<>();
         for (Section s : fleets) {
@@ -247,7 +247,7 @@
             long least = (long) s.number("for-ms", 0, 1e9, 1_000);
             long most = (long) s.number("for-most-ms", least, 1e9, least);
             wrong.add(
-                    new Trouble(
+                    new Fault(
                             at,
                             kind,
                             s.number("part", 0, 1, 0.25),
@@ -260,7 +260,7 @@
                             s.whole("times", 1, 1_000, 1)));
         }
         SiteFile site = SiteFile.of(file);
-        return new DayFile(
+        return new ScenarioFile(
                 script,
                 site,
                 seconds,
@@ -276,9 +276,9 @@
                 wrong);
     }
 
-    private static Behaviour behaviour(Section s) {
-        Behaviour b = Behaviour.usual(Map.of());
-        return new Behaviour(
+    private static NodeBehavior behaviour(Section s) {
+        NodeBehavior b = NodeBehavior.usual(Map.of());
+        return new NodeBehavior(
                 s.millis("think-least-ms", 0, 60_000, 2),
                 s.millis("think-most-ms", 0, 60_000, 8),
                 s.whole("queue", 1, 1_000_000, b.queue()),
@@ -309,7 +309,7 @@
             List<Fleet> fleets,
             List<String[]> kinds)
             throws ConfigException {
-        Placement.Settings m = site.site().module();
+        Placement.Settings m = site.site().placement();
         Placement.Rules r = m.rules();
         Map<String, Long> windows = new java.util.HashMap<>();
         m.classes().stream()
@@ -326,14 +326,14 @@
             if (kind == null) {
                 sections.get(i).complain("kind", "no kind " + words[0] + " stands in this file");
             }
-            Behaviour b = fleets.get(i).behaviour();
+            NodeBehavior b = fleets.get(i).behaviour();
             named.add(
                     new Fleet(
                             words[1],
                             fleets.get(i).count(),
                             kind,
                             List.of(words[2].split(" *, *")),
-                            new Behaviour(
+                            new NodeBehavior(
                                     b.thinkLeast(),
                                     b.thinkMost(),
                                     b.queue(),
@@ -361,7 +361,7 @@
             throws ConfigException {
         for (int i = 0; i < traffic.size(); i++) {
             String name = traffic.get(i).taskClass();
-            if (site.site().module().classes().stream().noneMatch(c -> c.name().equals(name))) {
+            if (site.site().placement().classes().stream().noneMatch(c -> c.name().equals(name))) {
                 sections.get(i).complain("class", "no class " + name + " stands in this file");
             }
         }
