--- a/standin/src/main/java/thornferry/standin/Day.java
+++ b/testbed/src/main/java/thornferry/testbed/ScenarioRunner.java
@@ -1,4 +1,4 @@
-package thornferry.standin;
+package thornferry.testbed;
 
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -43,10 +43,10 @@
 /**
  * Plays a scripted day: placers in processes of their own, nodes and clients on loopback, a relay
  * on every connection, troubles at their times. Everything is recorded in a capture; whether the
- * rules held is the {@link Auditor}'s to say.
+ * rules held is the {@link TraceAuditor}'s to say.
  */
-public final class Day {
-    private static final Logger LOG = LoggerFactory.getLogger(Day.class);
+public final class ScenarioRunner {
+    private static final Logger LOG = LoggerFactory.getLogger(ScenarioRunner.class);
     private static final String AGENT = "day-agent";
     private static final String OPERATOR = "day-operator";
     private static final String PASSCODE = "day";
@@ -55,23 +55,23 @@
     /** Killed sooner after its start, a process would have done nothing worth a kill. */
     private static final long UP_LEAST_MS = 1_500;
 
-    private final DayFile file;
+    private final ScenarioFile file;
     private final Capture capture;
     private final Path work; // keys, and what placers keep over their kills
     private final SplittableRandom random;
-    private final List<Child> placers = new ArrayList<>();
-    private final List<Child> nodeProcesses = new ArrayList<>();
+    private final List<ChildProcess> placers = new ArrayList<>();
+    private final List<ChildProcess> nodeProcesses = new ArrayList<>();
     private final ExecutorService starting = Executors.newCachedThreadPool();
     private final AtomicLong moduleFailures = new AtomicLong();
-    private final List<Relay> relays = new ArrayList<>();
-    private final List<Owners> owners = new ArrayList<>();
+    private final List<RecordingProxy> relays = new ArrayList<>();
+    private final List<ClientWorkload> owners = new ArrayList<>();
     private final ScheduledExecutorService script = Executors.newSingleThreadScheduledExecutor();
     private volatile double surge = 1;
     private Path keysFolder; // null for plain text
     private Site.TlsFiles tls; // likewise
     private SslContext trusting; // what peers use then
 
-    private Day(DayFile file, Capture capture, Path work) {
+    private ScenarioRunner(ScenarioFile file, Capture capture, Path work) {
         this.file = file;
         this.work = work;
         this.capture = capture;
@@ -92,11 +92,11 @@
             long moduleFailures) {}
 
     /** Plays the whole day; takes as long as the file says. */
-    public static Outcome play(DayFile file, Path captureFile)
+    public static Outcome play(ScenarioFile file, Path captureFile)
             throws IOException, InterruptedException {
         Path work = Files.createTempDirectory("thornferry-day");
         try (Capture capture = new Capture(captureFile)) {
-            Day day = new Day(file, capture, work);
+            ScenarioRunner day = new ScenarioRunner(file, capture, work);
             if (file.tls()) {
                 day.makeKeys(work.resolve("keys"));
             }
@@ -144,10 +144,10 @@
         try {
             List<SocketAddress> dialled = new ArrayList<>();
             for (int p = 0; p < file.placers(); p++) {
-                Child placer = placer(p);
+                ChildProcess placer = placer(p);
                 placers.add(placer);
                 relays.add(
-                        new Relay(
+                        new RecordingProxy(
                                 "p" + p,
                                 placer.address(),
                                 capture,
@@ -162,7 +162,7 @@
                 nodeProcesses.add(nodeProcess(n, true));
             }
             Set<String> unsafe = new HashSet<>();
-            file.site().site().module().classes().stream()
+            file.site().site().placement().classes().stream()
                     .filter(c -> c.idempotency() == Placement.Idempotency.NON_IDEMPOTENT)
                     .forEach(c -> unsafe.add(c.name()));
             for (int p = 0; p < file.placers(); p++) {
@@ -176,8 +176,8 @@
                                     file.site().site().heartbeat(),
                                     trusting));
                 }
-                Owners o =
-                        new Owners(
+                ClientWorkload o =
+                        new ClientWorkload(
                                 loops.next(),
                                 targets,
                                 unsafe,
@@ -186,20 +186,20 @@
                 owners.add(o);
             }
             Thread.sleep(500); // nodes and clients connect; asks before that would only be refused
-            for (Owners o : owners) {
+            for (ClientWorkload o : owners) {
                 file.traffic().forEach(t -> o.stream(t, () -> surge / file.placers()));
                 if (file.vanishEvery() > 0) {
                     o.vanishEvery(file.vanishEvery() * file.placers(), 300);
                 }
             }
-            for (DayFile.Trouble t : file.troubles()) {
+            for (ScenarioFile.Fault t : file.troubles()) {
                 for (int i = 0; i < t.times(); i++) {
                     long at = (long) (1_000 * t.at() + i * t.every());
                     script.schedule(() -> trouble(t, pool), at, TimeUnit.MILLISECONDS);
                 }
             }
             Thread.sleep(file.seconds() * 1_000L);
-            owners.forEach(Owners::end);
+            owners.forEach(ClientWorkload::end);
             script.submit(() -> surge = 1);
             Thread.sleep(file.quiet() * 1_000L);
             return outcome();
@@ -212,17 +212,17 @@
             // the capture ends before anything is torn down: what happens then is not part of the
             // day
             capture.close();
-            owners.forEach(Owners::close);
+            owners.forEach(ClientWorkload::close);
             pool.close();
-            relays.forEach(Relay::close);
-            placers.forEach(Child::kill);
-            nodeProcesses.forEach(Child::kill);
+            relays.forEach(RecordingProxy::close);
+            placers.forEach(ChildProcess::kill);
+            nodeProcesses.forEach(ChildProcess::kill);
             loops.shutdownGracefully(0, 2, TimeUnit.SECONDS).syncUninterruptibly();
         }
     }
 
     /** The site as a day's placer of this number has it: with accounts for all who take part. */
-    private static Site site(DayFile file, int number, Path keysFolder) {
+    private static Site site(ScenarioFile file, int number, Path keysFolder) {
         Site s = file.site().site();
         List<Account> accounts = new ArrayList<>(s.accounts());
         String secret = keysFolder == null ? PASSCODE : Passcodes.hash(PASSCODE);
@@ -241,13 +241,13 @@
      * @param mine tells by zone which nodes are to be started
      */
     private static void nodes(
-            DayFile file,
+            ScenarioFile file,
             AgentPool pool,
             List<SocketAddress> placers,
             Predicate<String> mine,
             boolean warm) {
         int number = 0;
-        for (DayFile.Fleet fleet : file.fleets()) {
+        for (ScenarioFile.Fleet fleet : file.fleets()) {
             for (int i = 0; i < fleet.count(); i++) {
                 number++;
                 String zone = fleet.zones().get(i % fleet.zones().size());
@@ -276,9 +276,9 @@
     }
 
     // ---- processes of their own ----
-    private Child placer(int number) throws IOException {
-        return Child.start(
-                Day.class,
+    private ChildProcess placer(int number) throws IOException {
+        return ChildProcess.start(
+                ScenarioRunner.class,
                 List.of(
                         "placer",
                         file.script().toString(),
@@ -290,7 +290,7 @@
                 failures -> moduleFailures.addAndGet(failures));
     }
 
-    private Child nodeProcess(int number, boolean warm) throws IOException {
+    private ChildProcess nodeProcess(int number, boolean warm) throws IOException {
         List<String> args =
                 new ArrayList<>(
                         List.of(
@@ -301,14 +301,14 @@
                                 keysFolder == null ? "-" : keysFolder.toString(),
                                 Boolean.toString(warm)));
         relays.forEach(r -> args.add(Integer.toString(r.address().getPort())));
-        return Child.start(Day.class, args, failures -> {});
+        return ChildProcess.start(ScenarioRunner.class, args, failures -> {});
     }
 
     /**
      * The child's side: one placer, or the nodes of some zones, until the parent ends or kills it.
      */
     public static void main(String[] args) throws Exception {
-        DayFile file = DayFile.read(Path.of(args[1])).withSeed(Long.parseLong(args[2]));
+        ScenarioFile file = ScenarioFile.read(Path.of(args[1])).withSeed(Long.parseLong(args[2]));
         int number = Integer.parseInt(args[3]);
         Path keysFolder = args[4].equals("-") ? null : Path.of(args[4]);
         if (args[0].equals("placer")) {
@@ -316,8 +316,8 @@
             Placer placer =
                     Placer.start(
                             site(file, number, keysFolder).withState(state), "127.0.0.1", 0, 1);
-            Child.serve(
-                    placer.addresses().get(0).getPort(), () -> placer.totals().moduleFailures());
+            ChildProcess.serve(
+                    placer.addresses().get(0).getPort(), () -> placer.totals().policyFailures());
         } else {
             AgentPool pool =
                     new AgentPool(
@@ -343,11 +343,11 @@
                     placers,
                     zone -> zones.indexOf(zone) % file.nodeProcesses() == number,
                     Boolean.parseBoolean(args[5]));
-            Child.serve(0, () -> 0);
+            ChildProcess.serve(0, () -> 0);
         }
     }
 
-    private void trouble(DayFile.Trouble t, AgentPool pool) {
+    private void trouble(ScenarioFile.Fault t, AgentPool pool) {
         try {
             List<NodeAgent> struck = struck(t, pool);
             LOG.info(
@@ -362,7 +362,7 @@
                 case PLACER_PAUSE -> {
                     for (int p = 0; p < placers.size(); p++) {
                         capture.paused("p" + p, t.millis() * 1_000);
-                        Child placer = placers.get(p);
+                        ChildProcess placer = placers.get(p);
                         placer.pause(true);
                         script.schedule(
                                 () -> placer.pause(false), t.millis(), TimeUnit.MILLISECONDS);
@@ -409,7 +409,7 @@
      * Exactly the part asked for, rounded up, drawn from the seed: a trouble that strikes nothing
      * tests nothing.
      */
-    private List<NodeAgent> struck(DayFile.Trouble t, AgentPool pool) {
+    private List<NodeAgent> struck(ScenarioFile.Fault t, AgentPool pool) {
         List<NodeAgent> nodes = new ArrayList<>(pool.nodes());
         nodes.removeIf(n -> !t.zone().isEmpty() && !n.shape().zone().equals(t.zone()));
         int count = (int) Math.ceil(t.part() * nodes.size());
@@ -419,12 +419,12 @@
         return new ArrayList<>(nodes.subList(0, count));
     }
 
-    private long drawn(DayFile.Trouble t) {
+    private long drawn(ScenarioFile.Fault t) {
         return t.millis() + random.nextLong(t.most() - t.millis() + 1);
     }
 
     private void killPlacer(int p, long downMs) {
-        Child placer = placers.get(p);
+        ChildProcess placer = placers.get(p);
         if (placer.upForMs() < UP_LEAST_MS) {
             script.schedule(
                     () -> killPlacer(p, downMs),
@@ -439,14 +439,14 @@
                 "placer " + p,
                 downMs,
                 () -> {
-                    Child anew = placer(p);
+                    ChildProcess anew = placer(p);
                     placers.set(p, anew);
                     relays.get(p).target(anew.address());
                 });
     }
 
     private void killNodes(int n, long downMs) {
-        Child nodes = nodeProcesses.get(n);
+        ChildProcess nodes = nodeProcesses.get(n);
         if (nodes.upForMs() >= UP_LEAST_MS) {
             nodes.kill();
             capture.mark("nodes-killed", "");
@@ -480,7 +480,7 @@
      * is told.
      */
     private void drain(String node, boolean on) {
-        for (Relay relay : relays) {
+        for (RecordingProxy relay : relays) {
             InetSocketAddress at = relay.address();
             MultiThreadIoEventLoopGroup loop =
                     new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -513,8 +513,8 @@
 
     private Outcome outcome() {
         long[] s = new long[9];
-        for (Owners o : owners) {
-            Owners.Tally t = o.tally();
+        for (ClientWorkload o : owners) {
+            ClientWorkload.Tally t = o.tally();
             s[0] += t.tasks();
             s[1] += t.asked();
             s[2] += t.placed();
--- a/standin/src/main/java/thornferry/standin/ScriptedNode.java
+++ b/testbed/src/main/java/thornferry/testbed/ScriptedNode.java
@@ -1,4 +1,4 @@
-package thornferry.standin;
+package thornferry.testbed;
 
 import io.netty.channel.EventLoop;
 import java.net.SocketAddress;
--- a/standin/src/main/java/thornferry/standin/Auditor.java
+++ b/testbed/src/main/java/thornferry/testbed/TraceAuditor.java
@@ -1,4 +1,4 @@
-package thornferry.standin;
+package thornferry.testbed;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -19,16 +19,21 @@
  * Judges the five rules from a capture alone. It knows the protocol and nothing of the placer: what
  * a placer may have known at a moment is taken from the frames that had passed by then.
  */
-public final class Auditor {
+public final class TraceAuditor {
     /**
      * @param rule 1 to 5, or 0 where the capture itself cannot be read; @param line of the capture,
      *     from 1
      */
-    public record Breach(int rule, long line, long at, String what) {}
+    public record Violation(int rule, long line, long at, String what) {}
 
     /** What a capture held, for the reader to see that it was not an empty one. */
     public record Verdict(
-            List<Breach> breaches, long lines, long asks, long results, long offers, long starts) {
+            List<Violation> breaches,
+            long lines,
+            long asks,
+            long results,
+            long offers,
+            long starts) {
         public boolean clean() {
             return breaches.isEmpty();
         }
@@ -118,7 +123,7 @@
      * Two attempts of one task seen out at once: a breach, unless either is given up within the
      * slack.
      */
-    private record TwoOut(Attempt one, Attempt other, Breach breach) {}
+    private record TwoOut(Attempt one, Attempt other, Violation breach) {}
 
     private record Started(String attempt, long at, String zone) {}
 
@@ -130,7 +135,7 @@
      */
     private final long slack;
 
-    private final List<Breach> breaches = new ArrayList<>();
+    private final List<Violation> breaches = new ArrayList<>();
     private final Map<String, TaskClass> classes = new HashMap<>();
     private final Map<Long, Link> links = new HashMap<>();
     private final Map<String, Task> tasks = new LinkedHashMap<>();
@@ -159,7 +164,7 @@
     private long offers;
     private long starts;
 
-    private Auditor(long slack) {
+    private TraceAuditor(long slack) {
         this.slack = slack;
     }
 
@@ -167,7 +172,7 @@
      * @param slack how much later than the rule's own grace a result may be recorded; microseconds
      */
     public static Verdict audit(Path capture, long slack) throws IOException {
-        Auditor auditor = new Auditor(slack);
+        TraceAuditor auditor = new TraceAuditor(slack);
         try (BufferedReader in = Files.newBufferedReader(capture)) {
             for (String text = in.readLine(); text != null; text = in.readLine()) {
                 auditor.line++;
@@ -225,7 +230,7 @@
     }
 
     private void breach(int rule, String what) {
-        breaches.add(new Breach(rule, line, now, what));
+        breaches.add(new Violation(rule, line, now, what));
     }
 
     private void site(JsonNode row) {
@@ -537,7 +542,7 @@
                         new TwoOut(
                                 earlier,
                                 a,
-                                new Breach(
+                                new Violation(
                                         2,
                                         line,
                                         now,
--- a/standin/src/test/java/thornferry/standin/FullPathTest.java
+++ b/testbed/src/test/java/thornferry/testbed/FullPathTest.java
@@ -1,4 +1,4 @@
-package thornferry.standin;
+package thornferry.testbed;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -24,7 +24,7 @@
 
 /** The whole path on loopback, under the very failures that it must bear. */
 class FullPathTest {
-    private Rig rig;
+    private TestCluster rig;
 
     @AfterEach
     void end() throws Exception {
@@ -41,10 +41,10 @@
 
     @Test
     void aTaskIsPlacedRunsAndIsStopped() throws Exception {
-        rig = new Rig();
+        rig = new TestCluster();
         rig.node("n1", "a");
         TaskClient client = rig.client("depot1", "one");
-        TaskNews placed = get(client.submit(Rig.task("t", "gauge-relay")));
+        TaskNews placed = get(client.submit(TestCluster.task("t", "gauge-relay")));
         assertThat(placed.getResult()).isEqualTo("placed");
         assertThat(placed.getNode()).isEqualTo("n1");
         eventually(() -> assertThat(rig.starts).hasSize(1));
@@ -58,7 +58,7 @@
 
     @Test
     void aStompClientThatNobodyHereWroteWorksUnmodified() throws Exception {
-        rig = new Rig();
+        rig = new TestCluster();
         rig.node("n1", "a");
         Vertx vertx = Vertx.vertx();
         try {
@@ -101,9 +101,9 @@
 
     @Test
     void aClientThatVanishesAfterItsSendFindsItsOneResultOnAnotherConnection() throws Exception {
-        rig = new Rig();
+        rig = new TestCluster();
         rig.node("n1", "a");
-        try (Rig.Peer first = rig.peer("depot1", "one")) {
+        try (TestCluster.Peer first = rig.peer("depot1", "one")) {
             first.send(
                     "SEND\n"
                         + "destination:/tasks\n"
@@ -111,8 +111,8 @@
                         + "{\"id\":\"t\",\"taskClass\":\"levy-run\",\"service\":\"s\",\"cores\":1,\"memory\":1}^");
             first.await("RECEIPT");
         } // it never subscribed, and is gone
-        try (Rig.Peer second = rig.peer("depot1", "one");
-                Rig.Peer other = rig.peer("depot2", "two")) {
+        try (TestCluster.Peer second = rig.peer("depot1", "one");
+                TestCluster.Peer other = rig.peer("depot2", "two")) {
             other.send("SUBSCRIBE\nid:1\ndestination:/tasks/results\n\n^");
             second.send("SUBSCRIBE\nid:1\ndestination:/tasks/results\n\n^");
             assertThat(second.await("task:t")).contains("result:placed").doesNotContain("repeat:");
@@ -130,9 +130,9 @@
 
     @Test
     void anUnacknowledgedResultComesAgain() throws Exception {
-        rig = new Rig();
+        rig = new TestCluster();
         rig.node("n1", "a");
-        try (Rig.Peer first = rig.peer("depot1", "one")) {
+        try (TestCluster.Peer first = rig.peer("depot1", "one")) {
             first.send("SUBSCRIBE\nid:1\ndestination:/tasks/results\nack:client-individual\n\n^");
             first.send(
                     "SEND\n"
@@ -140,7 +140,7 @@
                         + "{\"id\":\"t\",\"taskClass\":\"gauge-relay\",\"service\":\"s\",\"cores\":1,\"memory\":1}^");
             first.await("result:placed");
         }
-        try (Rig.Peer second = rig.peer("depot1", "one")) {
+        try (TestCluster.Peer second = rig.peer("depot1", "one")) {
             second.send("SUBSCRIBE\nid:1\ndestination:/tasks/results\nack:client-individual\n\n^");
             String message = second.await("result:placed");
             String ack =
@@ -152,7 +152,7 @@
             second.send("ACK\nid:" + ack + "\nreceipt:a\n\n^");
             second.await("RECEIPT");
         }
-        try (Rig.Peer third = rig.peer("depot1", "one")) {
+        try (TestCluster.Peer third = rig.peer("depot1", "one")) {
             third.send("SUBSCRIBE\nid:1\ndestination:/tasks/results\nreceipt:s\n\n^");
             assertThat(third.await("RECEIPT")).isNotNull();
             third.send("SEND\ndestination:/tasks/stop\nreceipt:x\n\n{\"id\":\"t\"}^");
@@ -162,13 +162,13 @@
 
     @Test
     void aDepotSyncResentToAnotherNodeOfItsHallStartsOnce() throws Exception {
-        rig = new Rig();
+        rig = new TestCluster();
         NodeAgent n1 = rig.node("n1", "a");
         NodeAgent n2 = rig.node("n2", "a");
         n1.loseAnswers(1);
         n2.loseAnswers(1); // whoever takes it: the placer never hears that it was accepted
         TaskClient client = rig.client("depot1", "one");
-        TaskNews news = get(client.submit(Rig.task("t", "depot-sync")));
+        TaskNews news = get(client.submit(TestCluster.task("t", "depot-sync")));
         assertThat(news.getResult())
                 .isEqualTo("failed"); // it may have run outside what a refusal promises
         assertThat(rig.starts).hasSizeLessThanOrEqualTo(1);
@@ -176,11 +176,11 @@
 
     @Test
     void anUnsafeTaskWhoseConnectionBreaksIsNeverStartedTwice() throws Exception {
-        rig = new Rig();
+        rig = new TestCluster();
         List<NodeAgent> nodes = List.of(rig.node("n1", "a"), rig.node("n2", "a"));
         nodes.forEach(n -> n.pause(400));
         TaskClient client = rig.client("depot1", "one");
-        CompletableFuture<TaskNews> result = client.submit(Rig.task("t", "levy-run"));
+        CompletableFuture<TaskNews> result = client.submit(TestCluster.task("t", "levy-run"));
         Thread.sleep(150); // the offer lies unread at one of them
         nodes.forEach(NodeAgent::cutConnections);
         // back in the same life, its inventory proves that it never ran: the task is offered to the
@@ -191,14 +191,15 @@
 
     @Test
     void whatRunsOutlastsThePlacerAndIsNotStartedAgain() throws Exception {
-        rig = new Rig(1_500);
+        rig = new TestCluster(1_500);
         rig.node("n1", "a");
         TaskClient client = rig.client("depot1", "one");
         Thread.sleep(1_600); // unsafe work waits after a start until nodes have told what runs
-        assertThat(get(client.submit(Rig.task("t", "levy-run"))).getResult()).isEqualTo("placed");
+        assertThat(get(client.submit(TestCluster.task("t", "levy-run"))).getResult())
+                .isEqualTo("placed");
         eventually(() -> assertThat(rig.starts).hasSize(1));
         rig.restart();
-        TaskNews again = get(client.submit(Rig.task("t", "levy-run")));
+        TaskNews again = get(client.submit(TestCluster.task("t", "levy-run")));
         assertThat(again.getResult()).isEqualTo("placed");
         assertThat(again.getNode()).isEqualTo("n1");
         assertThat(rig.starts).hasSize(1);
@@ -208,10 +209,10 @@
 
     @Test
     void aNodeThatDiesLosesItsTasksOnceItIsBackOrGone() throws Exception {
-        rig = new Rig();
+        rig = new TestCluster();
         NodeAgent node = rig.node("n1", "a");
         TaskClient client = rig.client("depot1", "one");
-        get(client.submit(Rig.task("t", "gauge-relay")));
+        get(client.submit(TestCluster.task("t", "gauge-relay")));
         node.crash(300);
         eventually(
                 () ->
@@ -219,17 +220,17 @@
                                 .extracting(TaskNews::getEvent)
                                 .containsExactly("lost"));
         rig.eventuallyOnline("n1");
-        assertThat(get(client.submit(Rig.task("t", "gauge-relay"))).getResult())
+        assertThat(get(client.submit(TestCluster.task("t", "gauge-relay"))).getResult())
                 .isEqualTo("placed"); // asked anew
     }
 
     @Test
     void aDrainedNodeGetsNothingMoreAndSendsAwayWhatItRuns() throws Exception {
-        rig = new Rig();
+        rig = new TestCluster();
         rig.node("n1", "a");
         TaskClient client = rig.client("depot1", "one");
-        get(client.submit(Rig.task("t", "gauge-relay")));
-        try (Rig.Peer ops = rig.peer("ops", "o")) {
+        get(client.submit(TestCluster.task("t", "gauge-relay")));
+        try (TestCluster.Peer ops = rig.peer("ops", "o")) {
             ops.send("SEND\ndestination:/nodes/drain\nreceipt:1\n\n{\"node\":\"n1\",\"on\":true}^");
             ops.await("RECEIPT");
             eventually(
@@ -237,19 +238,19 @@
                             assertThat(rig.events)
                                     .extracting(TaskNews::getEvent)
                                     .containsExactly("evicted"));
-            assertThat(get(client.submit(Rig.task("u", "gauge-relay"))).getResult())
+            assertThat(get(client.submit(TestCluster.task("u", "gauge-relay"))).getResult())
                     .isEqualTo("refused");
             ops.send(
                     "SEND\ndestination:/nodes/drain\nreceipt:2\n\n{\"node\":\"n1\",\"on\":false}^");
             ops.await("RECEIPT");
-            assertThat(get(client.submit(Rig.task("w", "gauge-relay"))).getResult())
+            assertThat(get(client.submit(TestCluster.task("w", "gauge-relay"))).getResult())
                     .isEqualTo("placed");
         }
     }
 
     @Test
     void theGuiltyPeerGetsAnErrorAndNothingIsLostForOthers() throws Exception {
-        rig = new Rig();
+        rig = new TestCluster();
         rig.node("n1", "a");
         TaskClient client = rig.client("depot1", "one");
         String[][] bad = {
@@ -280,26 +281,26 @@
             {"SEND\nreceipt:9\n\n^", "needs the header destination"},
         };
         for (String[] each : bad) {
-            try (Rig.Peer peer = rig.peer("depot2", "two")) {
+            try (TestCluster.Peer peer = rig.peer("depot2", "two")) {
                 peer.send(each[0]);
                 String error = peer.await("ERROR");
                 assertThat(error).contains(each[1]);
                 peer.await("END");
             }
         }
-        assertThat(get(client.submit(Rig.task("t", "gauge-relay"))).getResult())
+        assertThat(get(client.submit(TestCluster.task("t", "gauge-relay"))).getResult())
                 .isEqualTo("placed");
-        assertThat(rig.placer.totals().moduleFailures()).isZero();
+        assertThat(rig.placer.totals().policyFailures()).isZero();
     }
 
     @Test
     void aSecondNodeOfTheSameNameAndOneThatAnswersWhatItNeverGotAreTheGuilty() throws Exception {
-        rig = new Rig();
+        rig = new TestCluster();
         rig.node("n1", "a");
         TaskClient client = rig.client("depot1", "one");
-        get(client.submit(Rig.task("t", "gauge-relay")));
+        get(client.submit(TestCluster.task("t", "gauge-relay")));
         String attempt = rig.starts.isEmpty() ? "" : rig.starts.get(0).split(" ")[1];
-        try (Rig.Peer old = rig.peer("node", "n")) {
+        try (TestCluster.Peer old = rig.peer("node", "n")) {
             old.send(
                     "SUBSCRIBE\n"
                             + "id:1\n"
@@ -310,7 +311,7 @@
                             + "\"zone\":\"a\",\"cores\":16,\"memory\":32}^");
             assertThat(old.await("ERROR")).contains("is older than");
         }
-        try (Rig.Peer liar = rig.peer("node", "n")) {
+        try (TestCluster.Peer liar = rig.peer("node", "n")) {
             liar.send(
                     "SUBSCRIBE\n"
                             + "id:1\n"
@@ -328,13 +329,14 @@
             assertThat(liar.await("ERROR")).contains("was not offered to this node");
         }
         assertThat(rig.events).isEmpty(); // the task runs on
-        assertThat(get(client.submit(Rig.task("u", "gauge-relay"))).getNode()).isEqualTo("n1");
+        assertThat(get(client.submit(TestCluster.task("u", "gauge-relay"))).getNode())
+                .isEqualTo("n1");
     }
 
     @Test
     void aRegistrationThatIsTurnedAwayGetsNoReceiptAfterItsError() throws Exception {
-        rig = new Rig();
-        try (Rig.Peer node = rig.peer("node", "n")) {
+        rig = new TestCluster();
+        try (TestCluster.Peer node = rig.peer("node", "n")) {
             node.send(
                     "SUBSCRIBE\n"
                             + "id:1\n"
@@ -350,26 +352,26 @@
 
     @Test
     void connectionsThatNeverConnectAreCutOffAndAreBounded() throws Exception {
-        rig = new Rig();
+        rig = new TestCluster();
         rig.node("n1", "a");
         TaskClient client = rig.client("depot1", "one");
-        get(client.submit(Rig.task("t", "gauge-relay")));
-        List<Rig.Peer> idle = new ArrayList<>();
+        get(client.submit(TestCluster.task("t", "gauge-relay")));
+        List<TestCluster.Peer> idle = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
             idle.add(rig.new Peer());
         }
-        for (Rig.Peer peer : idle) {
+        for (TestCluster.Peer peer : idle) {
             peer.await("END");
             peer.close();
         }
-        assertThat(get(client.submit(Rig.task("u", "gauge-relay"))).getResult())
+        assertThat(get(client.submit(TestCluster.task("u", "gauge-relay"))).getResult())
                 .isEqualTo("placed");
     }
 
     @Test
     void aSilentPeerIsDeadToUs() throws Exception {
-        rig = new Rig();
-        try (Rig.Peer peer = rig.new Peer()) {
+        rig = new TestCluster();
+        try (TestCluster.Peer peer = rig.new Peer()) {
             peer.send(
                     "CONNECT\n"
                             + "accept-version:1.2\n"
@@ -385,10 +387,10 @@
 
     @Test
     void aWrongPasscodeEndsTheClientsAsks() throws Exception {
-        rig = new Rig();
+        rig = new TestCluster();
         TaskClient client = rig.client("depot1", "wrong");
-        assertThatThrownBy(() -> get(client.submit(Rig.task("t", "gauge-relay"))))
-                .hasRootCauseInstanceOf(TaskClient.NotTaken.class)
+        assertThatThrownBy(() -> get(client.submit(TestCluster.task("t", "gauge-relay"))))
+                .hasRootCauseInstanceOf(TaskClient.RequestNotAcceptedException.class)
                 .hasMessageContaining("not accepted");
     }
 }
--- a/standin/src/test/java/thornferry/standin/ScenariosTest.java
+++ b/testbed/src/test/java/thornferry/testbed/PendingReasonScenariosTest.java
@@ -1,4 +1,4 @@
-package thornferry.standin;
+package thornferry.testbed;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,14 +8,14 @@
 import org.junit.jupiter.api.Test;
 import thornferry.protocol.v1.Reason.Kind;
 
-class ScenariosTest {
+class PendingReasonScenariosTest {
     /**
      * Each scenario fails where another reason than the true one is shown, or where its end does
      * not end it.
      */
     @Test
     void everyReasonIsShownWhereItIsTrueAndEndsWithWhatItSays() throws Exception {
-        List<Scenarios.Shown> shown = Scenarios.play();
+        List<PendingReasonScenarios.Shown> shown = PendingReasonScenarios.play();
         Set<Kind> kinds = EnumSet.noneOf(Kind.class);
         shown.forEach(s -> kinds.add(s.kind()));
         Set<Kind> all = EnumSet.allOf(Kind.class);
@@ -25,16 +25,16 @@
 
     @Test
     void whoWatchesHearsOfEachChangeAndOfTheEnd() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (TestCluster rig = new TestCluster()) {
             List<String> heard = new java.util.concurrent.CopyOnWriteArrayList<>();
             thornferry.client.TaskClient client = rig.client("depot1", "one");
             client.watchReasons(why -> heard.add(why.getState() + " " + why.getReason().getKind()));
-            client.submit(Rig.task("t", "gauge-relay"));
+            client.submit(TestCluster.task("t", "gauge-relay"));
             org.awaitility.Awaitility.await().until(() -> heard.contains("waiting NO_NODES"));
             rig.node("n1", "hall-a");
             org.awaitility.Awaitility.await().until(() -> heard.contains("placed UNKNOWN"));
             rig.client("depot2", "two").watchReasons(why -> heard.add("another's " + why));
-            client.submit(Rig.task("u", "gauge-relay").toBuilder().setCores(900).build());
+            client.submit(TestCluster.task("u", "gauge-relay").toBuilder().setCores(900).build());
             org.awaitility.Awaitility.await().until(() -> heard.contains("waiting NO_FIT"));
             assertThat(heard).noneMatch(h -> h.startsWith("another's"));
         }
--- a/standin/src/test/java/thornferry/standin/DayTest.java
+++ b/testbed/src/test/java/thornferry/testbed/ScenarioRunnerTest.java
@@ -1,4 +1,4 @@
-package thornferry.standin;
+package thornferry.testbed;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -10,7 +10,7 @@
 import thornferry.config.ConfigException;
 import thornferry.config.TomlFile;
 
-class DayTest {
+class ScenarioRunnerTest {
     private static final Path SHORT = Path.of("../examples/days/short.toml");
 
     @TempDir Path folder;
@@ -18,10 +18,10 @@
     @Test
     void aShortBadDayKeepsTheFiveRulesOnItsSockets() throws Exception {
         Path capture = folder.resolve("day.jsonl");
-        Day.Outcome outcome = Day.play(DayFile.read(SHORT), capture);
+        ScenarioRunner.Outcome outcome = ScenarioRunner.play(ScenarioFile.read(SHORT), capture);
         // a machine that builds something else meanwhile may be late; a second is far under any
         // patience here
-        Auditor.Verdict verdict = Auditor.audit(capture, 1_000_000);
+        TraceAuditor.Verdict verdict = TraceAuditor.audit(capture, 1_000_000);
         assertThat(verdict.breaches()).isEmpty();
         assertThat(outcome.moduleFailures()).isZero();
         assertThat(verdict.asks()).isGreaterThan(500);
@@ -46,8 +46,8 @@
                         .replace("every-ms = 9000\ntimes = 66", "every-ms = 5500\ntimes = 2");
         Path script = Files.writeString(folder.resolve("kills.toml"), text);
         Path capture = folder.resolve("kills.jsonl");
-        Day.Outcome outcome = Day.play(DayFile.read(script), capture);
-        Auditor.Verdict verdict = Auditor.audit(capture, 1_000_000);
+        ScenarioRunner.Outcome outcome = ScenarioRunner.play(ScenarioFile.read(script), capture);
+        TraceAuditor.Verdict verdict = TraceAuditor.audit(capture, 1_000_000);
         assertThat(verdict.breaches()).isEmpty();
         assertThat(outcome.moduleFailures()).isZero();
         assertThat(Files.readString(capture).split("placer-killed", -1)).hasSize(6); // five kills
@@ -59,7 +59,7 @@
         assertThat(text).contains(from);
         assertThatThrownBy(
                         () ->
-                                DayFile.of(
+                                ScenarioFile.of(
                                         null,
                                         TomlFile.parse("day.toml", text.replaceFirst(from, to))))
                 .isInstanceOf(ConfigException.class)
--- a/standin/src/test/java/thornferry/standin/ApartTest.java
+++ b/testbed/src/test/java/thornferry/testbed/TenantIsolationTest.java
@@ -1,4 +1,4 @@
-package thornferry.standin;
+package thornferry.testbed;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -48,7 +48,7 @@
  * Owners kept apart: over TLS, by certificate and by hashed passcode; and what strangers and
  * mistakes get.
  */
-class ApartTest {
+class TenantIsolationTest {
     private static final Duration DAY = Duration.ofDays(1);
 
     @TempDir Path directory;
--- a/standin/src/test/java/thornferry/standin/Rig.java
+++ b/testbed/src/test/java/thornferry/testbed/TestCluster.java
@@ -1,4 +1,4 @@
-package thornferry.standin;
+package thornferry.testbed;
 
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -17,8 +17,8 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import thornferry.agent.AgentPool;
-import thornferry.agent.Behaviour;
 import thornferry.agent.NodeAgent;
+import thornferry.agent.NodeBehavior;
 import thornferry.agent.NodeShape;
 import thornferry.client.TaskClient;
 import thornferry.config.SiteFile;
@@ -33,7 +33,7 @@
 import thornferry.protocol.v1.TaskNews;
 
 /** A placer with nodes on loopback, and peers of every kind, for tests of the whole path. */
-final class Rig implements AutoCloseable {
+final class TestCluster implements AutoCloseable {
     static final String SITE =
             """
             [connections]
@@ -94,19 +94,19 @@
     final List<String> starts = new CopyOnWriteArrayList<>();
     final List<TaskNews> events = new CopyOnWriteArrayList<>();
     final List<AutoCloseable> opened = new ArrayList<>();
-    private final Behaviour behaviour;
+    private final NodeBehavior behaviour;
 
-    Rig() throws Exception {
+    TestCluster() throws Exception {
         this(0);
     }
 
-    Rig(int settleMs) throws Exception {
+    TestCluster(int settleMs) throws Exception {
         file = SiteFile.of(TomlFile.parse("rig.toml", SITE.formatted(settleMs)));
         placer = Placer.start(file.site(), "127.0.0.1", 0, 1);
         port = placer.addresses().get(0).getPort();
-        Behaviour b = Behaviour.usual(Map.of("depot-sync", 5_000_000L));
+        NodeBehavior b = NodeBehavior.usual(Map.of("depot-sync", 5_000_000L));
         behaviour =
-                new Behaviour(
+                new NodeBehavior(
                         1_000,
                         2_000,
                         100,
--- a/standin/src/test/java/thornferry/standin/AuditorTest.java
+++ b/testbed/src/test/java/thornferry/testbed/TraceAuditorTest.java
@@ -1,4 +1,4 @@
-package thornferry.standin;
+package thornferry.testbed;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -10,10 +10,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import thornferry.standin.Auditor.Breach;
+import thornferry.testbed.TraceAuditor.Violation;
 
 /** A good capture is clean; doctored in one place, the auditor finds just that breach. */
-class AuditorTest {
+class TraceAuditorTest {
     private static final long MS = 1_000;
 
     @TempDir Path folder;
@@ -201,10 +201,10 @@
         lines.set(at, lines.get(at).replace(part, by));
     }
 
-    private List<Breach> audit() throws IOException {
+    private List<Violation> audit() throws IOException {
         Path file = folder.resolve("capture.jsonl");
         Files.write(file, lines);
-        return Auditor.audit(file, 250 * MS).breaches();
+        return TraceAuditor.audit(file, 250 * MS).breaches();
     }
 
     private void finds(int rule, String what) throws IOException {
