--- a/bench-adapter/src/main/java/thornferry/bench/SimHost.java
+++ b/bench-adapter/src/main/java/thornferry/bench/SimHost.java
@@ -20,14 +20,17 @@
 import thornferry.decisions.placement.Placement.MachineEntry;
 import thornferry.decisions.placement.Placement.Settings;
 import thornferry.decisions.placement.Policy;
+import thornferry.settings.LoadReportFields;
 
 /**
  * Hosts placement modules for the simulator: reads its batches, writes the modules' replies,
  * decides nothing.
  */
 public final class SimHost {
+    private record Instance(Placement module, LoadReportFields reportFields) {}
+
     private final Function<Settings, Placement> maker;
-    private final Map<String, Placement> instances = new HashMap<>();
+    private final Map<String, Instance> instances = new HashMap<>();
     private final Map<Long, List<MachineEntry>> tables = new HashMap<>();
     private long now;
     private JsonNode batch;
@@ -128,18 +131,18 @@
             configure(placer, row);
             return;
         }
-        Placement module = instances.get(placer);
-        if (module == null) {
+        Instance instance = instances.get(placer);
+        if (instance == null) {
             throw new WireException(name + ": unknown instance " + placer);
         }
         if (name.equals("destroy")) {
             instances.remove(placer);
             return;
         }
-        Placement.Event event = WireCodec.event(name, row, tables);
+        Placement.Event event = WireCodec.event(name, row, tables, instance.reportFields());
         if (event != null) {
             try {
-                module.on(now, event, action -> WireCodec.write(reply, placer, action));
+                instance.module().on(now, event, action -> WireCodec.write(reply, placer, action));
             } catch (RuntimeException e) {
                 WireCodec.write(reply, "fatal", placer, e.toString());
             }
@@ -149,7 +152,7 @@
     private void configure(String placer, JsonNode row) throws WireException {
         Settings settings = WireCodec.settings(row);
         try {
-            instances.put(placer, maker.apply(settings));
+            instances.put(placer, new Instance(maker.apply(settings), WireCodec.reportFields(row)));
         } catch (RuntimeException e) {
             throw new WireException("configure: " + e.getMessage());
         }
--- a/bench-adapter/src/main/java/thornferry/bench/WireCodec.java
+++ b/bench-adapter/src/main/java/thornferry/bench/WireCodec.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import thornferry.decisions.placement.LoadReport;
 import thornferry.decisions.placement.Placement.Action;
 import thornferry.decisions.placement.Placement.AttemptAccepted;
 import thornferry.decisions.placement.Placement.AttemptEnded;
@@ -36,6 +37,7 @@
 import thornferry.decisions.placement.Placement.TaskAdopted;
 import thornferry.decisions.placement.Placement.TaskObserved;
 import thornferry.decisions.placement.Placement.TimerFired;
+import thornferry.settings.LoadReportFields;
 import thornferry.settings.SettingsException;
 import thornferry.settings.SettingsReader;
 
@@ -89,7 +91,11 @@
 
     // ---- events ----
 
-    static Event event(String name, JsonNode row, Map<Long, List<MachineEntry>> tables)
+    static Event event(
+            String name,
+            JsonNode row,
+            Map<Long, List<MachineEntry>> tables,
+            LoadReportFields fields)
             throws WireException {
         switch (name) {
             case "registry":
@@ -113,7 +119,7 @@
                         integerOr(row, 6, 0, "reportBack waitTime"),
                         flag(row, 7, "reportBack settled"),
                         reason(integerOr(row, 8, 0, "reportBack note")),
-                        report(row, 9, "reportBack metrics"));
+                        report(row, 9, "reportBack metrics", fields));
             case "heartbeat":
                 return note(row);
             case "pingResult":
@@ -121,7 +127,7 @@
                         text(row, 4, "pingResult machine"),
                         text(row, 3, "pingResult code").equals("OK"),
                         integerOr(row, 2, 0, "pingResult waitTime"),
-                        report(row, 5, "pingResult metrics"));
+                        report(row, 5, "pingResult metrics", fields));
             case "clientLeft":
                 return new ClientDisconnected(text(row, 2, "clientLeft xid"));
             case "fired":
@@ -217,7 +223,8 @@
                 : OutcomeReason.NONE;
     }
 
-    private static double[] report(JsonNode row, int index, String what) throws WireException {
+    private static LoadReport report(JsonNode row, int index, String what, LoadReportFields fields)
+            throws WireException {
         JsonNode values = at(row, index);
         if (values.isNull() || values.isMissingNode()) {
             return null;
@@ -225,11 +232,11 @@
         if (!values.isArray()) {
             throw new WireException(what + ": not an array");
         }
-        double[] report = new double[values.size()];
-        for (int i = 0; i < report.length; i++) {
-            report[i] = values.get(i).isNumber() ? values.get(i).doubleValue() : Double.NaN;
+        double[] numbers = new double[values.size()];
+        for (int i = 0; i < numbers.length; i++) {
+            numbers[i] = values.get(i).isNumber() ? values.get(i).doubleValue() : Double.NaN;
         }
-        return report;
+        return fields.fromArray(numbers);
     }
 
     // ---- settings ----
@@ -246,6 +253,10 @@
         }
     }
 
+    static LoadReportFields reportFields(JsonNode row) {
+        return SettingsReader.loadReportFields(at(row, 3));
+    }
+
     // ---- actions ----
 
     static void write(StringBuilder out, String placer, Action action) {
--- a/config/src/main/java/thornferry/config/SiteFile.java
+++ b/config/src/main/java/thornferry/config/SiteFile.java
@@ -164,7 +164,6 @@
                 kinds,
                 tenants,
                 Placement.LoadReportMode.WITH_RESPONSES,
-                List.of("x0", "x1", "waiting"),
                 false,
                 true,
                 false,
--- a/decisions/src/main/java/thornferry/decisions/attempts/AttemptTracker.java
+++ b/decisions/src/main/java/thornferry/decisions/attempts/AttemptTracker.java
@@ -8,6 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
+import thornferry.decisions.placement.LoadReport;
 import thornferry.decisions.placement.Placement;
 import thornferry.decisions.placement.Placement.AttemptAccepted;
 import thornferry.decisions.placement.Placement.AttemptEnded;
@@ -191,7 +192,7 @@
             AttemptStatus word,
             OutcomeReason reason,
             boolean ran,
-            double[] report,
+            LoadReport report,
             Consumer<Action> actions) {
         Attempt a = byId.get(attempt);
         if (a == null || !a.machine.equals(machine)) {
@@ -322,7 +323,7 @@
             Attempt a,
             AttemptOutcome outcome,
             OutcomeReason reason,
-            double[] report,
+            LoadReport report,
             Consumer<Action> actions) {
         drop(a);
         if (a.effect != Idempotency.IDEMPOTENT
@@ -349,7 +350,7 @@
             AttemptOutcome outcome,
             OutcomeReason reason,
             TerminationCause fate,
-            double[] report,
+            LoadReport report,
             Consumer<Action> actions) {
         place(now, a, actions);
         drop(a);
--- a/decisions/src/main/java/thornferry/decisions/placement/Placement.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/Placement.java
@@ -242,7 +242,6 @@
             List<MachineKind> machineKinds,
             List<Tenant> tenants,
             LoadReportMode loadReportMode,
-            List<String> reportNames,
             boolean reportsMeasureUsage,
             boolean listShowsFreeCapacity,
             boolean listNeedsSubscription,
@@ -266,7 +265,7 @@
             check(classes != null && !classes.isEmpty(), "classes");
             check(machineKinds != null && !machineKinds.isEmpty(), "kinds");
             check(tenants != null, "tenants");
-            check(loadReportMode != null && reportNames != null, "reports");
+            check(loadReportMode != null, "reports");
             check(finite(coresOvercommit) && coresOvercommit > 0, "acceptCores");
             check(finite(memoryOvercommit) && memoryOvercommit > 0, "acceptMemory");
             check(finite(meanTaskCores) && meanTaskCores > 0, "meanCores");
@@ -278,7 +277,6 @@
             classes = List.copyOf(classes);
             machineKinds = List.copyOf(machineKinds);
             tenants = List.copyOf(tenants);
-            reportNames = List.copyOf(reportNames);
         }
     }
 
@@ -342,11 +340,11 @@
             long waitedMicros,
             boolean settled,
             OutcomeReason reason,
-            double[] report)
+            LoadReport report)
             implements Event {}
 
     record HealthCheckCompleted(
-            String machine, boolean answered, long waitedMicros, double[] report)
+            String machine, boolean answered, long waitedMicros, LoadReport report)
             implements Event {}
 
     record ClientDisconnected(String requestId) implements Event {}
--- a/decisions/src/main/java/thornferry/decisions/placement/Policy.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/Policy.java
@@ -506,19 +506,14 @@
         m.coveredTo(m.readFrom = now - lag);
     }
 
-    private void report(Machine m, double[] report) {
+    private void report(Machine m, LoadReport report) {
         if (report != null) {
-            read(m, value(report, "x0"), value(report, "x1"), REPORT_LAG);
-            m.figures[BUSY].read(value(report, "cpu"));
-            m.figures[QUEUE].read(value(report, "waiting"));
+            read(m, report.freeCores(), report.freeMemory(), REPORT_LAG);
+            m.figures[BUSY].read(report.busyFraction());
+            m.figures[QUEUE].read(report.queueLength());
         }
     }
 
-    private double value(double[] report, String name) {
-        int at = settings.reportNames().indexOf(name);
-        return at < 0 || at >= report.length ? Double.NaN : report[at];
-    }
-
     private void probeSome(long passed) {
         List<Machine> due = new ArrayList<>();
         suspects = false;
--- a/decisions/src/test/java/thornferry/decisions/placement/PlacementRulesTest.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/PlacementRulesTest.java
@@ -154,7 +154,7 @@
                             SECOND,
                             true,
                             OutcomeReason.NONE,
-                            new double[] {random.nextInt(20), random.nextInt(40)}));
+                            LoadReport.ofFreeCapacity(random.nextInt(20), random.nextInt(40))));
             return;
         }
         AttemptOutcome outcome =
--- a/decisions/src/test/java/thornferry/decisions/placement/PolicyFixtures.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/PolicyFixtures.java
@@ -35,7 +35,6 @@
     int number;
     int instances = 1;
     LoadReportMode reports = LoadReportMode.NONE;
-    List<String> reportNames = List.of("x0", "x1");
     boolean countsUsed;
     boolean listsRoom = true;
     boolean mustAsk;
@@ -126,7 +125,6 @@
                 List.of(new MachineKind("std", 20, 40)),
                 List.of(),
                 reports,
-                reportNames,
                 countsUsed,
                 listsRoom,
                 mustAsk,
--- a/decisions/src/test/java/thornferry/decisions/placement/PolicyTest.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/PolicyTest.java
@@ -84,8 +84,8 @@
                         ready("m1", "a", Double.NaN),
                         ready("m2", "a", Double.NaN),
                         ready("m3", "a", Double.NaN)); // a list that shows no room
-        s.send(new HealthCheckCompleted("m1", true, MS, new double[] {2, 40}));
-        s.send(new HealthCheckCompleted("m2", true, MS, new double[] {18, 40}));
+        s.send(new HealthCheckCompleted("m1", true, MS, LoadReport.ofFreeCapacity(2, 40)));
+        s.send(new HealthCheckCompleted("m2", true, MS, LoadReport.ofFreeCapacity(18, 40)));
         Set<String> chosen = new HashSet<>();
         for (int i = 0; i < 3; i++) {
             chosen.add(
@@ -275,7 +275,7 @@
                     probes++;
                     s.send(
                             new HealthCheckCompleted(
-                                    probe.machine(), true, MS, new double[] {18, 36}));
+                                    probe.machine(), true, MS, LoadReport.ofFreeCapacity(18, 36)));
                 }
             }
         }
@@ -300,7 +300,7 @@
         f.reports = LoadReportMode.ON_HEALTH_CHECK;
         f.probePrice = 0.08;
         Script s = with(ready("m1", "a", 18));
-        s.send(new HealthCheckCompleted("m1", true, MS, new double[] {18, 36}));
+        s.send(new HealthCheckCompleted("m1", true, MS, LoadReport.ofFreeCapacity(18, 36)));
         s.send(delta(ready("m1", "a", 1)));
         assertNotNull(
                 s.offer(ask("r1", "safe", 5)), "the report is newer than what the list tells");
@@ -381,7 +381,7 @@
                         MS,
                         true,
                         OutcomeReason.INSUFFICIENT_CORES,
-                        new double[] {0, 0}));
+                        LoadReport.ofFreeCapacity(0, 0)));
         assertNotNull(first);
         s.pass(3 * SECOND);
         assertNull(s.offer(ask("r2", "safe", 1)), "full when last heard");
@@ -444,7 +444,10 @@
         f.reports = LoadReportMode.ON_HEALTH_CHECK;
         Script s = with(ready("m1", "a", 0.5));
         assertNull(s.offer(ask("r1", "safe", 3)), "nearly full by the list");
-        assertNotNull(s.offer(new HealthCheckCompleted("m1", true, MS, new double[] {15, 30})));
+        assertNotNull(
+                s.offer(
+                        new HealthCheckCompleted(
+                                "m1", true, MS, LoadReport.ofFreeCapacity(15, 30))));
     }
 
     @Test
@@ -457,9 +460,8 @@
                         "m1",
                         true,
                         MS,
-                        new double[] {
-                            6, 40
-                        })); // 14 in use: 18.7 asked at the usual use, 16.2 guessed
+                        LoadReport.ofFreeCapacity(
+                                6, 40))); // 14 in use: 18.7 asked at the usual use, 16.2 guessed
         assertNotNull(s.offer(ask("r1", "safe", 3)));
     }
 
@@ -566,7 +568,10 @@
             offer =
                     s.offer(
                             new HealthCheckCompleted(
-                                    ((CheckHealth) a).machine(), true, MS, new double[] {15, 30}));
+                                    ((CheckHealth) a).machine(),
+                                    true,
+                                    MS,
+                                    LoadReport.ofFreeCapacity(15, 30)));
         }
         assertNotNull(offer, "bound once all have answered");
         Script silent = with(fleet(40));
@@ -676,7 +681,9 @@
                                 "m1", "a", "unknown kind", 1, MachineState.READY, 5, 5, 1, 0)));
         assertNull(s.offer(ask("r2", "safe", 1)));
         s.send(full(machine("m1", "a", MachineState.READY, Double.NaN, 0)));
-        s.send(new HealthCheckCompleted("m1", true, MS, new double[] {Double.NaN}));
+        s.send(
+                new HealthCheckCompleted(
+                        "m1", true, MS, LoadReport.ofFreeCapacity(Double.NaN, Double.NaN)));
         s.send(new HealthCheckCompleted("never listed", true, MS, null));
         s.send(new TaskObserved("r9", 0, "m1", ObservationKind.CORES_USED, Double.NaN));
         s.send(new AttemptAccepted("r9", 0, "m1", MS));
--- a/placer/src/main/java/thornferry/placer/PlacerCore.java
+++ b/placer/src/main/java/thornferry/placer/PlacerCore.java
@@ -23,6 +23,7 @@
 import thornferry.decisions.membership.ClusterView;
 import thornferry.decisions.membership.Membership;
 import thornferry.decisions.membership.RejectionReason;
+import thornferry.decisions.placement.LoadReport;
 import thornferry.decisions.placement.Placement;
 import thornferry.decisions.recovery.JournalRecord;
 import thornferry.decisions.recovery.MachineInventory;
@@ -76,7 +77,7 @@
             AttemptStatus status,
             RejectionReason rejectionReason,
             boolean ran,
-            double[] report) {}
+            LoadReport report) {}
 
     private record PendingHealthCheck(long number, long sentAt) {}
 
@@ -344,7 +345,7 @@
 
     void attemptReported(String machine, AttemptReport s) {
         if (s.report() != null) {
-            fleet.loadReported(machine, s.report()[0], s.report()[1]);
+            fleet.loadReported(machine, s.report().freeCores(), s.report().freeMemory());
         }
         saying = s.rejectionReason();
         attempts.reported(
@@ -377,11 +378,11 @@
         attempts.notWritten(clock.now(), attempt, this::carryOut);
     }
 
-    void healthCheckAnswered(String machine, long number, double[] report) {
+    void healthCheckAnswered(String machine, long number, LoadReport report) {
         PendingHealthCheck asked = probing.get(machine);
         if (asked != null && asked.number() == number) {
             probing.remove(machine);
-            fleet.loadReported(machine, report[0], report[1]);
+            fleet.loadReported(machine, report.freeCores(), report.freeMemory());
             module.accept(
                     new Placement.HealthCheckCompleted(
                             machine, true, clock.now() - asked.sentAt(), report));
--- a/placer/src/main/java/thornferry/placer/PlacerServer.java
+++ b/placer/src/main/java/thornferry/placer/PlacerServer.java
@@ -21,6 +21,7 @@
 import thornferry.decisions.diagnosis.PendingReasons;
 import thornferry.decisions.membership.Membership;
 import thornferry.decisions.membership.RejectionReason;
+import thornferry.decisions.placement.LoadReport;
 import thornferry.decisions.placement.Placement;
 import thornferry.decisions.recovery.JournalRecord;
 import thornferry.decisions.recovery.MachineInventory;
@@ -568,9 +569,9 @@
                 a.getAttempt(), word, why, a.getRan(), a.hasLoad() ? report(a.getLoad()) : null);
     }
 
-    /** In the order of {@code reportNames} that the configuration gives the module. */
-    private static double[] report(Load load) {
-        return new double[] {load.getCoresFree(), load.getMemoryFree(), load.getWaiting()};
+    private static LoadReport report(Load load) {
+        return new LoadReport(
+                load.getCoresFree(), load.getMemoryFree(), LoadReport.UNKNOWN, load.getWaiting());
     }
 
     // ---- what the core sends ----
--- a/placer/src/main/java/thornferry/placer/Site.java
+++ b/placer/src/main/java/thornferry/placer/Site.java
@@ -145,7 +145,6 @@
                 s.machineKinds(),
                 s.tenants(),
                 s.loadReportMode(),
-                s.reportNames(),
                 s.reportsMeasureUsage(),
                 s.listShowsFreeCapacity(),
                 s.listNeedsSubscription(),
--- a/placer/src/test/java/thornferry/placer/IncarnationTest.java
+++ b/placer/src/test/java/thornferry/placer/IncarnationTest.java
@@ -20,6 +20,7 @@
 import thornferry.decisions.diagnosis.PendingReasons;
 import thornferry.decisions.membership.Membership;
 import thornferry.decisions.membership.RejectionReason;
+import thornferry.decisions.placement.LoadReport;
 import thornferry.decisions.placement.Placement;
 import thornferry.decisions.placement.Placement.Idempotency;
 import thornferry.decisions.placement.Policy;
@@ -697,7 +698,8 @@
                                                 core.healthCheckAnswered(
                                                         machine,
                                                         number,
-                                                        new double[] {16, 16, 0})));
+                                                        new LoadReport(
+                                                                16, 16, LoadReport.UNKNOWN, 0))));
             }
             return link != null;
         }
--- a/placer/src/test/java/thornferry/placer/PendingReasonsTest.java
+++ b/placer/src/test/java/thornferry/placer/PendingReasonsTest.java
@@ -22,6 +22,7 @@
 import thornferry.decisions.diagnosis.PendingReasons.Kind;
 import thornferry.decisions.membership.Membership;
 import thornferry.decisions.membership.RejectionReason;
+import thornferry.decisions.placement.LoadReport;
 import thornferry.decisions.placement.Placement;
 import thornferry.decisions.placement.Policy;
 import thornferry.decisions.requests.InvalidRequestException;
@@ -194,8 +195,8 @@
             return nodes.stream().filter(n -> n.name.equals(name)).findFirst().orElseThrow();
         }
 
-        double[] load(Node n) {
-            return new double[] {n.free, n.memoryFree(), 0};
+        LoadReport load(Node n) {
+            return new LoadReport(n.free, n.memoryFree(), LoadReport.UNKNOWN, 0);
         }
 
         void join(Node n) {
--- a/placer/src/test/java/thornferry/placer/SiteFixtures.java
+++ b/placer/src/test/java/thornferry/placer/SiteFixtures.java
@@ -54,7 +54,6 @@
                         List.of(new Placement.MachineKind("std", size, size)),
                         List.of(),
                         Placement.LoadReportMode.WITH_RESPONSES,
-                        List.of("x0", "x1", "waiting"),
                         false,
                         true,
                         false,
--- a/settings/src/main/java/thornferry/settings/SettingsReader.java
+++ b/settings/src/main/java/thornferry/settings/SettingsReader.java
@@ -66,8 +66,6 @@
         JsonNode info = c.path("familyInfo");
         JsonNode load = c.path("loadInfo");
         JsonNode limits = c.path("allowed");
-        List<String> reportNames = new ArrayList<>();
-        load.path("names").forEach(n -> reportNames.add(n.asText()));
         JsonNode price = c.path("prices");
         JsonNode rules = c.path("rules");
         try {
@@ -80,7 +78,6 @@
                     kinds(c, info),
                     tenants(c, info),
                     chosen(REPORTS, load, "how", LoadReportMode.NONE),
-                    reportNames,
                     info.path("counts").asText().equals("used"),
                     info.path("view").asBoolean(),
                     c.path("discovery").asText().equals("ask"),
@@ -124,6 +121,13 @@
         }
     }
 
+    /** Reads which fields load reports have; no field where the settings name none. */
+    public static LoadReportFields loadReportFields(JsonNode c) {
+        List<String> names = new ArrayList<>();
+        c.path("loadInfo").path("names").forEach(name -> names.add(name.asText()));
+        return new LoadReportFields(names);
+    }
+
     private static List<TaskClass> classes(JsonNode c, JsonNode info) throws SettingsException {
         List<TaskClass> classes = new ArrayList<>();
         for (JsonNode g : c.path("grades")) {
