--- a/state/src/main/java/thornferry/state/Durability.java
+++ b/state/src/main/java/thornferry/state/Durability.java
@@ -1,14 +1,14 @@
 package thornferry.state;
 
-/** How much a promise outlasts once it is made. */
+/** Which failures an acknowledged journal record survives. */
 public enum Durability {
-    /** Nothing is written: a placer's restart relies on what nodes remember. */
+    /** Nothing is written; after a restart the placer relies on the nodes' reports alone. */
     NONE,
     /**
-     * Handed to the operating system: outlasts the end of the process, however it ends, but not
-     * that of the machine.
+     * Handed to the operating system: survives any end of the process, but not a crash of the
+     * machine.
      */
     OS,
-    /** Forced to the disk, together with what came meanwhile: outlasts a power loss. */
+    /** Forced to the disk, together with other pending records: survives a power loss. */
     DISK
 }
--- /dev/null
+++ b/state/src/main/java/thornferry/state/GroupCommitter.java
@@ -0,0 +1,86 @@
+package thornferry.state;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Consumer;
+
+/**
+ * Appends entries on a thread of its own, in batches (group commit): what arrives during one force
+ * is written and forced together with the next. So an entry waits for at most two forces, however
+ * many arrive.
+ */
+final class GroupCommitter {
+    /** A batch takes no further entry once it has reached this size. */
+    private static final int MAX_BATCH_BYTES = 1 << 20;
+
+    /** How often an idle thread checks whether the file was closed. */
+    private static final long CLOSE_CHECK_MILLIS = 100;
+
+    private record PendingAppend(byte[] frame, Consumer<String> done) {}
+
+    private final ActiveFile file;
+    private final ArrayDeque<PendingAppend> queue = new ArrayDeque<>(); // guarded by itself
+    private final Thread thread;
+
+    GroupCommitter(ActiveFile file, String placer) {
+        this.file = file;
+        thread = new Thread(this::commitUntilClosed, "journal-" + placer);
+        thread.setDaemon(true);
+    }
+
+    void start() {
+        thread.start();
+    }
+
+    /**
+     * Queues a frame for the next batch.
+     *
+     * @param done called on the committer's thread: with null when the frame is durable, otherwise
+     *     with the failure
+     */
+    void submit(byte[] frame, Consumer<String> done) {
+        synchronized (queue) {
+            queue.add(new PendingAppend(frame, done));
+            queue.notifyAll();
+        }
+    }
+
+    private void commitUntilClosed() {
+        try {
+            List<PendingAppend> batch = nextBatch();
+            while (!batch.isEmpty()) {
+                commit(batch);
+                batch = nextBatch();
+            }
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    /** Waits for entries; returns none if the file was closed while none were pending. */
+    private List<PendingAppend> nextBatch() throws InterruptedException {
+        List<PendingAppend> batch = new ArrayList<>();
+        synchronized (queue) {
+            while (queue.isEmpty()) {
+                if (file.isClosed()) {
+                    return batch;
+                }
+                queue.wait(CLOSE_CHECK_MILLIS);
+            }
+            int batchBytes = 0;
+            while (!queue.isEmpty() && batchBytes < MAX_BATCH_BYTES) {
+                PendingAppend append = queue.poll();
+                batch.add(append);
+                batchBytes += append.frame().length;
+            }
+        }
+        return batch;
+    }
+
+    private void commit(List<PendingAppend> batch) {
+        Optional<String> failure = file.append(batch.stream().map(PendingAppend::frame).toList());
+        batch.forEach(append -> append.done().accept(failure.orElse(null)));
+    }
+}
--- a/state/src/main/java/thornferry/state/JournalFile.java
+++ b/state/src/main/java/thornferry/state/JournalFile.java
@@ -1,43 +1,30 @@
 package thornferry.state;
 
-import java.io.ByteArrayOutputStream;
-import java.io.Closeable;
 import java.io.IOException;
-import java.nio.ByteBuffer;
-import java.nio.channels.FileChannel;
-import java.nio.channels.FileLock;
-import java.nio.channels.OverlappingFileLockException;
-import java.nio.file.Files;
 import java.nio.file.Path;
-import java.nio.file.StandardOpenOption;
-import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import thornferry.decisions.recovery.JournalRecord;
-import thornferry.state.v1.Header;
-import thornferry.state.v1.Life;
-import thornferry.state.v1.Line;
+import thornferry.state.JournalRecovery.RecoveredJournal;
+import thornferry.state.SnapshotWriter.PendingSnapshot;
 
 /**
- * The journal of one placer instance in a folder of its own, with one process at a time as its
- * owner.
+ * The journal of one placer instance in a folder of its own, which one process at a time may have
+ * open.
  *
- * <p>The newest {@code journal-N.tfj} counts. A file begins with all that still counts, written
- * beside it and renamed when it is whole and forced; then lines are appended. So a file that stands
- * under its name always has its beginning, and at most its end can be torn.
- *
- * <p><b>Order kept:</b> lines are written in the order of {@link #append}; with {@link
- * Durability#DISK} one thread writes and forces what has come up since its last force, so a line
- * waits for at most two forces; a rewritten file is forced before it takes its name, and its folder
- * before the former file is deleted.
+ * <p>Each incarnation begins with a compacted file, which holds the records that are still needed;
+ * further records are appended to it. Compacted files are complete before they take their name, so
+ * that only the end of a file can be torn. See {@link Journal} for the ordering of writes.
  */
 public final class JournalFile implements Journal {
-    /** Another process, or another instance of this one, uses the folder. */
+    private static final Logger LOG = LoggerFactory.getLogger(JournalFile.class);
+
+    /** Another process, or another instance in this one, uses the folder. */
     public static final class JournalInUseException extends IOException {
         private static final long serialVersionUID = 1;
 
@@ -50,442 +37,181 @@
         }
     }
 
-    private static final Logger LOG = LoggerFactory.getLogger(JournalFile.class);
+    /** Which thread writes, forces and compacts. */
+    enum Threading {
+        /** The journal has threads for forcing and for compaction. */
+        BACKGROUND,
+        /** Everything is done by the caller: for tests that must be reproducible. */
+        CALLER
+    }
 
     /**
-     * A file is written anew when it has grown to so many octets, and to twice what it began with.
+     * How a journal is written.
+     *
+     * @param nanoClock measures the backoff after a failed write
+     * @param compactionThresholdBytes a smaller file is not compacted
      */
-    private static final long COMPACT_FROM = 8L << 20;
-
-    /** After a failed write, the next is tried no earlier. */
-    private static final long TRY_AGAIN_NANOS = 1_000_000_000;
-
-    /** Lines of one force. */
-    private static final int BATCH_OCTETS = 1 << 20;
-
-    /** Octets of one write of a file that is written anew. */
-    private static final int PIECE = 1 << 18;
+    record Options(
+            Durability durability,
+            LongSupplier nanoClock,
+            Threading threading,
+            long compactionThresholdBytes) {
+        private static final long COMPACTION_THRESHOLD_BYTES = 8L << 20;
 
-    private record PendingAppend(byte[] octets, Consumer<String> done) {}
+        static Options standard(Durability durability) {
+            return new Options(
+                    durability, System::nanoTime, Threading.BACKGROUND, COMPACTION_THRESHOLD_BYTES);
+        }
+    }
 
-    private final Path folder;
+    private final JournalFolder folder;
     private final String placer;
-    private final Durability durability;
-    private final Storage storage;
-    private final LongSupplier nanos;
-    private final boolean threads;
-    private final Closeable lock;
-    private final JournalContents read;
-    private final String restartTrouble;
-    private final ArrayDeque<PendingAppend> queue =
-            new ArrayDeque<>(); // for the writer thread; guarded by itself
-    private final Thread writer;
-    long compactFrom = COMPACT_FROM;
-    private Storage.WritableFile out; // from here on guarded by this
-    private Path file;
-    private long number;
-    private long good; // octets that are whole lines
-    private long began; // octets that the file began with
-    private List<byte[]> meanwhile; // appended while the file is written anew; null while it is not
-    private String trouble = "";
-    private long triedAt;
-    private boolean closed;
+    private final Options options;
+    private final RecoveredJournal recovered;
+    private final ActiveFile activeFile;
+    private final SnapshotWriter snapshotWriter;
+    private final Optional<GroupCommitter> committer; // empty: the caller of append writes
 
-    /**
-     * @param threads whether forces and rewriting have threads of their own; else all is done where
-     *     it is asked for
-     */
-    JournalFile(
-            Path folder,
-            String placer,
-            Durability durability,
-            Storage storage,
-            LongSupplier nanos,
-            boolean threads,
-            Closeable lock)
-            throws IOException {
+    JournalFile(JournalFolder folder, String placer, Options options) throws IOException {
         this.folder = folder;
         this.placer = placer;
-        this.durability = durability;
-        this.storage = storage;
-        this.nanos = nanos;
-        this.threads = threads;
-        this.lock = lock;
-        List<Path> files = files(storage, folder);
-        JournalContents found = new JournalContents(placer, List.of(), true, false, "", null, 0);
-        if (!files.isEmpty()) {
-            Path newest = files.get(files.size() - 1);
-            number = number(newest);
-            file = newest;
-            found = JournalContents.of(storage, newest, placer);
-            if (!found.problem().isEmpty()) {
-                LOG.warn("journal {} {}", newest, found.problem());
-            }
-            if (!found.complete()) {
-                // kept for whoever looks into it; never read again
-                Path aside =
-                        newest.resolveSibling(
-                                newest.getFileName() + ".aside-" + System.currentTimeMillis());
-                storage.rename(newest, aside);
-                file = null;
-                LOG.warn("it is kept as {}", aside);
-            }
-        }
-        read = found;
-        restartTrouble = lacks(found);
-        writer =
-                threads && durability == Durability.DISK
-                        ? new Thread(this::write, "journal-" + placer)
-                        : null;
+        this.options = options;
+        recovered = JournalRecovery.recover(folder, placer);
+        activeFile = new ActiveFile(folder, recovered, options.durability(), options.nanoClock());
+        snapshotWriter = new SnapshotWriter(folder, placer, options.durability());
+        boolean forcesInBackground =
+                options.threading() == Threading.BACKGROUND
+                        && options.durability() == Durability.DISK;
+        committer =
+                forcesInBackground
+                        ? Optional.of(new GroupCommitter(activeFile, placer))
+                        : Optional.empty();
     }
 
     /**
-     * Opens the journal of a placer instance, or begins one. Reads what is there; nothing is
-     * written before {@link #startIncarnation}.
+     * Opens the journal of a placer instance and reads what former incarnations wrote. Nothing is
+     * written before {@link #startIncarnation}; a newest file that is incomplete or foreign is set
+     * aside under another name.
      *
+     * @param folder created if it does not exist
+     * @param placer the instance's name; the journal of another one is not used
      * @param durability {@link Durability#OS} or {@link Durability#DISK}
-     * @throws JournalInUseException where another has it open
-     * @throws IOException where the folder cannot be made, read or written
+     * @throws JournalInUseException if another placer has the folder open
+     * @throws IOException if the folder cannot be created, read or written
      */
     public static JournalFile open(Path folder, String placer, Durability durability)
             throws IOException {
         if (durability == Durability.NONE) {
             throw new IllegalArgumentException("nothing is written with durability none");
         }
-        Files.createDirectories(folder);
-        FileChannel channel =
-                FileChannel.open(
-                        folder.resolve("lock"),
-                        StandardOpenOption.CREATE,
-                        StandardOpenOption.WRITE);
+        JournalFolder locked = JournalFolder.lock(folder);
         try {
-            FileLock lock = channel.tryLock();
-            if (lock == null) {
-                throw new JournalInUseException(folder);
-            }
-            return new JournalFile(
-                    folder, placer, durability, Storage.SYSTEM, System::nanoTime, true, channel);
-        } catch (OverlappingFileLockException e) {
-            channel.close();
-            throw new JournalInUseException(folder);
+            return new JournalFile(locked, placer, Options.standard(durability));
         } catch (IOException | RuntimeException e) {
-            channel.close();
+            locked.close();
             throw e;
         }
     }
 
-    /** The journal files of a folder, oldest first. */
+    /** The journal files of a folder, oldest generation first. */
     public static List<Path> files(Path folder) throws IOException {
-        return files(Storage.SYSTEM, folder);
+        return JournalFolder.files(Storage.SYSTEM, folder);
     }
 
-    private static List<Path> files(Storage storage, Path folder) throws IOException {
-        return storage.list(folder).stream()
-                .filter(f -> f.getFileName().toString().matches("journal-\\d{1,18}\\.tfj"))
-                .sorted((a, b) -> Long.compare(number(a), number(b)))
-                .toList();
-    }
-
-    private static long number(Path file) {
-        String name = file.getFileName().toString();
-        return Long.parseLong(name.substring(8, name.length() - 4));
-    }
-
-    /** What may be lacking since the former life; empty for nothing. */
-    private String lacks(JournalContents found) {
-        if (!found.complete()) { // a foreign one is never whole
-            return "the journal found " + found.problem();
-        } else if (found.lastIncarnation() != null
-                && found.lastIncarnation().getDurability().equals(Durability.OS.name())
-                && !found.lastIncarnation().getBoot().equals(boot())) {
-            return "the machine was started anew, and with durability os its last lines may be"
-                    + " lost";
-        } else if (found.lastIncarnation() == null) {
-            return "there was no journal before";
-        }
-        return "";
-    }
-
-    /** What former lives wrote, oldest first. */
+    /** The records that former incarnations wrote, oldest first. */
     public List<JournalRecord> records() {
-        return read.records();
+        return recovered.contents().records();
     }
 
-    /** Why what former lives offered may not all stand here; empty where it does. */
+    /** Why {@link #records} may lack some, as a sentence; empty if it is complete. */
     public String incompleteBecause() {
-        return restartTrouble;
+        return recovered.incompleteBecause();
     }
 
     /**
-     * Begins this life with a file that holds what still counts; from now on {@link #append} may be
-     * called.
+     * Begins this incarnation with a compacted file; from now on {@link #append} may be called.
+     *
+     * @param snapshot the records that are still needed
+     * @throws IOException if the file cannot be written; the former one is then still in place
      */
     public void startIncarnation(Iterable<JournalRecord> snapshot) throws IOException {
         rewrite(snapshot);
-        if (writer != null) {
-            writer.setDaemon(true);
-            writer.start();
-        }
+        committer.ifPresent(GroupCommitter::start);
     }
 
-    /** Names this start of the machine, where the system tells it. */
-    private static String boot() {
-        try {
-            return Files.readString(Path.of("/proc/sys/kernel/random/boot_id")).strip();
-        } catch (IOException e) {
-            return ""; // not told here: then a new start of the machine goes unseen, as the
-            // operator's page says
+    @Override
+    public void append(JournalRecord journalRecord, Consumer<String> done) {
+        byte[] frame = RecordCodec.frame(journalRecord);
+        if (committer.isPresent()) {
+            committer.get().submit(frame, done);
+        } else {
+            Optional<String> failure = activeFile.append(List.of(frame));
+            done.accept(failure.orElse(null));
         }
     }
 
-    // ---- appending ----
     @Override
-    public void append(JournalRecord promise, Consumer<String> done) {
-        byte[] octets = RecordCodec.frame(RecordCodec.encode(promise));
-        if (writer != null) {
-            synchronized (queue) {
-                queue.add(new PendingAppend(octets, done));
-                queue.notifyAll();
-            }
-            return;
-        }
-        String wrong;
-        synchronized (this) {
-            wrong = put(octets, List.of(octets));
-        }
-        done.accept(wrong);
+    public String writeFailure() {
+        return activeFile.failure();
     }
 
-    /** Writes octets at the end; null or what is wrong. */
-    private String put(byte[] octets, List<byte[]> lines) {
-        if (closed) {
-            return "the journal is closed";
-        }
-        if (!trouble.isEmpty() && nanos.getAsLong() - triedAt < TRY_AGAIN_NANOS) {
-            return trouble;
-        }
-        try {
-            if (!trouble.isEmpty()) {
-                // guards against a half line in the middle: what a failed write left is cut off
-                // before the next
-                out.truncate(good);
-            }
-            out.write(good, octets);
-            if (durability == Durability.DISK) {
-                out.force();
-            }
-            good += octets.length;
-            if (meanwhile != null) {
-                meanwhile.addAll(lines);
-            }
-            if (!trouble.isEmpty()) {
-                LOG.warn("journal {} is written again", file);
-                trouble = "";
-            }
-            return null;
-        } catch (IOException e) {
-            if (trouble.isEmpty()) {
-                LOG.error("journal {} cannot be written: {}", file, e.getMessage());
-            }
-            trouble = "the journal cannot be written: " + e.getMessage();
-            triedAt = nanos.getAsLong();
-            return trouble;
-        }
+    @Override
+    public void compact(Supplier<Iterable<JournalRecord>> snapshot) {
+        retryFailedWrite();
+        activeFile
+                .beginRewrite(snapshot, options.compactionThresholdBytes())
+                .ifPresent(this::compactTo);
     }
 
-    /** The writer's thread: what came up during one force goes with the next. */
-    private void write() {
-        while (true) {
-            List<PendingAppend> batch = new ArrayList<>();
-            int octets = 0;
-            synchronized (queue) {
-                while (queue.isEmpty()) {
-                    if (isClosed()) {
-                        return;
-                    }
-                    try {
-                        queue.wait(100);
-                    } catch (InterruptedException e) {
-                        return;
-                    }
-                }
-                while (!queue.isEmpty() && octets < BATCH_OCTETS) {
-                    batch.add(queue.poll());
-                    octets += batch.get(batch.size() - 1).octets().length;
-                }
-            }
-            ByteBuffer all = ByteBuffer.allocate(octets);
-            batch.forEach(p -> all.put(p.octets()));
-            String wrong;
-            synchronized (this) {
-                wrong = put(all.array(), batch.stream().map(PendingAppend::octets).toList());
-            }
-            batch.forEach(p -> p.done().accept(wrong));
+    /**
+     * While writing fails, no task is placed that needs the journal, so nothing is appended and
+     * nothing else would find out that writing works again.
+     */
+    private void retryFailedWrite() {
+        if (!activeFile.failure().isEmpty()) {
+            activeFile.append(List.of(JournalRecovery.incarnationFrame(options.durability())));
         }
     }
 
-    private synchronized boolean isClosed() {
-        return closed;
-    }
-
-    @Override
-    public synchronized String writeFailure() {
-        return trouble;
-    }
-
-    // ---- writing anew ----
-    @Override
-    public void compact(Supplier<Iterable<JournalRecord>> snapshot) {
-        Iterable<JournalRecord> lines;
-        synchronized (this) {
-            if (!trouble.isEmpty()) {
-                // the module offers nothing that needs us while we are in trouble, so nothing else
-                // would try
-                byte[] life = life();
-                put(life, List.of(life));
-            }
-            if (closed
-                    || meanwhile != null
-                    || good < compactFrom
-                    || good < 2 * began
-                    || !trouble.isEmpty()) {
-                return;
-            }
-            meanwhile = new ArrayList<>();
-            lines = snapshot.get();
-        }
-        // off the caller's thread: what still counts may be many megabytes, and placing goes on
-        // meanwhile
-        if (!threads) {
-            rewritten(lines);
+    /** Writes the compacted file, normally on a thread of its own as it may be many megabytes. */
+    private void compactTo(Iterable<JournalRecord> records) {
+        if (options.threading() == Threading.CALLER) {
+            rewriteOrLog(records);
             return;
         }
-        Thread thread = new Thread(() -> rewritten(lines), "journal-compact-" + placer);
+        Thread thread = new Thread(() -> rewriteOrLog(records), "journal-compact-" + placer);
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void rewritten(Iterable<JournalRecord> lines) {
+    private void rewriteOrLog(Iterable<JournalRecord> records) {
         try {
-            rewrite(lines);
+            rewrite(records);
         } catch (IOException e) {
             LOG.error(
-                    "journal {} could not be written anew and goes on growing: {}",
-                    file,
+                    "journal {} could not be compacted and keeps growing: {}",
+                    activeFile.path(),
                     e.getMessage());
         }
     }
 
-    private void rewrite(Iterable<JournalRecord> lines) throws IOException {
-        PendingSnapshot beside = null;
+    private void rewrite(Iterable<JournalRecord> records) throws IOException {
         try {
-            beside = beside(lines);
-            synchronized (this) {
-                take(beside);
-            }
-        } catch (IOException e) {
-            if (beside != null && beside.out() != out) {
-                beside.out().close();
-            }
-            throw e;
+            PendingSnapshot snapshot = snapshotWriter.write(records);
+            activeFile.replaceBy(snapshot);
         } finally {
-            synchronized (this) {
-                meanwhile = null;
-            }
-        }
-    }
-
-    /** A file made beside, open, of this size. */
-    private record PendingSnapshot(Path path, Storage.WritableFile out, long size) {}
-
-    private PendingSnapshot beside(Iterable<JournalRecord> lines) throws IOException {
-        Path made = folder.resolve("journal-new.tmp");
-        Storage.WritableFile to = storage.create(made);
-        try {
-            ByteArrayOutputStream buffer = new ByteArrayOutputStream(PIECE);
-            buffer.write(JournalContents.MAGIC);
-            buffer.write(
-                    RecordCodec.frame(
-                            Header.newBuilder()
-                                    .setVersion(JournalContents.VERSION)
-                                    .setPlacer(placer)
-                                    .build()));
-            long size = 0;
-            for (JournalRecord p : lines) {
-                buffer.write(RecordCodec.frame(RecordCodec.encode(p)));
-                if (buffer.size() >= PIECE) {
-                    to.write(size, buffer.toByteArray());
-                    size += buffer.size();
-                    buffer.reset();
-                }
-            }
-            buffer.write(life());
-            to.write(size, buffer.toByteArray());
-            to.force();
-            return new PendingSnapshot(made, to, size + buffer.size());
-        } catch (IOException e) {
-            to.close();
-            throw e;
-        }
-    }
-
-    private byte[] life() {
-        return RecordCodec.frame(
-                Line.newBuilder()
-                        .setLife(Life.newBuilder().setBoot(boot()).setDurability(durability.name()))
-                        .build());
-    }
-
-    /** The file made beside takes over, with what was appended meanwhile. */
-    private void take(PendingSnapshot made) throws IOException {
-        if (closed) {
-            throw new IOException("the journal is closed");
-        }
-        Path named = folder.resolve("journal-" + (number + 1) + ".tfj");
-        long size = made.size();
-        if (meanwhile != null) {
-            for (byte[] line : meanwhile) {
-                made.out().write(size, line);
-                size += line.length;
-            }
-        }
-        // whole on the disk before it has its name, and its name on the disk before the former file
-        // goes
-        made.out().force();
-        storage.rename(made.path(), named);
-        // from here on the new file is the newest, so it takes the lines whatever fails below
-        Path former = file;
-        Storage.WritableFile formerOut = out;
-        out = made.out();
-        file = named;
-        number++;
-        good = size;
-        began = size;
-        try {
-            storage.forceFolder(folder);
-            if (formerOut != null) {
-                formerOut.close();
-            }
-            if (former != null) {
-                storage.delete(former);
-            }
-        } catch (IOException e) {
-            LOG.warn("journal {}: the former file stays: {}", named, e.getMessage());
+            activeFile.endRewrite();
         }
     }
 
+    /** Closes the file and releases the folder; records that are still pending fail. */
     @Override
     public void close() {
-        synchronized (this) {
-            closed = true;
-            try {
-                if (out != null) {
-                    out.close();
-                }
-                lock.close();
-            } catch (IOException e) {
-                LOG.warn("journal {} did not close well: {}", file, e.getMessage());
-            }
+        try {
+            activeFile.close();
+            folder.close();
+        } catch (IOException e) {
+            LOG.warn("journal {} was not closed properly: {}", activeFile.path(), e.getMessage());
         }
     }
 }
--- a/state/src/main/java/thornferry/state/JournalWords.java
+++ b/state/src/main/java/thornferry/state/JournalWords.java
@@ -1,12 +1,14 @@
 package thornferry.state;
 
+import java.util.Arrays;
+import java.util.function.Function;
 import thornferry.decisions.attempts.TerminationCause;
 import thornferry.decisions.placement.Placement.Idempotency;
 import thornferry.decisions.requests.RequestResult;
 
 /**
- * The words that journal files use for enumerated values. They never change; the constants' names
- * may.
+ * The words that journal files use for enumerated values. They never change; the names of the
+ * constants may.
  */
 public final class JournalWords {
     private JournalWords() {}
@@ -41,44 +43,37 @@
     }
 
     /**
+     * The idempotency that a word stands for.
+     *
      * @throws IllegalArgumentException if the word is not known
      */
     static Idempotency idempotency(String word) {
-        return switch (word) {
-            case "SAFE" -> Idempotency.IDEMPOTENT;
-            case "KEYED" -> Idempotency.IDEMPOTENT_WITH_KEY;
-            case "UNSAFE" -> Idempotency.NON_IDEMPOTENT;
-            default -> throw unknown("effect", word);
-        };
+        return constant(Idempotency.values(), JournalWords::of, word);
     }
 
     /**
+     * The request's result that a word stands for.
+     *
      * @throws IllegalArgumentException if the word is not known
      */
     static RequestResult result(String word) {
-        return switch (word) {
-            case "PLACED" -> RequestResult.PLACED;
-            case "REFUSED" -> RequestResult.REJECTED;
-            case "FAILED" -> RequestResult.FAILED;
-            default -> throw unknown("result", word);
-        };
+        return constant(RequestResult.values(), JournalWords::of, word);
     }
 
     /**
+     * The termination cause that a word stands for.
+     *
      * @throws IllegalArgumentException if the word is not known
      */
     static TerminationCause terminationCause(String word) {
-        return switch (word) {
-            case "ENDED" -> TerminationCause.COMPLETED;
-            case "EVICTED" -> TerminationCause.EVICTED;
-            case "LOST" -> TerminationCause.LOST;
-            case "MOVED" -> TerminationCause.MIGRATED;
-            case "STOPPED" -> TerminationCause.STOPPED;
-            default -> throw unknown("fate", word);
-        };
+        return constant(TerminationCause.values(), JournalWords::of, word);
     }
 
-    private static IllegalArgumentException unknown(String field, String word) {
-        return new IllegalArgumentException("unknown word in field " + field + ": " + word);
+    private static <E extends Enum<E>> E constant(
+            E[] constants, Function<E, String> wordOf, String word) {
+        return Arrays.stream(constants)
+                .filter(constant -> wordOf.apply(constant).equals(word))
+                .findFirst()
+                .orElseThrow(() -> new IllegalArgumentException("unknown word: " + word));
     }
 }
--- a/state/src/main/java/thornferry/state/RecordCodec.java
+++ b/state/src/main/java/thornferry/state/RecordCodec.java
@@ -1,137 +1,104 @@
 package thornferry.state;
 
 import com.google.protobuf.InvalidProtocolBufferException;
-import com.google.protobuf.MessageLite;
-import java.nio.ByteBuffer;
-import java.util.zip.CRC32C;
 import thornferry.decisions.recovery.JournalRecord;
 import thornferry.decisions.requests.TaskSpec;
-import thornferry.state.v1.Answered;
+import thornferry.state.v1.Completed;
+import thornferry.state.v1.Entry;
 import thornferry.state.v1.Finished;
-import thornferry.state.v1.Line;
 import thornferry.state.v1.NeverRan;
 import thornferry.state.v1.Offered;
-import thornferry.state.v1.Wish;
+import thornferry.state.v1.StoredTaskSpec;
 
-/** The form of a line: length (4 octets), CRC-32C of length and body (4 octets), body. */
+/** Converts journal records to the entries of a file, and back. */
 final class RecordCodec {
-    static final int HEADER_BYTES = 8;
+    private RecordCodec() {}
 
-    /** No line is longer: ids, keys and names have limits of their own far below it. */
-    static final int MAX_BODY_BYTES = 1 << 16;
+    /** The framed entry of a record. */
+    static byte[] frame(JournalRecord journalRecord) {
+        return FrameFormat.frame(encode(journalRecord));
+    }
 
-    private RecordCodec() {}
+    static Entry encode(JournalRecord journalRecord) {
+        Entry.Builder entry = Entry.newBuilder().setAtMicros(journalRecord.atMicros());
+        if (journalRecord instanceof JournalRecord.Offered offered) {
+            entry.setOffered(encode(offered));
+        } else if (journalRecord instanceof JournalRecord.NeverRan neverRan) {
+            entry.setNeverRan(encode(neverRan));
+        } else if (journalRecord instanceof JournalRecord.Completed completed) {
+            entry.setCompleted(encode(completed));
+        } else if (journalRecord instanceof JournalRecord.Finished finished) {
+            entry.setFinished(encode(finished));
+        }
+        return entry.build();
+    }
 
-    static byte[] frame(MessageLite message) {
-        byte[] body = message.toByteArray();
-        ByteBuffer framed = ByteBuffer.allocate(HEADER_BYTES + body.length);
-        framed.putInt(body.length).putInt(crc(body, 0, body.length)).put(body);
-        return framed.array();
+    private static Offered encode(JournalRecord.Offered offered) {
+        return Offered.newBuilder()
+                .setAttempt(offered.attempt())
+                .setOwner(offered.owner())
+                .setTenant(offered.tenant())
+                .setTaskSpec(encode(offered.spec()))
+                .setIdempotency(JournalWords.of(offered.idempotency()))
+                .setMachine(offered.machine())
+                .setIncarnation(offered.incarnation())
+                .build();
     }
 
-    /** Of the length too, so that a run of zeros is no line. */
-    static int crc(byte[] in, int from, int length) {
-        CRC32C crc = new CRC32C();
-        crc.update(length >>> 24);
-        crc.update(length >>> 16);
-        crc.update(length >>> 8);
-        crc.update(length);
-        crc.update(in, from, length);
-        return (int) crc.getValue();
+    private static NeverRan encode(JournalRecord.NeverRan neverRan) {
+        return NeverRan.newBuilder()
+                .setOwner(neverRan.owner())
+                .setTask(neverRan.task())
+                .setAttempt(neverRan.attempt())
+                .build();
     }
 
-    static Line encode(JournalRecord p) {
-        Line.Builder line = Line.newBuilder().setAt(p.atMicros());
-        if (p instanceof JournalRecord.Offered o) {
-            line.setOffered(
-                    Offered.newBuilder()
-                            .setAttempt(o.attempt())
-                            .setOwner(o.owner())
-                            .setTenant(o.tenant())
-                            .setWish(encode(o.spec()))
-                            .setEffect(JournalWords.of(o.idempotency()))
-                            .setMachine(o.machine())
-                            .setIncarnation(o.incarnation()));
-        } else if (p instanceof JournalRecord.NeverRan n) {
-            line.setNeverRan(
-                    NeverRan.newBuilder()
-                            .setOwner(n.owner())
-                            .setTask(n.task())
-                            .setAttempt(n.attempt()));
-        } else if (p instanceof JournalRecord.Completed a) {
-            line.setAnswered(
-                    Answered.newBuilder()
-                            .setOwner(a.owner())
-                            .setTenant(a.tenant())
-                            .setWish(encode(a.spec()))
-                            .setEffect(JournalWords.of(a.idempotency()))
-                            .setResult(JournalWords.of(a.result()))
-                            .setMachine(a.machine())
-                            .setReason(a.reason()));
-        } else if (p instanceof JournalRecord.Finished f) {
-            line.setFinished(
-                    Finished.newBuilder()
-                            .setOwner(f.owner())
-                            .setTask(f.task())
-                            .setFate(JournalWords.of(f.terminationCause())));
-        }
-        return line.build();
+    private static Completed encode(JournalRecord.Completed completed) {
+        return Completed.newBuilder()
+                .setOwner(completed.owner())
+                .setTenant(completed.tenant())
+                .setTaskSpec(encode(completed.spec()))
+                .setIdempotency(JournalWords.of(completed.idempotency()))
+                .setResult(JournalWords.of(completed.result()))
+                .setMachine(completed.machine())
+                .setReason(completed.reason())
+                .build();
+    }
+
+    private static Finished encode(JournalRecord.Finished finished) {
+        return Finished.newBuilder()
+                .setOwner(finished.owner())
+                .setTask(finished.task())
+                .setTerminationCause(JournalWords.of(finished.terminationCause()))
+                .build();
     }
 
-    private static Wish encode(TaskSpec w) {
-        return Wish.newBuilder()
-                .setId(w.id())
-                .setTaskClass(w.taskClass())
-                .setService(w.service())
-                .setKey(w.idempotencyKey())
-                .setCores(w.cores())
-                .setMemory(w.memory())
-                .setRunsFor(w.expectedRunMicros())
+    private static StoredTaskSpec encode(TaskSpec spec) {
+        return StoredTaskSpec.newBuilder()
+                .setId(spec.id())
+                .setTaskClass(spec.taskClass())
+                .setService(spec.service())
+                .setIdempotencyKey(spec.idempotencyKey())
+                .setCores(spec.cores())
+                .setMemory(spec.memory())
+                .setExpectedRunMicros(spec.expectedRunMicros())
                 .build();
     }
 
     /**
-     * @throws InvalidProtocolBufferException where it is of no type that this version knows
+     * The record of an entry.
+     *
+     * @throws InvalidProtocolBufferException if the entry's type, or a word in it, is not known to
+     *     this version
      */
-    static JournalRecord decode(Line line) throws InvalidProtocolBufferException {
+    static JournalRecord decode(Entry entry) throws InvalidProtocolBufferException {
+        long atMicros = entry.getAtMicros();
         try {
-            return switch (line.getLineCase()) {
-                case OFFERED -> {
-                    Offered o = line.getOffered();
-                    yield new JournalRecord.Offered(
-                            line.getAt(),
-                            o.getAttempt(),
-                            o.getOwner(),
-                            o.getTenant(),
-                            wish(o.getWish()),
-                            JournalWords.idempotency(o.getEffect()),
-                            o.getMachine(),
-                            o.getIncarnation());
-                }
-                case NEVER_RAN ->
-                        new JournalRecord.NeverRan(
-                                line.getAt(),
-                                line.getNeverRan().getOwner(),
-                                line.getNeverRan().getTask(),
-                                line.getNeverRan().getAttempt());
-                case ANSWERED -> {
-                    Answered a = line.getAnswered();
-                    yield new JournalRecord.Completed(
-                            line.getAt(),
-                            a.getOwner(),
-                            a.getTenant(),
-                            wish(a.getWish()),
-                            JournalWords.idempotency(a.getEffect()),
-                            JournalWords.result(a.getResult()),
-                            a.getMachine(),
-                            a.getReason());
-                }
-                case FINISHED ->
-                        new JournalRecord.Finished(
-                                line.getAt(),
-                                line.getFinished().getOwner(),
-                                line.getFinished().getTask(),
-                                JournalWords.terminationCause(line.getFinished().getFate()));
+            return switch (entry.getKindCase()) {
+                case OFFERED -> decode(atMicros, entry.getOffered());
+                case NEVER_RAN -> decode(atMicros, entry.getNeverRan());
+                case COMPLETED -> decode(atMicros, entry.getCompleted());
+                case FINISHED -> decode(atMicros, entry.getFinished());
                 default ->
                         throw new InvalidProtocolBufferException(
                                 "a line of a type that this version does not know");
@@ -142,15 +109,52 @@
         }
     }
 
-    private static TaskSpec wish(Wish w) {
+    private static JournalRecord.Offered decode(long atMicros, Offered offered) {
+        return new JournalRecord.Offered(
+                atMicros,
+                offered.getAttempt(),
+                offered.getOwner(),
+                offered.getTenant(),
+                decode(offered.getTaskSpec()),
+                JournalWords.idempotency(offered.getIdempotency()),
+                offered.getMachine(),
+                offered.getIncarnation());
+    }
+
+    private static JournalRecord.NeverRan decode(long atMicros, NeverRan neverRan) {
+        return new JournalRecord.NeverRan(
+                atMicros, neverRan.getOwner(), neverRan.getTask(), neverRan.getAttempt());
+    }
+
+    private static JournalRecord.Completed decode(long atMicros, Completed completed) {
+        return new JournalRecord.Completed(
+                atMicros,
+                completed.getOwner(),
+                completed.getTenant(),
+                decode(completed.getTaskSpec()),
+                JournalWords.idempotency(completed.getIdempotency()),
+                JournalWords.result(completed.getResult()),
+                completed.getMachine(),
+                completed.getReason());
+    }
+
+    private static JournalRecord.Finished decode(long atMicros, Finished finished) {
+        return new JournalRecord.Finished(
+                atMicros,
+                finished.getOwner(),
+                finished.getTask(),
+                JournalWords.terminationCause(finished.getTerminationCause()));
+    }
+
+    private static TaskSpec decode(StoredTaskSpec stored) {
         return new TaskSpec(
-                w.getId(),
-                w.getTaskClass(),
-                w.getService(),
-                w.getKey(),
-                w.getCores(),
-                w.getMemory(),
+                stored.getId(),
+                stored.getTaskClass(),
+                stored.getService(),
+                stored.getIdempotencyKey(),
+                stored.getCores(),
+                stored.getMemory(),
                 null,
-                w.getRunsFor());
+                stored.getExpectedRunMicros());
     }
 }
--- a/state/src/test/java/thornferry/state/CrashingStorage.java
+++ b/state/src/test/java/thornferry/state/CrashingStorage.java
@@ -14,177 +14,227 @@
 import java.util.TreeMap;
 
 /**
- * A file system in memory that loses power, or is full, at a chosen step. What was not forced then
- * may be there or not: writes reach the disk in any order and torn anywhere, names up to some point
- * of their order.
+ * An in-memory file system that crashes, or whose disk is full, at a chosen step. After a power
+ * loss, unforced changes may or may not be there: writes reach the disk in any order and torn
+ * anywhere, and names as they were after one of their changes.
  */
 final class CrashingStorage implements Storage {
-    /** The power is gone; an Error, so that nothing takes it for a failure that can be handled. */
+    private static final String DISK_FULL = "No space left on device";
+
+    /** Ends the incarnation; an Error, so that no code handles it as a failed operation. */
     static final class PowerLoss extends Error {
         private static final long serialVersionUID = 1;
     }
 
-    private record Write(long at, byte[] octets) {}
+    /** What is lost with the process. */
+    enum Crash {
+        /** Only the process ends; the system still has what was written. */
+        KILL,
+        /** Unforced changes may be lost. */
+        POWER_LOSS
+    }
+
+    /** A change of a file's contents. */
+    private sealed interface Change {
+        byte[] applyTo(byte[] content);
+
+        /** The part of the change that reaches the disk before a crash in the middle of it. */
+        Change torn(SplittableRandom random);
+    }
+
+    private record Write(long offset, byte[] bytes) implements Change {
+        @Override
+        public byte[] applyTo(byte[] content) {
+            int start = (int) offset;
+            byte[] result = Arrays.copyOf(content, Math.max(content.length, start + bytes.length));
+            System.arraycopy(bytes, 0, result, start, bytes.length);
+            return result;
+        }
+
+        @Override
+        public Write torn(SplittableRandom random) {
+            return new Write(offset, Arrays.copyOf(bytes, random.nextInt(bytes.length + 1)));
+        }
+    }
+
+    private record Truncation(long sizeBytes) implements Change {
+        @Override
+        public byte[] applyTo(byte[] content) {
+            return Arrays.copyOf(content, (int) sizeBytes);
+        }
+
+        @Override
+        public Truncation torn(SplittableRandom random) {
+            return this;
+        }
+    }
 
     private static final class Inode {
-        byte[] seen = new byte[0];
-        byte[] forced = new byte[0];
-        final List<Write> unforced = new ArrayList<>(); // octets null for a truncation to at
+        private byte[] content = new byte[0];
+        private byte[] forced = new byte[0];
+        private final List<Change> unforced = new ArrayList<>();
+
+        void apply(Change change) {
+            content = change.applyTo(content);
+            unforced.add(change);
+        }
+
+        void force() {
+            forced = content;
+            unforced.clear();
+        }
+
+        /** Some of the unforced changes reach the disk: in any order, each torn anywhere. */
+        void losePower(SplittableRandom random) {
+            List<Change> changes = new ArrayList<>(unforced);
+            for (int i = changes.size(); i > 1; i--) {
+                Collections.swap(changes, i - 1, random.nextInt(i));
+            }
+            content = forced;
+            for (Change change : changes.subList(0, random.nextInt(changes.size() + 1))) {
+                content = change.torn(random).applyTo(content);
+            }
+        }
     }
 
     private final SplittableRandom random;
     private Map<Path, Inode> names = new TreeMap<>();
     private Map<Path, Inode> forcedNames = new TreeMap<>();
-    private final List<Map<Path, Inode>> unforcedNames = new ArrayList<>();
+    private final List<Map<Path, Inode>> unforcedNames = new ArrayList<>(); // after each change
+
+    /** Operations so far; the steps of the fields below are counted likewise. */
     int steps;
-    int losesPowerAt = Integer.MAX_VALUE;
-    int fullFrom = Integer.MAX_VALUE;
-    int fullUntil = Integer.MAX_VALUE;
+
+    int crashAtStep = Integer.MAX_VALUE;
+    int diskFullFromStep = Integer.MAX_VALUE;
+    int diskFullUntilStep = Integer.MAX_VALUE;
 
     CrashingStorage(SplittableRandom random) {
         this.random = random;
     }
 
-    private boolean step() {
-        if (++steps == losesPowerAt) {
+    void clearDiskFull() {
+        diskFullFromStep = Integer.MAX_VALUE;
+        diskFullUntilStep = Integer.MAX_VALUE;
+    }
+
+    /** Counts an operation; returns whether the disk is full for it. */
+    private boolean countStep() {
+        steps++;
+        if (steps == crashAtStep) {
             throw new PowerLoss();
         }
-        return steps >= fullFrom && steps < fullUntil;
-    }
-
-    private static byte[] applied(byte[] to, Write w, int length) {
-        if (w.octets() == null) {
-            return Arrays.copyOf(to, (int) w.at());
-        }
-        byte[] result = Arrays.copyOf(to, Math.max(to.length, (int) w.at() + length));
-        System.arraycopy(w.octets(), 0, result, (int) w.at(), length);
-        return result;
-    }
-
-    /** The process is gone; with {@code power} the machine too. */
-    void crash(boolean power) {
-        if (power) {
-            names =
-                    unforcedNames.isEmpty()
-                            ? forcedNames
-                            : random.nextBoolean()
-                                    ? forcedNames
-                                    : unforcedNames.get(random.nextInt(unforcedNames.size()));
-            for (Inode i : names.values()) {
-                List<Write> left = new ArrayList<>(i.unforced);
-                for (int k = left.size(); k > 1; k--) {
-                    Collections.swap(left, k - 1, random.nextInt(k));
-                }
-                left = left.subList(0, random.nextInt(left.size() + 1));
-                byte[] content = i.forced;
-                for (Write w : left) {
-                    content =
-                            applied(
-                                    content,
-                                    w,
-                                    w.octets() == null ? 0 : random.nextInt(w.octets().length + 1));
-                }
-                i.seen = content;
-            }
+        return steps >= diskFullFromStep && steps < diskFullUntilStep;
+    }
+
+    private void countStepOnDiskThatMayBeFull() throws IOException {
+        if (countStep()) {
+            throw new IOException(DISK_FULL);
         }
-        for (Inode i : names.values()) {
-            i.forced = i.seen;
-            i.unforced.clear();
+    }
+
+    /** Ends the process, or the machine; what is left can be opened again. */
+    void crash(Crash crash) {
+        if (crash == Crash.POWER_LOSS) {
+            names = namesAfterPowerLoss();
+            names.values().forEach(inode -> inode.losePower(random));
         }
+        names.values().forEach(Inode::force);
         forcedNames = new TreeMap<>(names);
         names = new TreeMap<>(names);
         unforcedNames.clear();
-        losesPowerAt = Integer.MAX_VALUE;
+        crashAtStep = Integer.MAX_VALUE;
+    }
+
+    private Map<Path, Inode> namesAfterPowerLoss() {
+        if (unforcedNames.isEmpty() || random.nextBoolean()) {
+            return forcedNames;
+        }
+        return unforcedNames.get(random.nextInt(unforcedNames.size()));
     }
 
-    private void named() {
+    private void recordNameChange() {
         unforcedNames.add(new TreeMap<>(names));
     }
 
     byte[] content(Path file) {
-        return names.get(file).seen;
+        return names.get(file).content;
     }
 
     void put(Path file, byte[] content) {
-        Inode i = new Inode();
-        i.seen = content;
-        i.forced = content;
-        names.put(file, i);
-        forcedNames.put(file, i);
-    }
-
-    @Override
-    public WritableFile create(Path file) throws IOException {
-        step();
         Inode inode = new Inode();
+        inode.content = content;
+        inode.forced = content;
         names.put(file, inode);
-        named();
-        return new WritableFile() {
-            @Override
-            public void write(long at, byte[] octets) throws IOException {
-                int length = octets.length;
-                if (steps + 1 == losesPowerAt) {
-                    length =
-                            random.nextInt(
-                                    length + 1); // a kill in the middle of a write leaves a part
-                    // of it
-                    inode.seen = applied(inode.seen, new Write(at, octets), length);
-                    inode.unforced.add(new Write(at, Arrays.copyOf(octets, length)));
-                }
-                if (step()) {
-                    length = random.nextInt(length + 1);
-                    inode.seen = applied(inode.seen, new Write(at, octets), length);
-                    inode.unforced.add(new Write(at, Arrays.copyOf(octets, length)));
-                    throw new IOException("No space left on device");
-                }
-                inode.seen = applied(inode.seen, new Write(at, octets), length);
-                inode.unforced.add(new Write(at, octets.clone()));
-            }
+        forcedNames.put(file, inode);
+    }
 
-            @Override
-            public void truncate(long size) {
-                step();
-                inode.seen = Arrays.copyOf(inode.seen, (int) size);
-                inode.unforced.add(new Write(size, null));
-            }
+    private final class InodeFile implements WritableFile {
+        private final Inode inode;
 
-            @Override
-            public void force() throws IOException {
-                if (step()) {
-                    throw new IOException("No space left on device");
-                }
-                inode.forced = inode.seen;
-                inode.unforced.clear();
-            }
+        InodeFile(Inode inode) {
+            this.inode = inode;
+        }
 
-            @Override
-            public void close() {
-                // nothing more is written
+        @Override
+        public void write(long offset, byte[] bytes) throws IOException {
+            Write write = new Write(offset, bytes.clone());
+            if (steps + 1 == crashAtStep) {
+                inode.apply(write.torn(random));
+            }
+            if (countStep()) {
+                inode.apply(write.torn(random));
+                throw new IOException(DISK_FULL);
             }
-        };
+            inode.apply(write);
+        }
+
+        @Override
+        public void truncate(long sizeBytes) {
+            countStep();
+            inode.apply(new Truncation(sizeBytes));
+        }
+
+        @Override
+        public void force() throws IOException {
+            countStepOnDiskThatMayBeFull();
+            inode.force();
+        }
+
+        @Override
+        public void close() {
+            // nothing to release
+        }
+    }
+
+    @Override
+    public WritableFile create(Path file) throws IOException {
+        countStep();
+        Inode inode = new Inode();
+        names.put(file, inode);
+        recordNameChange();
+        return new InodeFile(inode);
     }
 
     @Override
     public void rename(Path from, Path to) throws IOException {
-        if (step()) {
-            throw new IOException("No space left on device");
-        }
+        countStepOnDiskThatMayBeFull();
         names.put(to, names.remove(from));
-        named();
+        recordNameChange();
     }
 
     @Override
     public void forceFolder(Path folder) {
-        step();
+        countStep();
         forcedNames = new TreeMap<>(names);
         unforcedNames.clear();
     }
 
     @Override
     public void delete(Path file) {
-        step();
+        countStep();
         names.remove(file);
-        named();
+        recordNameChange();
     }
 
     @Override
@@ -194,19 +244,19 @@
 
     @Override
     public long size(Path file) throws IOException {
-        return inode(file).seen.length;
+        return inode(file).content.length;
     }
 
     @Override
     public InputStream read(Path file) throws IOException {
-        return new ByteArrayInputStream(inode(file).seen);
+        return new ByteArrayInputStream(inode(file).content);
     }
 
     private Inode inode(Path file) throws IOException {
-        Inode i = names.get(file);
-        if (i == null) {
+        Inode inode = names.get(file);
+        if (inode == null) {
             throw new FileNotFoundException(file.toString());
         }
-        return i;
+        return inode;
     }
 }
--- a/state/src/test/java/thornferry/state/JournalFileTest.java
+++ b/state/src/test/java/thornferry/state/JournalFileTest.java
@@ -4,203 +4,245 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import java.io.IOException;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicLong;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import thornferry.decisions.placement.Placement.Idempotency;
 import thornferry.decisions.recovery.JournalRecord;
 import thornferry.decisions.requests.TaskSpec;
+import thornferry.state.JournalFile.Options;
+import thornferry.state.JournalFile.Threading;
 
 class JournalFileTest {
     private static final Path FOLDER = Path.of("f");
+    private static final Path FIRST_FILE = FOLDER.resolve("journal-1.tfj");
+    private static final int INCARNATIONS = 4;
+    private static final int RECORDS_PER_INCARNATION = 100;
+    private static final long NANOS_BETWEEN_RECORDS = 400_000_000;
+    private static final long COMPACTION_THRESHOLD_BYTES = 2_000;
 
     @TempDir Path folder;
 
-    private static JournalRecord.Offered offered(int n) {
+    private static JournalRecord.Offered offered(int number) {
         return new JournalRecord.Offered(
-                n,
-                "a" + n,
+                number,
+                "a" + number,
                 "o",
                 "tenant",
-                new TaskSpec("t" + n, "levy-run", "s", "", 1, 2, null, 300),
+                new TaskSpec("t" + number, "levy-run", "s", "", 1, 2, null, 300),
                 Idempotency.NON_IDEMPOTENT,
                 "n1",
                 7);
     }
 
-    private static List<String> attempts(Iterable<JournalRecord> promises) {
-        List<String> all = new ArrayList<>();
-        promises.forEach(p -> all.add(((JournalRecord.Offered) p).attempt()));
-        return all;
+    private static String attempt(JournalRecord journalRecord) {
+        return ((JournalRecord.Offered) journalRecord).attempt();
     }
 
-    private static JournalFile open(Storage storage, Durability durability, long[] nanos)
-            throws IOException {
-        JournalFile file =
-                new JournalFile(
-                        FOLDER, "p-0", durability, storage, () -> nanos[0], false, () -> {});
-        file.compactFrom = 2_000;
-        return file;
+    private static List<String> attempts(Iterable<JournalRecord> records) {
+        List<String> attempts = new ArrayList<>();
+        records.forEach(journalRecord -> attempts.add(attempt(journalRecord)));
+        return attempts;
     }
 
-    /**
-     * Plays one journal with a crash at some step; what was acknowledged must be there afterwards,
-     * in order.
-     */
-    private static void crashOnce(long seed, Durability durability, boolean power)
+    private static JournalFile open(Storage storage, Durability durability, AtomicLong nanoClock)
             throws IOException {
-        SplittableRandom random = new SplittableRandom(seed);
-        CrashingStorage storage = new CrashingStorage(random);
-        Set<String> acknowledged = new LinkedHashSet<>();
-        List<JournalRecord> appended = new ArrayList<>();
-        int number = 0;
-        for (int life = 0; life < 4; life++) {
-            storage.losesPowerAt = storage.steps + 1 + random.nextInt(60);
-            storage.fullFrom =
-                    random.nextInt(4) == 0 ? storage.steps + random.nextInt(40) : Integer.MAX_VALUE;
-            storage.fullUntil =
-                    storage.fullFrom == Integer.MAX_VALUE
-                            ? Integer.MAX_VALUE
-                            : storage.fullFrom + 6;
-            long[] nanos = {0};
-            try {
-                JournalFile file = open(storage, durability, nanos);
-                List<String> read = attempts(file.records());
-                assertThat(read)
-                        .as("seed %d life %d", seed, life)
-                        .containsAll(acknowledged)
-                        .isSubsetOf(attempts(appended))
-                        .isSorted();
-                appended.removeIf(p -> !read.contains(((JournalRecord.Offered) p).attempt()));
-                file.startIncarnation(file.records());
-                for (int i = 0; i < 100; i++) {
-                    JournalRecord.Offered p = offered(1_000 + ++number);
-                    appended.add(p);
-                    file.append(
-                            p,
-                            wrong -> {
-                                if (wrong == null) {
-                                    acknowledged.add(p.attempt());
-                                }
-                            });
-                    nanos[0] += 400_000_000;
-                    if (random.nextInt(10) == 0) {
-                        file.compact(() -> List.copyOf(appended));
-                    }
+        return new JournalFile(
+                new JournalFolder(FOLDER, storage, () -> {}),
+                "p-0",
+                new Options(
+                        durability, nanoClock::get, Threading.CALLER, COMPACTION_THRESHOLD_BYTES));
+    }
+
+    /** One journal over several incarnations, each of which ends in a crash at a random step. */
+    private static final class CrashTrial {
+        private final long seed;
+        private final Durability durability;
+        private final SplittableRandom random;
+        private final CrashingStorage storage;
+        private final Set<String> acknowledged = new LinkedHashSet<>();
+        private final List<JournalRecord> appended = new ArrayList<>();
+        private int lastNumber = 1_000; // so that all attempts have names of the same length
+
+        CrashTrial(long seed, Durability durability) {
+            this.seed = seed;
+            this.durability = durability;
+            random = new SplittableRandom(seed);
+            storage = new CrashingStorage(random);
+        }
+
+        /** Every incarnation must find the acknowledged records of the former ones, in order. */
+        void run(CrashingStorage.Crash crash) throws IOException {
+            for (int incarnation = 0; incarnation < INCARNATIONS; incarnation++) {
+                scheduleFaults();
+                try {
+                    runIncarnation(incarnation);
+                } catch (CrashingStorage.PowerLoss e) {
+                    // as scheduled
+                } catch (IOException e) {
+                    storage.clearDiskFull(); // it could not start; the operator frees disk space
                 }
-            } catch (CrashingStorage.PowerLoss e) {
-                // as planned
-            } catch (IOException full) {
-                storage.fullFrom = Integer.MAX_VALUE; // it could not begin; the operator makes room
+                storage.crash(crash);
+                storage.clearDiskFull();
             }
-            storage.crash(power);
-            storage.fullFrom = Integer.MAX_VALUE;
+        }
+
+        private void scheduleFaults() {
+            storage.crashAtStep = storage.steps + 1 + random.nextInt(60);
+            if (random.nextInt(4) == 0) {
+                storage.diskFullFromStep = storage.steps + random.nextInt(40);
+                storage.diskFullUntilStep = storage.diskFullFromStep + 6;
+            } else {
+                storage.clearDiskFull();
+            }
+        }
+
+        private void runIncarnation(int incarnation) throws IOException {
+            AtomicLong nanoClock = new AtomicLong();
+            JournalFile file = open(storage, durability, nanoClock);
+            List<String> recovered = attempts(file.records());
+            assertThat(recovered)
+                    .as("seed %d incarnation %d", seed, incarnation)
+                    .containsAll(acknowledged)
+                    .isSubsetOf(attempts(appended))
+                    .isSorted();
+            appended.removeIf(journalRecord -> !recovered.contains(attempt(journalRecord)));
+            file.startIncarnation(file.records());
+            for (int i = 0; i < RECORDS_PER_INCARNATION; i++) {
+                appendNext(file);
+                nanoClock.addAndGet(NANOS_BETWEEN_RECORDS);
+                if (random.nextInt(10) == 0) {
+                    file.compact(() -> List.copyOf(appended));
+                }
+            }
+        }
+
+        private void appendNext(JournalFile file) {
+            lastNumber++;
+            JournalRecord.Offered offered = offered(lastNumber);
+            appended.add(offered);
+            file.append(
+                    offered,
+                    failure -> {
+                        if (failure == null) {
+                            acknowledged.add(offered.attempt());
+                        }
+                    });
         }
     }
 
     @Test
-    void whatIsForcedOutlastsAPowerLossAtAnyStepWithTornAndReorderedWrites() throws IOException {
+    void forcedRecordsSurvivePowerLossAtAnyStepWithTornAndReorderedWrites() throws IOException {
         for (long seed = 1; seed <= 2_000; seed++) {
-            crashOnce(seed, Durability.DISK, true);
+            new CrashTrial(seed, Durability.DISK).run(CrashingStorage.Crash.POWER_LOSS);
         }
     }
 
     @Test
-    void whatIsHandedToTheSystemOutlastsAKillAtAnyStep() throws IOException {
+    void recordsHandedToTheSystemSurviveKillAtAnyStep() throws IOException {
         for (long seed = 1; seed <= 2_000; seed++) {
-            crashOnce(seed, Durability.OS, false);
+            new CrashTrial(seed, Durability.OS).run(CrashingStorage.Crash.KILL);
         }
     }
 
     @Test
-    void theTestFindsAJournalThatDoesNotForce() {
+    void crashTrialDetectsJournalThatDoesNotForce() {
         assertThatThrownBy(
                         () -> {
                             for (long seed = 1; seed <= 3_000; seed++) {
-                                crashOnce(
-                                        seed,
-                                        Durability.OS,
-                                        true); // os promises nothing over a power loss
+                                // durability OS does not cover a power loss
+                                new CrashTrial(seed, Durability.OS)
+                                        .run(CrashingStorage.Crash.POWER_LOSS);
                             }
                         })
                 .isInstanceOf(AssertionError.class);
     }
 
-    private static byte[] some() throws IOException {
+    private static byte[] journalOfFiveRecords() throws IOException {
         CrashingStorage storage = new CrashingStorage(new SplittableRandom(1));
-        JournalFile file = open(storage, Durability.OS, new long[1]);
+        JournalFile file = open(storage, Durability.OS, new AtomicLong());
         file.startIncarnation(List.of());
-        for (int i = 0; i < 5; i++) {
-            file.append(offered(i), wrong -> {});
+        for (int number = 0; number < 5; number++) {
+            file.append(offered(number), failure -> {});
         }
-        return storage.content(FOLDER.resolve("journal-1.tfj"));
+        return storage.content(FIRST_FILE);
     }
 
     private static JournalContents read(byte[] content, String placer) throws IOException {
         CrashingStorage storage = new CrashingStorage(new SplittableRandom(1));
-        storage.put(FOLDER.resolve("journal-1.tfj"), content);
-        return JournalContents.of(storage, FOLDER.resolve("journal-1.tfj"), placer);
+        storage.put(FIRST_FILE, content);
+        return JournalReader.read(storage, FIRST_FILE, Optional.of(placer));
     }
 
     @Test
-    void cutAtAnyOctetItIsReadUpToItsLastWholeLine() throws IOException {
-        byte[] all = some();
-        int most = 0;
-        for (int length = 0; length <= all.length; length++) {
-            JournalContents reading = read(Arrays.copyOf(all, length), "p-0");
-            assertThat(reading.records().size()).isBetween(most, most + 1);
-            most = Math.max(most, reading.records().size());
-            // a kill leaves no more than one line that is not whole, so nothing is lacking but that
-            // one
-            assertThat(reading.complete()).isEqualTo(!reading.foreign());
+    void readsFileTruncatedAtAnyByteUpToItsLastIntactRecord() throws IOException {
+        byte[] journal = journalOfFiveRecords();
+        int maxRecords = 0;
+        for (int length = 0; length <= journal.length; length++) {
+            JournalContents contents = read(Arrays.copyOf(journal, length), "p-0");
+            assertThat(contents.records().size()).isBetween(maxRecords, maxRecords + 1);
+            maxRecords = Math.max(maxRecords, contents.records().size());
+            // a kill tears at most the last record, so nothing else is missing
+            assertThat(contents.complete()).isEqualTo(!contents.foreign());
         }
-        assertThat(most).isEqualTo(5);
-        assertThat(read(all, "p-0").problem()).isEmpty();
+        assertThat(maxRecords).isEqualTo(5);
+        assertThat(read(journal, "p-0").problem()).isEmpty();
     }
 
     @Test
-    void withAnyOctetWrongNothingIsTakenForWholeAndNoWrongLineIsRead() throws IOException {
-        byte[] all = some();
-        for (int at = 0; at < all.length; at++) {
-            byte[] wrong = all.clone();
-            wrong[at] ^= 0x41;
-            JournalContents reading = read(wrong, "p-0");
-            assertThat(reading.problem()).as("octet %d", at).isNotEmpty();
-            assertThat(attempts(reading.records()))
+    void reportsAnyChangedByteAndReadsNoDamagedRecord() throws IOException {
+        byte[] journal = journalOfFiveRecords();
+        for (int offset = 0; offset < journal.length; offset++) {
+            byte[] damaged = journal.clone();
+            damaged[offset] ^= 0x41;
+            JournalContents contents = read(damaged, "p-0");
+            assertThat(contents.problem()).as("offset %d", offset).isNotEmpty();
+            assertThat(attempts(contents.records()))
                     .isEqualTo(
                             List.of("a0", "a1", "a2", "a3", "a4")
-                                    .subList(0, reading.records().size()));
+                                    .subList(0, contents.records().size()));
         }
     }
 
     @Test
-    void aForeignALaterAndANoisyFileAreKeptAsideAndSaid() throws IOException {
-        assertThat(read(some(), "p-1").problem()).contains("is that of placer p-0, not of p-1");
-        assertThat(read("no journal at all".getBytes(), "p-0").problem())
+    void setsForeignJournalAsideAndReportsIt() throws IOException {
+        assertThat(read(journalOfFiveRecords(), "p-1").problem())
+                .contains("is that of placer p-0, not of p-1");
+        assertThat(read("no journal at all".getBytes(StandardCharsets.UTF_8), "p-0").problem())
                 .isEqualTo("is no journal");
-        Files.write(Files.createDirectories(folder).resolve("journal-7.tfj"), some());
+        Files.write(
+                Files.createDirectories(folder).resolve("journal-7.tfj"), journalOfFiveRecords());
         try (JournalFile file = JournalFile.open(folder, "p-1", Durability.DISK)) {
             assertThat(file.records()).isEmpty();
             assertThat(file.incompleteBecause()).contains("is that of placer p-0");
             file.startIncarnation(List.of());
         }
-        try (var left = Files.list(folder)) {
-            assertThat(left.map(f -> f.getFileName().toString().replaceAll("aside-\\d+", "aside")))
+        try (Stream<Path> remaining = Files.list(folder)) {
+            assertThat(
+                            remaining.map(
+                                    file ->
+                                            file.getFileName()
+                                                    .toString()
+                                                    .replaceAll("aside-\\d+", "aside")))
                     .contains("journal-7.tfj.aside", "journal-8.tfj");
         }
     }
 
     @Test
-    void aSecondOwnerIsTurnedAwayAndTheFirstOnesLinesAreThereAfterwards() throws Exception {
+    void rejectsSecondOwnerAndRetainsRecordsOfTheFirst() throws Exception {
         CountDownLatch done = new CountDownLatch(20);
         try (JournalFile file = JournalFile.open(folder, "p-0", Durability.DISK)) {
             assertThat(file.incompleteBecause()).isEqualTo("there was no journal before");
@@ -208,14 +250,14 @@
             assertThatThrownBy(() -> JournalFile.open(folder, "p-0", Durability.DISK))
                     .isInstanceOf(JournalFile.JournalInUseException.class)
                     .hasMessageContaining("is in use by another placer");
-            for (int i = 10; i < 30; i++) {
-                file.append(offered(i), wrong -> done.countDown());
+            for (int number = 10; number < 30; number++) {
+                file.append(offered(number), failure -> done.countDown());
             }
             assertThat(done.await(10, TimeUnit.SECONDS)).isTrue();
         }
-        try (JournalFile again = JournalFile.open(folder, "p-0", Durability.DISK)) {
-            assertThat(again.incompleteBecause()).isEmpty();
-            assertThat(again.records()).hasSize(20).contains(offered(17));
+        try (JournalFile reopened = JournalFile.open(folder, "p-0", Durability.DISK)) {
+            assertThat(reopened.incompleteBecause()).isEmpty();
+            assertThat(reopened.records()).hasSize(20).contains(offered(17));
         }
     }
 }
--- a/state/src/test/java/thornferry/state/StoredJournalTest.java
+++ b/state/src/test/java/thornferry/state/StoredJournalTest.java
@@ -15,9 +15,9 @@
 import thornferry.decisions.recovery.JournalRecord;
 import thornferry.decisions.requests.RequestResult;
 import thornferry.decisions.requests.TaskSpec;
+import thornferry.state.v1.Entry;
 import thornferry.state.v1.Header;
-import thornferry.state.v1.Life;
-import thornferry.state.v1.Line;
+import thornferry.state.v1.Incarnation;
 
 /**
  * Journals of version 0.2.0 in {@code src/test/resources/journal-v1}, written by that version's
@@ -27,24 +27,24 @@
 class StoredJournalTest {
     private static final Path FIXTURES = Path.of("src/test/resources/journal-v1");
 
-    /** Written anew by a second start, then appended to. */
+    /** Rewritten by a second incarnation, then appended to. */
     private static final Path REWRITTEN = FIXTURES.resolve("placer-0/journal-2.tfj");
 
-    /** Its last line was cut in the middle. */
+    /** Its last entry was cut in the middle. */
     private static final Path TORN = FIXTURES.resolve("placer-1/journal-1.tfj");
 
-    private static final TaskSpec UNSAFE =
+    private static final TaskSpec NON_IDEMPOTENT_TASK =
             new TaskSpec("pump-7", "levy-run", "pumps", "", 2.5, 4.25, null, 300_000);
-    private static final TaskSpec KEYED =
+    private static final TaskSpec TASK_WITH_KEY =
             new TaskSpec("ledger-3", "ledger-post", "ledger", "key-19", 0.5, 1, null, 0);
-    private static final TaskSpec FAILED =
+    private static final TaskSpec FAILED_TASK =
             new TaskSpec("pump-8", "levy-run", "pumps", "", 1, 1, null, 1_000_000);
-    private static final TaskSpec OPEN =
+    private static final TaskSpec OPEN_TASK =
             new TaskSpec("zähler-1", "levy-run", "zähler", "", 3, 6, null, 0);
 
     /**
-     * What the first start wrote, except for the attempt that never ran, which the rewritten file
-     * leaves out.
+     * What the first incarnation wrote, except for the attempt that never ran, which the rewritten
+     * file leaves out.
      */
     private static final List<JournalRecord> CARRIED_OVER =
             List.of(
@@ -52,7 +52,7 @@
                             1_700_000_000_000_200L,
                             "depot1",
                             "north",
-                            UNSAFE,
+                            NON_IDEMPOTENT_TASK,
                             Idempotency.NON_IDEMPOTENT,
                             RequestResult.PLACED,
                             "node-1",
@@ -61,7 +61,7 @@
                             1_700_000_000_000_300L,
                             "depot2",
                             "",
-                            KEYED,
+                            TASK_WITH_KEY,
                             Idempotency.IDEMPOTENT_WITH_KEY,
                             RequestResult.PLACED,
                             "node-2",
@@ -70,14 +70,15 @@
                             1_700_000_000_000_400L,
                             "depot1",
                             "north",
-                            FAILED,
+                            FAILED_TASK,
                             Idempotency.NON_IDEMPOTENT,
                             RequestResult.FAILED,
                             "",
                             "an earlier attempt may have run"));
 
     /**
-     * What the second start appended: one record of every kind, and each way in which a task ends.
+     * What the second incarnation appended: one record of every kind, and each way in which a task
+     * ends.
      */
     private static final List<JournalRecord> APPENDED =
             List.of(
@@ -86,7 +87,7 @@
                             "p0.a-1",
                             "depot1",
                             "north",
-                            OPEN,
+                            OPEN_TASK,
                             Idempotency.NON_IDEMPOTENT,
                             "node-3",
                             1_699_999_000_000_000L),
@@ -97,7 +98,7 @@
                             "p0.a-2",
                             "depot1",
                             "north",
-                            OPEN,
+                            OPEN_TASK,
                             Idempotency.NON_IDEMPOTENT,
                             "node-1",
                             -1),
@@ -109,7 +110,7 @@
                             1_700_000_001_000_500L,
                             "depot2",
                             "",
-                            KEYED,
+                            TASK_WITH_KEY,
                             Idempotency.IDEMPOTENT_WITH_KEY,
                             RequestResult.PLACED,
                             "node-1",
@@ -130,67 +131,70 @@
     @TempDir Path folder;
 
     private static byte[] encoded(
-            String placer, List<JournalRecord> first, Life life, List<JournalRecord> then)
+            String placer,
+            List<JournalRecord> carriedOver,
+            Incarnation incarnation,
+            List<JournalRecord> appended)
             throws IOException {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        all.write(JournalContents.MAGIC);
-        all.write(
-                RecordCodec.frame(
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+        bytes.write(FrameFormat.magic());
+        bytes.write(
+                FrameFormat.frame(
                         Header.newBuilder()
-                                .setVersion(JournalContents.VERSION)
+                                .setVersion(FrameFormat.VERSION)
                                 .setPlacer(placer)
                                 .build()));
-        for (JournalRecord p : first) {
-            all.write(RecordCodec.frame(RecordCodec.encode(p)));
+        for (JournalRecord journalRecord : carriedOver) {
+            bytes.write(RecordCodec.frame(journalRecord));
         }
-        all.write(RecordCodec.frame(Line.newBuilder().setLife(life).build()));
-        for (JournalRecord p : then) {
-            all.write(RecordCodec.frame(RecordCodec.encode(p)));
+        bytes.write(FrameFormat.frame(Entry.newBuilder().setIncarnation(incarnation).build()));
+        for (JournalRecord journalRecord : appended) {
+            bytes.write(RecordCodec.frame(journalRecord));
         }
-        return all.toByteArray();
+        return bytes.toByteArray();
     }
 
     @Test
-    void readsEveryRecordKindOfARewrittenFile() throws IOException {
-        JournalContents reading = JournalContents.of(REWRITTEN, "placer-0");
-        assertThat(reading.problem()).isEmpty();
-        assertThat(reading.complete()).isTrue();
-        assertThat(reading.foreign()).isFalse();
-        assertThat(reading.placer()).isEqualTo("placer-0");
-        assertThat(reading.lastIncarnation().getDurability()).isEqualTo("OS");
-        assertThat(reading.records().subList(0, 3)).isEqualTo(CARRIED_OVER);
-        assertThat(reading.records().subList(3, reading.records().size())).isEqualTo(APPENDED);
+    void readsEveryRecordKindOfRewrittenFile() throws IOException {
+        JournalContents contents = JournalContents.of(REWRITTEN, "placer-0");
+        assertThat(contents.problem()).isEmpty();
+        assertThat(contents.complete()).isTrue();
+        assertThat(contents.foreign()).isFalse();
+        assertThat(contents.placer()).isEqualTo("placer-0");
+        assertThat(contents.lastIncarnation().getDurability()).isEqualTo("OS");
+        assertThat(contents.records().subList(0, 3)).isEqualTo(CARRIED_OVER);
+        assertThat(contents.records().subList(3, contents.records().size())).isEqualTo(APPENDED);
     }
 
     @Test
     void encodesTheSameRecordsToTheSameBytes() throws IOException {
-        Life life = JournalContents.of(REWRITTEN, "placer-0").lastIncarnation();
-        assertThat(encoded("placer-0", CARRIED_OVER, life, APPENDED))
+        Incarnation incarnation = JournalContents.of(REWRITTEN, "placer-0").lastIncarnation();
+        assertThat(encoded("placer-0", CARRIED_OVER, incarnation, APPENDED))
                 .isEqualTo(Files.readAllBytes(REWRITTEN));
     }
 
     @Test
-    void readsATornTailUpToItsLastWholeRecord() throws IOException {
-        JournalContents reading = JournalContents.of(TORN, "placer-1");
-        assertThat(reading.complete()).isTrue();
-        assertThat(reading.problem()).startsWith("its last line was not whole and is cut off");
-        assertThat(reading.records()).isEqualTo(APPENDED.subList(0, 3));
-        byte[] whole =
-                encoded("placer-1", List.of(), reading.lastIncarnation(), APPENDED.subList(0, 4));
+    void readsTornTailUpToItsLastIntactRecord() throws IOException {
+        JournalContents contents = JournalContents.of(TORN, "placer-1");
+        assertThat(contents.complete()).isTrue();
+        assertThat(contents.problem()).startsWith("its last line was not whole and is cut off");
+        assertThat(contents.records()).isEqualTo(APPENDED.subList(0, 3));
+        byte[] complete =
+                encoded("placer-1", List.of(), contents.lastIncarnation(), APPENDED.subList(0, 4));
         byte[] torn = Files.readAllBytes(TORN);
-        assertThat(torn).isEqualTo(Arrays.copyOf(whole, torn.length));
+        assertThat(torn).isEqualTo(Arrays.copyOf(complete, torn.length));
     }
 
     @Test
-    void aStoredJournalIsTakenOverByTheNextStart() throws IOException {
+    void takesOverStoredJournalAtNextStart() throws IOException {
         Path copy = Files.createDirectories(folder.resolve("placer-0"));
         Files.copy(REWRITTEN, copy.resolve("journal-2.tfj"));
         try (JournalFile journal = JournalFile.open(copy, "placer-0", Durability.DISK)) {
             assertThat(journal.records()).hasSize(12);
             journal.startIncarnation(journal.records());
         }
-        JournalContents again = JournalContents.of(copy.resolve("journal-3.tfj"), "placer-0");
-        assertThat(again.records().subList(3, 12)).isEqualTo(APPENDED);
-        assertThat(again.lastIncarnation().getDurability()).isEqualTo("DISK");
+        JournalContents rewritten = JournalContents.of(copy.resolve("journal-3.tfj"), "placer-0");
+        assertThat(rewritten.records().subList(3, 12)).isEqualTo(APPENDED);
+        assertThat(rewritten.lastIncarnation().getDurability()).isEqualTo("DISK");
     }
 }
