--- a/settings/src/main/java/thornferry/settings/LoadReportFields.java
+++ b/settings/src/main/java/thornferry/settings/LoadReportFields.java
@@ -5,7 +5,8 @@
 import thornferry.decisions.placement.LoadReport;
 
 /**
- * The fields of a load report by their names in the settings; fields of other names are ignored.
+ * The fields of load reports, by their names and positions in the settings. Fields whose names are
+ * not known are ignored.
  */
 public final class LoadReportFields {
     private static final String FREE_CORES = "x0";
@@ -23,7 +24,9 @@
     }
 
     /**
-     * A report whose values come in the order of the names; values that are lacking are unknown.
+     * Reads a report whose values are in the order of the names.
+     *
+     * @param values the values; those of the last names may be missing and are then unknown
      */
     public LoadReport fromArray(double[] values) {
         return from(
@@ -33,7 +36,12 @@
                 });
     }
 
-    /** A report whose values are found by name; only names of the settings are asked for. */
+    /**
+     * Reads a report whose values are found by name.
+     *
+     * @param values called only with names of the settings; returns {@link LoadReport#UNKNOWN} for
+     *     a value that the report lacks
+     */
     public LoadReport from(ToDoubleFunction<String> values) {
         return new LoadReport(
                 value(values, FREE_CORES),
--- a/settings/src/main/java/thornferry/settings/SettingsException.java
+++ b/settings/src/main/java/thornferry/settings/SettingsException.java
@@ -1,7 +1,12 @@
 package thornferry.settings;
 
-/** Settings that cannot be; the message names the field. */
+/** Settings that are missing or invalid; the message names the setting. */
 public final class SettingsException extends Exception {
+    private static final long serialVersionUID = 1;
+
+    /**
+     * @param message what is wrong, with the name of the setting
+     */
     public SettingsException(String message) {
         super(message);
     }
