--- /dev/null
+++ b/bench-adapter/src/main/java/thornferry/bench/ActionEncoder.java
@@ -0,0 +1,92 @@
+package thornferry.bench;
+
+import com.fasterxml.jackson.core.JsonProcessingException;
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import thornferry.decisions.placement.Placement.Action;
+import thornferry.decisions.placement.Placement.Cancel;
+import thornferry.decisions.placement.Placement.CheckHealth;
+import thornferry.decisions.placement.Placement.Fail;
+import thornferry.decisions.placement.Placement.FetchList;
+import thornferry.decisions.placement.Placement.Log;
+import thornferry.decisions.placement.Placement.Migrate;
+import thornferry.decisions.placement.Placement.Offer;
+import thornferry.decisions.placement.Placement.Reject;
+import thornferry.decisions.placement.Placement.SetTimer;
+import thornferry.decisions.placement.Placement.Subscribe;
+
+/** Encodes the actions of placement modules to the simulator's messages, one JSON array a line. */
+final class ActionEncoder {
+    private static final String OFFER = "propose";
+    private static final String SET_TIMER = "setTimer";
+    private static final String CHECK_HEALTH = "touch";
+    private static final String REJECT = "turnAway";
+    private static final String FAIL = "reportFailure";
+    private static final String CANCEL = "undoSend";
+    private static final String MIGRATE = "reassign";
+    private static final String SUBSCRIBE = "watch";
+    private static final String FETCH_LIST = "reload";
+    private static final String LOG = "noteDown";
+    private static final String MODULE_FAILED = "fatal";
+    private static final String BATCH_DONE = "done";
+
+    private static final ObjectMapper JSON = new ObjectMapper();
+
+    private ActionEncoder() {}
+
+    static void writeAction(StringBuilder out, String instance, Action action) {
+        if (action instanceof Offer offer) {
+            write(out, OFFER, instance, offer.requestId(), offer.machine(), offer.timeoutMicros());
+        } else if (action instanceof SetTimer timer) {
+            write(out, SET_TIMER, instance, timer.atMicros(), timer.ref());
+        } else if (action instanceof CheckHealth check) {
+            write(out, CHECK_HEALTH, instance, check.machine());
+        } else if (action instanceof Reject reject) {
+            write(out, REJECT, instance, reject.requestId(), reject.retryAfterMicros());
+        } else if (action instanceof Fail fail) {
+            write(out, FAIL, instance, fail.requestId());
+        } else if (action instanceof Cancel cancel) {
+            write(out, CANCEL, instance, cancel.requestId(), cancel.attempt());
+        } else if (action instanceof Migrate migrate) {
+            write(out, MIGRATE, instance, migrate.requestId());
+        } else if (action instanceof Subscribe subscribe) {
+            write(out, SUBSCRIBE, instance, subscribe.enabled());
+        } else if (action instanceof FetchList) {
+            write(out, FETCH_LIST, instance);
+        } else if (action instanceof Log log) {
+            write(out, LOG, instance, log.message());
+        } // Pending requires nothing of the simulator, and has no message
+    }
+
+    /** A module has thrown an exception. */
+    static void writeFailure(StringBuilder out, String instance, RuntimeException failure) {
+        write(out, MODULE_FAILED, instance, failure.toString());
+    }
+
+    /** The end of the reply to a batch. */
+    static void writeBatchDone(StringBuilder out, JsonNode batchNumber) {
+        write(out, BATCH_DONE, batchNumber);
+    }
+
+    private static void write(StringBuilder out, Object... values) {
+        String separator = "[";
+        for (Object value : values) {
+            out.append(separator);
+            separator = ",";
+            if (value instanceof String text) {
+                appendText(out, text);
+            } else {
+                out.append(value);
+            }
+        }
+        out.append("]\n");
+    }
+
+    private static void appendText(StringBuilder out, String text) {
+        try {
+            out.append(JSON.writeValueAsString(text));
+        } catch (JsonProcessingException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+}
--- a/bench-adapter/src/main/java/thornferry/bench/SimHost.java
+++ b/bench-adapter/src/main/java/thornferry/bench/SimHost.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStream;
@@ -12,38 +13,52 @@
 import java.io.Writer;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
-import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Function;
-import thornferry.bench.WireCodec.WireException;
+import thornferry.bench.WireColumns.BatchStart;
+import thornferry.bench.WireColumns.Configure;
 import thornferry.decisions.placement.Placement;
-import thornferry.decisions.placement.Placement.MachineEntry;
 import thornferry.decisions.placement.Placement.Settings;
 import thornferry.decisions.placement.Policy;
 import thornferry.settings.LoadReportFields;
+import thornferry.settings.SettingsException;
+import thornferry.settings.SettingsReader;
 
 /**
- * Hosts placement modules for the simulator: reads its batches, writes the modules' replies,
- * decides nothing.
+ * Hosts placement modules for the simulator: reads batches of messages, passes their events to the
+ * modules, and writes the modules' actions as the reply to each batch. Decides nothing.
  */
 public final class SimHost {
+    private static final String COMMAND = "simhost";
+    private static final int EXIT_OK = 0;
+    private static final int EXIT_FAILED = 1;
+    private static final int EXIT_USAGE = 2;
+    private static final int READ_BUFFER_CHARS = 1 << 16;
+    private static final ObjectMapper JSON = new ObjectMapper();
+
     private record Instance(Placement module, LoadReportFields reportFields) {}
 
-    private final Function<Settings, Placement> maker;
+    private final Function<Settings, Placement> moduleFactory;
     private final Map<String, Instance> instances = new HashMap<>();
-    private final Map<Long, List<MachineEntry>> tables = new HashMap<>();
-    private long now;
-    private JsonNode batch;
+    private final MachineListDecoder machineLists = new MachineListDecoder();
+    private final EventDecoder eventDecoder = new EventDecoder(machineLists);
+    private long nowMicros;
+    private Optional<JsonNode> openBatch = Optional.empty(); // its number, as it was sent
     private StringBuilder reply = new StringBuilder();
 
-    SimHost(Function<Settings, Placement> maker) {
-        this.maker = maker;
+    /**
+     * @param moduleFactory creates the module of each instance
+     */
+    SimHost(Function<Settings, Placement> moduleFactory) {
+        this.moduleFactory = moduleFactory;
     }
 
+    /** Serves the simulator on standard input and output. */
     public static void main(String[] args) {
-        if (args.length != 1 || !args[0].equals("simhost")) {
+        if (args.length != 1 || !args[0].equals(COMMAND)) {
             System.err.println("usage: java -jar thornferry.jar simhost");
-            System.exit(2);
+            System.exit(EXIT_USAGE);
         }
         System.exit(serve(System.in, System.out, System.err));
     }
@@ -57,104 +72,134 @@
     int run(InputStream in, OutputStream out, PrintStream err) {
         long lineNumber = 0;
         try (BufferedReader reader =
-                new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16)) {
+                new BufferedReader(
+                        new InputStreamReader(in, StandardCharsets.UTF_8), READ_BUFFER_CHARS)) {
             Writer writer = new OutputStreamWriter(out, StandardCharsets.UTF_8);
             for (String line = reader.readLine(); line != null; line = reader.readLine()) {
                 lineNumber++;
-                if (line.isBlank()) {
-                    continue;
-                }
-                if (message(line)) {
-                    writer.append(reply);
-                    writer.flush();
-                    reply = new StringBuilder();
+                if (!line.isBlank()) {
+                    handle(line, writer);
                 }
             }
-            if (batch != null) {
-                throw new WireException("the input ended inside batch " + batch);
+            if (openBatch.isPresent()) {
+                throw new WireException("the input ended inside batch " + openBatch.get());
             }
-            return 0;
+            return EXIT_OK;
         } catch (WireException e) {
             err.println("thornferry: line " + lineNumber + ": " + e.getMessage());
         } catch (IOException e) {
             err.println("thornferry: cannot read or write the wire: " + e.getMessage());
         }
-        return 1;
+        return EXIT_FAILED;
     }
 
-    /** Takes one line; true when it ended a batch, so that the reply is due. */
-    private boolean message(String line) throws WireException {
-        JsonNode row;
+    private void handle(String line, Writer writer) throws WireException, IOException {
+        WireRow row = parse(line);
+        Optional<MessageType> type = MessageType.ofWireName(row.message());
+        if (type.isEmpty()) {
+            return; // a message that came after this version
+        }
+        switch (type.get()) {
+            case BATCH_START -> startBatch(row);
+            case BATCH_END -> endBatch(row, writer);
+            default -> handleInBatch(type.get(), row);
+        }
+    }
+
+    private static WireRow parse(String line) throws WireException {
+        JsonNode values;
         try {
-            row = WireCodec.JSON.readTree(line);
+            values = JSON.readTree(line);
         } catch (JsonProcessingException e) {
             throw new WireException("not JSON: " + e.getOriginalMessage());
         }
-        if (!row.isArray() || row.isEmpty() || !row.get(0).isTextual()) {
+        if (!values.isArray() || values.isEmpty() || !values.get(0).isTextual()) {
             throw new WireException("a message must be an array that begins with its name");
         }
-        String name = row.get(0).textValue();
-        if (name.equals("mark")) {
-            if (batch != null) {
-                throw new WireException("mark: batch " + batch + " has not ended");
-            }
-            now = WireCodec.integer(row, 1, "mark clock");
-            WireCodec.integer(row, 2, "mark batch number");
-            batch = row.get(2);
-            return false;
-        }
-        if (name.equals("eob")) {
-            if (batch == null) {
-                throw new WireException("eob: no batch is open");
-            }
-            reply.append("[\"done\",").append(batch).append("]\n");
-            batch = null;
-            return true;
-        }
-        if (!WireCodec.EVENTS.contains(name)) {
-            return false;
-        }
-        if (batch == null) {
-            throw new WireException(name + ": comes outside a batch");
+        return new WireRow(values.get(0).textValue(), values);
+    }
+
+    private void startBatch(WireRow row) throws WireException {
+        if (openBatch.isPresent()) {
+            throw row.error("batch " + openBatch.get() + " has not ended");
         }
-        event(name, row);
-        return false;
+        nowMicros = row.integer(BatchStart.CLOCK_MICROS);
+        row.integer(BatchStart.BATCH_NUMBER);
+        openBatch = Optional.of(row.value(BatchStart.BATCH_NUMBER));
+    }
+
+    private void endBatch(WireRow row, Writer writer) throws WireException, IOException {
+        JsonNode batchNumber = openBatch.orElseThrow(() -> row.error("no batch is open"));
+        ActionEncoder.writeBatchDone(reply, batchNumber);
+        openBatch = Optional.empty();
+        writer.append(reply);
+        writer.flush();
+        reply = new StringBuilder();
     }
 
-    private void event(String name, JsonNode row) throws WireException {
-        if (name.equals("manifest")) {
-            tables.put(WireCodec.integer(row, 1, "manifest table"), WireCodec.entries(row));
+    private void handleInBatch(MessageType type, WireRow row) throws WireException {
+        if (openBatch.isEmpty()) {
+            throw row.error("comes outside a batch");
+        }
+        if (type == MessageType.MACHINE_LIST) {
+            machineLists.store(row);
             return;
         }
-        String placer = WireCodec.text(row, 1, name + " placer");
-        if (name.equals("configure")) {
-            configure(placer, row);
+        String instance = row.text(WireColumns.INSTANCE);
+        if (type == MessageType.CONFIGURE) {
+            configure(instance, row);
             return;
         }
-        Instance instance = instances.get(placer);
-        if (instance == null) {
-            throw new WireException(name + ": unknown instance " + placer);
+        if (!instances.containsKey(instance)) {
+            throw row.error("unknown instance " + instance);
         }
-        if (name.equals("destroy")) {
-            instances.remove(placer);
-            return;
+        if (type == MessageType.DESTROY) {
+            instances.remove(instance);
+        } else {
+            passEvent(instance, type, row);
         }
-        Placement.Event event = WireCodec.event(name, row, tables, instance.reportFields());
-        if (event != null) {
-            try {
-                instance.module().on(now, event, action -> WireCodec.write(reply, placer, action));
-            } catch (RuntimeException e) {
-                WireCodec.write(reply, "fatal", placer, e.toString());
-            }
+    }
+
+    private void configure(String instance, WireRow row) throws WireException {
+        Settings settings = settings(row);
+        LoadReportFields reportFields =
+                SettingsReader.loadReportFields(row.value(Configure.SETTINGS));
+        Placement module;
+        try {
+            module = moduleFactory.apply(settings);
+        } catch (RuntimeException e) {
+            throw row.error(e.getMessage());
         }
+        instances.put(instance, new Instance(module, reportFields));
     }
 
-    private void configure(String placer, JsonNode row) throws WireException {
-        Settings settings = WireCodec.settings(row);
+    private static Settings settings(WireRow row) throws WireException {
+        long seed = row.integer(Configure.SEED);
+        JsonNode settings = row.value(Configure.SETTINGS);
+        if (!settings.isObject()) {
+            throw row.error(Configure.SETTINGS, "not an object");
+        }
+        try {
+            return SettingsReader.read(settings, seed);
+        } catch (SettingsException e) {
+            throw row.error(e.getMessage());
+        }
+    }
+
+    private void passEvent(String name, MessageType type, WireRow row) throws WireException {
+        Instance instance = instances.get(name);
+        Optional<Placement.Event> event = eventDecoder.decode(type, row, instance.reportFields());
+        if (event.isEmpty()) {
+            return;
+        }
         try {
-            instances.put(placer, new Instance(maker.apply(settings), WireCodec.reportFields(row)));
+            instance.module()
+                    .on(
+                            nowMicros,
+                            event.get(),
+                            action -> ActionEncoder.writeAction(reply, name, action));
         } catch (RuntimeException e) {
-            throw new WireException("configure: " + e.getMessage());
+            ActionEncoder.writeFailure(reply, name, e);
         }
     }
 }
--- a/bench-adapter/src/test/java/thornferry/bench/SimHostTest.java
+++ b/bench-adapter/src/test/java/thornferry/bench/SimHostTest.java
@@ -17,66 +17,68 @@
 import thornferry.decisions.placement.Policy;
 
 class SimHostTest {
-    private static final String CONFIG =
+    private static final String SETTINGS =
             "{\"instances\":2,\"myNumber\":0,\"zone\":\"z1\",\"later\":{\"x\":[1]},"
                 + "\"discovery\":\"push\",\"hostTypes\":[\"k\"],\"loadInfo\":{\"how\":\"off\",\"names\":[]},"
                 + "\"allowed\":{\"mostTries\":3,\"probes\":true},\"prices\":{},\"rules\":{\"fall\":1000000},"
                 + "\"familyInfo\":{\"view\":true,\"sizeCores\":[8],\"memOfKind\":[16],\"coldSends\":20},"
                 + "\"grades\":[{\"name\":\"c\",\"effect\":\"read_like\",\"deadline\":5000000,\"aim\":100000}]}";
-    private static final String LIST =
+    private static final String MACHINE_LIST =
             "[\"manifest\",3,[[\"10.0.0.1:1\",\"z1\",\"k\",6,0,1,1,12,null],"
                     + "[\"10.0.0.2:1\",\"z1\",\"k\",1,0,1,1,2,null]]]\n";
-    private static final String ASK =
+    private static final String REQUEST =
             "[\"pending\",\"%s\",\"%s\",\"c\",null,\"w\",5000000,null,\"s\",1,2,1]\n";
 
-    private record Run(int code, String out, String err) {}
+    private record Run(int exitCode, String out, String err) {}
 
     private static Run run(String input) {
         return run(input, Policy::new);
     }
 
-    private static Run run(String input, Function<Settings, Placement> maker) {
+    private static Run run(String input, Function<Settings, Placement> moduleFactory) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
-        int code =
-                new SimHost(maker)
+        int exitCode =
+                new SimHost(moduleFactory)
                         .run(
                                 new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
                                 out,
                                 new PrintStream(err, true, StandardCharsets.UTF_8));
         return new Run(
-                code, out.toString(StandardCharsets.UTF_8), err.toString(StandardCharsets.UTF_8));
+                exitCode,
+                out.toString(StandardCharsets.UTF_8),
+                err.toString(StandardCharsets.UTF_8));
     }
 
-    private static String start(String placer, int salt) {
+    private static String configured(String instance, int seed) {
         return "[\"configure\",\""
-                + placer
+                + instance
                 + "\","
-                + salt
+                + seed
                 + ","
-                + CONFIG
+                + SETTINGS
                 + "]\n"
-                + LIST
+                + MACHINE_LIST
                 + "[\"registry\",\""
-                + placer
+                + instance
                 + "\",41,3,0]\n";
     }
 
-    private static String batch(long clock, int number, String events) {
-        return "[\"mark\"," + clock + "," + number + "]\n" + events + "[\"eob\"]\n";
+    private static String batch(long clockMicros, int number, String events) {
+        return "[\"mark\"," + clockMicros + "," + number + "]\n" + events + "[\"eob\"]\n";
     }
 
     @Test
-    void anEmptyBatchIsAnsweredAndTheEndOfInputIsGood() {
+    void repliesToEmptyBatchAndExitsNormallyAtEndOfInput() {
         assertEquals(new Run(0, "[\"done\",1]\n", ""), run(batch(8_000_000, 1, "")));
     }
 
     @Test
-    void aTaskIsOfferedPlacedAndEnds() {
+    void offersTaskAndHandlesItsAcceptanceAndEnd() {
         Run run =
                 run(
-                        batch(8_000_000, 1, start("placer-0", 5))
-                                + batch(8_002_000, 2, ASK.formatted("placer-0", "r1"))
+                        batch(8_000_000, 1, configured("placer-0", 5))
+                                + batch(8_002_000, 2, REQUEST.formatted("placer-0", "r1"))
                                 + batch(
                                         8_012_000,
                                         3,
@@ -100,107 +102,111 @@
     }
 
     @Test
-    void whatIsUnknownOrLateIsSkipped() {
+    void ignoresUnknownMessagesAndLateEvents() {
         Run run =
                 run(
                         batch(
                                 8_000_000,
                                 1,
-                                start("placer-0", 5)
+                                configured("placer-0", 5)
                                         + "[\"news\",\"placer-0\",{}]\n"
                                         + "[\"whisper\",\"placer-0\",1,\"68\"]\n"
                                         + "[\"heartbeat\",\"placer-0\",\"r9\",0,\"10.0.0.1:1\",77,1]\n"
                                         + "[\"clientLeft\",\"placer-0\",\"r9\"]\n"
                                         + "[\"fired\",\"placer-0\",99]\n"
                                         + "[\"reportBack\",\"placer-0\",\"r9\",0,\"10.0.0.1:1\",\"OK\",1,true,null,null]\n"));
-        assertEquals(0, run.code);
+        assertEquals(0, run.exitCode);
         assertEquals("", run.err);
     }
 
     @Test
-    void aListNumberIsUsedAgainInTheSameBatch() {
-        String other = "[\"manifest\",3,[[\"10.0.0.9:1\",\"z1\",\"k\",6,0,1,1,12,null]]]\n";
+    void acceptsNewListUnderUsedNumberInSameBatch() {
+        String otherList = "[\"manifest\",3,[[\"10.0.0.9:1\",\"z1\",\"k\",6,0,1,1,12,null]]]\n";
         Run run =
                 run(
                         batch(
                                 8_000_000,
                                 1,
-                                start("placer-0", 5)
-                                        + other
+                                configured("placer-0", 5)
+                                        + otherList
                                         + "[\"registry\",\"placer-0\",42,3,1]\n"
-                                        + ASK.formatted("placer-0", "r1")));
+                                        + REQUEST.formatted("placer-0", "r1")));
         assertTrue(run.out.contains("\"10.0.0.9:1\""), run.out);
     }
 
     @Test
-    void aBatchOfMegabytesIsOneReply() {
-        StringBuilder events = new StringBuilder(start("placer-0", 5));
+    void repliesOnceToBatchOfMegabytes() {
+        StringBuilder events = new StringBuilder(configured("placer-0", 5));
         for (int i = 0; i < 20_000; i++) {
-            events.append(ASK.formatted("placer-0", "r" + i));
+            events.append(REQUEST.formatted("placer-0", "r" + i));
         }
         assertTrue(events.length() > 1_000_000);
         Run run = run(batch(8_000_000, 1, events.toString()));
-        assertEquals(0, run.code);
+        assertEquals(0, run.exitCode);
         assertTrue(run.out.endsWith("[\"done\",1]\n"));
     }
 
     @Test
-    void malformedInputGetsOnePlainMessage() {
-        String open = batch(8_000_000, 1, start("placer-0", 5));
-        plain(open + "{\"a\"\n", "not JSON");
-        plain(open + "[\"mark\",8", "not JSON");
-        plain(open + "[5]\n", "begins with its name");
-        plain(open + "[\"mark\",8000000,2]\n", "ended inside batch 2");
-        plain(open + "[\"mark\",8000000,2]\n[\"mark\",8000000,3]\n", "batch 2 has not ended");
-        plain("[\"eob\"]\n", "no batch is open");
-        plain("[\"fired\",\"placer-0\",1]\n", "outside a batch");
-        plain(
-                open + batch(8_002_000, 2, "[\"registry\",\"placer-0\",1,9,1]\n"),
+    void reportsMalformedInputInOneLine() {
+        String openInstance = batch(8_000_000, 1, configured("placer-0", 5));
+        assertRejected(openInstance + "{\"a\"\n", "not JSON");
+        assertRejected(openInstance + "[\"mark\",8", "not JSON");
+        assertRejected(openInstance + "[5]\n", "begins with its name");
+        assertRejected(openInstance + "[\"mark\",8000000,2]\n", "ended inside batch 2");
+        assertRejected(
+                openInstance + "[\"mark\",8000000,2]\n[\"mark\",8000000,3]\n",
+                "batch 2 has not ended");
+        assertRejected("[\"eob\"]\n", "no batch is open");
+        assertRejected("[\"fired\",\"placer-0\",1]\n", "outside a batch");
+        assertRejected(
+                openInstance + batch(8_002_000, 2, "[\"registry\",\"placer-0\",1,9,1]\n"),
                 "unknown list number 9");
-        plain(
-                open + batch(8_002_000, 2, "[\"fired\",\"placer-7\",1]\n"),
+        assertRejected(
+                openInstance + batch(8_002_000, 2, "[\"fired\",\"placer-7\",1]\n"),
                 "unknown instance placer-7");
-        plain(
-                open + batch(8_002_000, 2, "[\"pending\",\"placer-0\",\"r1\",\"c\"]\n"),
+        assertRejected(
+                openInstance + batch(8_002_000, 2, "[\"pending\",\"placer-0\",\"r1\",\"c\"]\n"),
                 "pending grace");
-        plain(
-                open
+        assertRejected(
+                openInstance
                         + batch(
                                 8_002_000,
                                 2,
                                 "[\"pending\",\"placer-0\",\"r1\",\"c\",null,\"w\",1.5]\n"),
                 "pending grace");
-        plain(
-                open
+        assertRejected(
+                openInstance
                         + batch(
                                 8_002_000,
                                 2,
                                 "[\"reportBack\",\"placer-0\",\"r1\",0,\"m\",\"WELL\",1,true]\n"),
                 "unknown word WELL");
-        plain(
+        assertRejected(
                 batch(
                         8_000_000,
                         1,
-                        start("placer-0", 5).replace("\"instances\":2", "\"instances\":0")),
+                        configured("placer-0", 5).replace("\"instances\":2", "\"instances\":0")),
                 "instances");
-        plain(batch(8_000_000, 1, start("placer-0", 5).replace("read_like", "odd")), "effect");
-        plain(
-                batch(8_000_000, 1, start("placer-0", 5).replace("\"mostTries\":3,", "")),
+        assertRejected(
+                batch(8_000_000, 1, configured("placer-0", 5).replace("read_like", "odd")),
+                "effect");
+        assertRejected(
+                batch(8_000_000, 1, configured("placer-0", 5).replace("\"mostTries\":3,", "")),
                 "mostTries");
     }
 
-    private static void plain(String input, String part) {
+    private static void assertRejected(String input, String part) {
         Run run = run(input);
-        assertFalse(run.code == 0, part);
+        assertFalse(run.exitCode == 0, part);
         assertTrue(run.err.contains(part), run.err);
         assertEquals(1, run.err.lines().count(), run.err);
     }
 
     @Test
-    void anExceptionInTheModuleBecomesTheFaultLine() {
+    void reportsExceptionOfModuleAsFailureOfItsInstance() {
         Run run =
                 run(
-                        batch(8_000_000, 1, start("placer-0", 5)),
+                        batch(8_000_000, 1, configured("placer-0", 5)),
                         settings ->
                                 (now, event, actions) -> {
                                     throw new IllegalStateException("broken");
@@ -212,29 +218,31 @@
     }
 
     @Test
-    void oneProcessAndSeveralActAlike() {
-        StringBuilder both = new StringBuilder();
-        StringBuilder[] alone = {new StringBuilder(), new StringBuilder()};
+    void instancesBehaveAlikeInOneProcessAndInSeveral() {
+        StringBuilder bothBatches = new StringBuilder();
+        StringBuilder[] batchesOfEach = {new StringBuilder(), new StringBuilder()};
         for (int i = 0; i < 30; i++) {
-            StringBuilder shared = new StringBuilder();
+            StringBuilder events = new StringBuilder();
             for (int p = 0; p < 2; p++) {
-                String placer = "placer-" + p;
-                String events =
+                String instance = "placer-" + p;
+                String eventsOfInstance =
                         i == 0
-                                ? start(placer, 5 + p)
-                                : ASK.formatted(placer, "r" + p + "-" + i)
+                                ? configured(instance, 5 + p)
+                                : REQUEST.formatted(instance, "r" + p + "-" + i)
                                         + "[\"fired\",\""
-                                        + placer
+                                        + instance
                                         + "\",0]\n";
-                shared.append(events);
-                alone[p].append(batch(8_000_000 + i * 20_000, i, events));
+                events.append(eventsOfInstance);
+                batchesOfEach[p].append(batch(8_000_000 + i * 20_000, i, eventsOfInstance));
             }
-            both.append(batch(8_000_000 + i * 20_000, i, shared.toString()));
+            bothBatches.append(batch(8_000_000 + i * 20_000, i, events.toString()));
         }
-        String together = run(both.toString()).out;
+        String together = run(bothBatches.toString()).out;
         for (int p = 0; p < 2; p++) {
-            String mine = "\"placer-" + p + "\"";
-            assertEquals(lines(run(alone[p].toString()).out, mine), lines(together, mine));
+            String instanceName = "\"placer-" + p + "\"";
+            assertEquals(
+                    lines(run(batchesOfEach[p].toString()).out, instanceName),
+                    lines(together, instanceName));
         }
     }
 
