--- a/config/src/main/java/thornferry/config/AdmissionSection.java
+++ b/config/src/main/java/thornferry/config/AdmissionSection.java
@@ -1,141 +1,90 @@
 package thornferry.config;
 
-import java.util.ArrayList;
+import static java.util.Map.entry;
+import static thornferry.config.Durations.HOUR_MILLIS;
+
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import thornferry.config.TomlFile.Section;
 import thornferry.decisions.admission.AdmissionSettings;
-import thornferry.decisions.admission.Quota;
 import thornferry.decisions.placement.Placement;
 
 /**
- * The table {@code [line]}, the tables {@code [[limit]]}, the shares of tenants and what classes do
- * at a limit.
+ * The table {@code [line]}: the admission queue. Quotas, the shares of tenants and what classes do
+ * at a limit come from other tables.
  */
 final class AdmissionSection {
-    private static final long HOUR_MS = 3_600_000;
-    private static final double NONE = Double.POSITIVE_INFINITY;
+    private static final double MICROS_PER_MILLI = 1e3;
+
+    /** A tenant's weight must be above 0. */
+    private static final double MIN_TENANT_SHARE = 1e-6;
 
-    /** What a class does where a limit is reached. */
+    /** What the tasks of a class do when they would exceed a quota. */
     private enum AtLimit {
         WAIT,
-        REFUSE
+        SHED
     }
 
+    private static final Map<String, AtLimit> AT_LIMIT =
+            Words.of(entry("wait", AtLimit.WAIT), entry("refuse", AtLimit.SHED));
+
     private AdmissionSection() {}
 
-    static AdmissionSettings read(Section root, Placement.Settings module) {
-        AdmissionSettings usual = AdmissionSettings.defaults();
-        Section s = root.table("line");
-        long least = s.millis("retry-least-ms", 1, HOUR_MS, usual.minRetryAfterMicros() / 1e3);
-        long most = s.millis("retry-most-ms", 1, HOUR_MS, usual.maxRetryAfterMicros() / 1e3);
-        if (most < least) {
-            s.complain("retry-most-ms", "must not be under retry-least-ms");
-        }
-        Quota[] all = {Quota.UNLIMITED, Quota.UNLIMITED, Quota.UNLIMITED};
-        Map<String, Quota> owners = new HashMap<>();
-        Map<String, Quota> tenants = new HashMap<>();
-        limits(root, module, all, owners, tenants);
-        Map<String, Double> shares = new HashMap<>();
-        module.tenants().forEach(t -> shares.put(t.name(), Math.max(1e-6, t.share())));
+    static AdmissionSettings read(Section root, Placement.Settings placement) {
+        AdmissionSettings defaults = AdmissionSettings.defaults();
+        Section section = root.table("line");
+        RetryAfterRange retryAfter =
+                RetryAfterRange.read(
+                        section,
+                        defaults.minRetryAfterMicros() / MICROS_PER_MILLI,
+                        defaults.maxRetryAfterMicros() / MICROS_PER_MILLI);
+        QuotaTables quotas = QuotaTables.read(root, placement);
         return new AdmissionSettings(
-                s.flag("on", true),
-                s.whole("length", 1, 10_000_000, usual.maxQueued()),
-                s.whole("window", 1, 1_000_000, usual.maxDispatched()),
-                s.millis("take-back-ms", 1, HOUR_MS, usual.recallAfterMicros() / 1e3),
-                s.millis("look-again-ms", 1, HOUR_MS, usual.backoffMicros() / 1e3),
-                s.number("overload-from", 0.01, 1, usual.targetWaitFraction()),
-                s.millis("overload-interval-ms", 10, HOUR_MS, usual.intervalMicros() / 1e3),
-                s.whole("oldest-turn", 2, 1_000_000, usual.oldestEvery()),
-                s.number("large-from", 0.01, 1, usual.largeTaskFraction()),
-                s.millis("gather-after-ms", 1, HOUR_MS, usual.reserveAfterMicros() / 1e3),
-                s.millis("gather-for-ms", 0, HOUR_MS, usual.reserveForMicros() / 1e3),
-                s.number("retry-share", 0, 100, usual.retryRatio()),
-                s.number("retry-per-second", 0, 1e6, usual.retryPerSecond()),
-                least,
-                Math.max(least, most),
-                all[0],
-                all[1],
-                all[2],
-                owners,
-                tenants,
-                shares,
-                refusing(root));
+                section.flag("on", true),
+                section.whole("length", 1, 10_000_000, defaults.maxQueued()),
+                section.whole("window", 1, 1_000_000, defaults.maxDispatched()),
+                micros(section, "take-back-ms", 1, defaults.recallAfterMicros()),
+                micros(section, "look-again-ms", 1, defaults.backoffMicros()),
+                section.number("overload-from", 0.01, 1, defaults.targetWaitFraction()),
+                micros(section, "overload-interval-ms", 10, defaults.intervalMicros()),
+                section.whole("oldest-turn", 2, 1_000_000, defaults.oldestEvery()),
+                section.number("large-from", 0.01, 1, defaults.largeTaskFraction()),
+                micros(section, "gather-after-ms", 1, defaults.reserveAfterMicros()),
+                micros(section, "gather-for-ms", 0, defaults.reserveForMicros()),
+                section.number("retry-share", 0, 100, defaults.retryRatio()),
+                section.number("retry-per-second", 0, 1e6, defaults.retryPerSecond()),
+                retryAfter.minMicros(),
+                retryAfter.maxMicros(),
+                quotas.eachOwner(),
+                quotas.eachTenant(),
+                quotas.site(),
+                quotas.byOwner(),
+                quotas.byTenant(),
+                tenantShares(placement),
+                shedClasses(root));
     }
 
-    private static Set<String> refusing(Section root) {
-        Set<String> refuse = new HashSet<>();
-        for (Section c : root.tables("class")) {
-            if (c.choice("at-limit", AtLimit.class, AtLimit.WAIT) == AtLimit.REFUSE) {
-                refuse.add(c.text("name", ""));
-            }
-        }
-        return refuse;
+    private static long micros(Section section, String key, long minMillis, long defaultMicros) {
+        return section.millis(key, minMillis, HOUR_MILLIS, defaultMicros / MICROS_PER_MILLI);
     }
 
-    private static void limits(
-            Section root,
-            Placement.Settings module,
-            Quota[] all,
-            Map<String, Quota> owners,
-            Map<String, Quota> tenants) {
-        List<String> logins = new ArrayList<>();
-        root.tables("account").forEach(a -> logins.add(a.text("login", "")));
-        Set<String> seen = new HashSet<>();
-        for (Section s : root.tables("limit")) {
-            String owner = s.text("owner", "");
-            String tenant = s.text("tenant", "");
-            boolean site = s.flag("site", false);
-            if ((owner.isEmpty() ? 0 : 1) + (tenant.isEmpty() ? 0 : 1) + (site ? 1 : 0) != 1) {
-                s.complain(
-                        "owner",
-                        "a limit names one of owner = \"LOGIN\", tenant = \"NAME\" (or \"*\" for"
-                                + " each) and site = true");
-            } else if (!owner.isEmpty() && !owner.equals("*") && !logins.contains(owner)) {
-                s.complain("owner", "no account " + owner + " stands in this file");
-            } else if (!tenant.isEmpty()
-                    && !tenant.equals("*")
-                    && module.tenants().stream().noneMatch(t -> t.name().equals(tenant))) {
-                s.complain("tenant", "no tenant " + tenant + " stands in this file");
-            } else if (!seen.add(owner + "/" + tenant + "/" + site)) {
-                s.complain(
-                        site ? "site" : owner.isEmpty() ? "tenant" : "owner",
-                        "its limit stands already");
-            }
-            Quota limit = limit(s);
-            if (site) {
-                all[2] = limit;
-            } else if (!owner.isEmpty()) {
-                if (owner.equals("*")) {
-                    all[0] = limit;
-                } else {
-                    owners.put(owner, limit);
-                }
-            } else if (tenant.equals("*")) {
-                all[1] = limit;
-            } else if (!tenant.isEmpty()) {
-                tenants.put(tenant, limit);
-            }
+    private static Map<String, Double> tenantShares(Placement.Settings placement) {
+        Map<String, Double> shares = new HashMap<>();
+        for (Placement.Tenant tenant : placement.tenants()) {
+            shares.put(tenant.name(), Math.max(MIN_TENANT_SHARE, tenant.share()));
         }
+        return shares;
     }
 
-    private static Quota limit(Section s) {
-        double perSecond = s.number("per-second", 1e-3, 1e9, NONE);
-        double burst =
-                s.number(
-                        "burst",
-                        1,
-                        1e9,
-                        Double.isFinite(perSecond) ? Math.max(1, perSecond) : NONE);
-        return new Quota(
-                s.number("waiting", 0, 1e9, NONE),
-                s.number("tasks", 1, 1e9, NONE),
-                perSecond,
-                burst,
-                s.number("cores", 1e-3, 1e9, NONE),
-                s.number("memory", 1e-3, 1e9, NONE));
+    private static Set<String> shedClasses(Section root) {
+        Set<String> classes = new HashSet<>();
+        for (Section section : root.tables("class")) {
+            if (section.choice("at-limit", AT_LIMIT, AtLimit.WAIT) == AtLimit.SHED) {
+                classes.add(section.text("name", ""));
+            }
+        }
+        return classes;
     }
 }
--- a/config/src/main/java/thornferry/config/ConfigException.java
+++ b/config/src/main/java/thornferry/config/ConfigException.java
@@ -12,6 +12,7 @@
         this.complaints = List.copyOf(complaints);
     }
 
+    /** The complaints, in the order in which the values were read. */
     public List<String> complaints() {
         return complaints;
     }
--- /dev/null
+++ b/config/src/main/java/thornferry/config/LimitsSection.java
@@ -0,0 +1,22 @@
+package thornferry.config;
+
+import static thornferry.config.Durations.HOUR_MILLIS;
+
+import thornferry.config.TomlFile.Section;
+import thornferry.decisions.placement.Placement.Limits;
+
+/** The table {@code [limits]}: what the placement module may do for a request. */
+final class LimitsSection {
+    private LimitsSection() {}
+
+    static Limits read(Section root) {
+        Section section = root.table("limits");
+        return new Limits(
+                section.flag("probes", true),
+                /* cancellation= */ true,
+                /* retryAfter= */ true,
+                /* retries= */ false,
+                section.whole("attempts", 1, 100, 4),
+                section.millis("most-retry-after-ms", 0, HOUR_MILLIS, 30_000));
+    }
+}
--- a/config/src/main/java/thornferry/config/TlsSection.java
+++ b/config/src/main/java/thornferry/config/TlsSection.java
@@ -1,36 +1,50 @@
 package thornferry.config;
 
+import static java.util.Map.entry;
+
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.Map;
 import thornferry.config.TomlFile.Section;
 import thornferry.placer.Site;
 import thornferry.security.Tls;
 
-/** The table {@code [tls]}: none means plain text. Paths are relative to the file they stand in. */
+/**
+ * The table {@code [tls]}; without it, connections are plain text. Paths are relative to the folder
+ * of the file.
+ */
 final class TlsSection {
+    private static final Map<String, Tls.Clients> CLIENT_CERTIFICATES =
+            Words.of(
+                    entry("none", Tls.Clients.NONE),
+                    entry("wanted", Tls.Clients.WANTED),
+                    entry("needed", Tls.Clients.NEEDED));
+
     private TlsSection() {}
 
+    /**
+     * @return null without the table, as {@link Site#tls} has it
+     */
     static Site.TlsFiles read(Section root, Path directory) {
         if (!root.has("tls")) {
             return null;
         }
-        Section s = root.table("tls");
-        Path certificate = path(s, "certificate", directory);
-        Path key = path(s, "key", directory);
+        Section section = root.table("tls");
+        Path certificate = readablePath(section, "certificate", directory);
+        Path key = readablePath(section, "key", directory);
         Tls.Clients clients =
-                s.choice("client-certificates", Tls.Clients.class, Tls.Clients.WANTED);
+                section.choice("client-certificates", CLIENT_CERTIFICATES, Tls.Clients.WANTED);
+        boolean needsAuthorities = section.has("authorities") || clients != Tls.Clients.NONE;
         Path authorities =
-                s.has("authorities") || clients != Tls.Clients.NONE
-                        ? path(s, "authorities", directory)
-                        : null;
+                needsAuthorities ? readablePath(section, "authorities", directory) : null;
         return new Site.TlsFiles(new Tls.Pem(certificate, key, authorities), clients);
     }
 
-    private static Path path(Section s, String key, Path directory) {
-        String text = s.text(key, null);
+    private static Path readablePath(Section section, String key, Path directory) {
+        String text = section.requiredText(key);
         Path path = directory.resolve(text);
         if (!text.isEmpty() && !Files.isReadable(path)) {
-            s.complain(key, "no such file, or it cannot be read: " + path);
+            section.complain(key, "no such file, or it cannot be read: " + path);
         }
         return path;
     }
--- a/config/src/main/java/thornferry/config/TomlFile.java
+++ b/config/src/main/java/thornferry/config/TomlFile.java
@@ -8,46 +8,50 @@
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import java.util.regex.Matcher;
-import java.util.regex.Pattern;
 
 /**
- * A TOML file read value by value. Each value is checked as it is read, complaints name file, line
- * and key, and {@link #check} raises them all together, keys that nobody asked for among them.
+ * A TOML file that is read value by value. Each value is checked as it is read. Complaints name
+ * file, line and key; {@link #check} throws them all together, among them one for each key that was
+ * never read.
  */
 public final class TomlFile {
     private static final TomlMapper MAPPER = new TomlMapper();
-    private static final Pattern HEADER =
-            Pattern.compile("\\s*(\\[\\[?)\\s*([^\\]]+?)\\s*\\]\\]?\\s*(#.*)?");
-    private static final Pattern KEY = Pattern.compile("\\s*([A-Za-z0-9_\"'.-]+)\\s*=.*");
+    private static final int MICROS_PER_MILLI = 1_000;
 
-    private final String file;
-    private final Map<String, Integer> lines = new HashMap<>();
+    /** Whole numbers up to this one are printed without a fraction or an exponent. */
+    private static final double MAX_PLAIN_NUMBER = 1e15;
+
+    private final String fileName;
+    private final TomlLineIndex lineIndex;
     private final List<String> complaints = new ArrayList<>();
-    private final Map<String, Section> sections =
-            new LinkedHashMap<>(); // by path; all that were read
+    private final Map<String, Section> sectionsByPath =
+            new LinkedHashMap<>(); // those that were read
     private final Section root;
 
-    private TomlFile(String file, String text) throws ConfigException {
-        this.file = file;
-        number(text);
+    private TomlFile(String fileName, String text) throws ConfigException {
+        this.fileName = fileName;
+        lineIndex = new TomlLineIndex(text);
         try {
             root = new Section("", MAPPER.readTree(text));
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 0 : e.getLocation().getLineNr();
             throw new ConfigException(
-                    List.of(file + ":" + line + ": not TOML: " + e.getOriginalMessage()));
+                    List.of(fileName + ":" + line + ": not TOML: " + e.getOriginalMessage()));
         }
-        sections.put("", root);
+        sectionsByPath.put("", root);
     }
 
+    /**
+     * Reads a file.
+     *
+     * @throws ConfigException if it cannot be read or is not TOML
+     */
     public static TomlFile read(Path path) throws ConfigException {
         try {
             return parse(path.toString(), Files.readString(path));
@@ -59,172 +63,194 @@
     }
 
     /**
-     * @param file how complaints name it
+     * Parses a text.
+     *
+     * @param file the name that complaints give the text
+     * @throws ConfigException if it is not TOML
      */
     public static TomlFile parse(String file, String text) throws ConfigException {
         return new TomlFile(file, text);
     }
 
-    /**
-     * The parser keeps no places, so lines are found by their headers and keys; what it misses has
-     * line 0.
-     */
-    private void number(String text) {
-        Map<String, Integer> repeats = new HashMap<>();
-        String table = "";
-        int number = 0;
-        for (String line : text.split("\n", -1)) {
-            number++;
-            Matcher header = HEADER.matcher(line);
-            Matcher key = KEY.matcher(line);
-            if (header.matches()) {
-                table = header.group(2);
-                if (header.group(1).equals("[[")) {
-                    table += "[" + (repeats.merge(table, 1, Integer::sum) - 1) + "]";
-                }
-                lines.putIfAbsent(table, number);
-            } else if (key.matches()) {
-                lines.putIfAbsent((table.isEmpty() ? "" : table + ".") + key.group(1), number);
-            }
-        }
-    }
-
-    /** Where the file is, for paths in it; the present directory for a text. */
+    /** The folder to which paths in the file are relative; the working directory for a text. */
     Path directory() {
-        Path parent = Path.of(file).toAbsolutePath().getParent();
+        Path parent = Path.of(fileName).toAbsolutePath().getParent();
         return parent == null ? Path.of("") : parent;
     }
 
+    /** The keys and tables at the top of the file. */
     public Section root() {
         return root;
     }
 
-    /** Raises all complaints, if there are any. */
+    /**
+     * To be called after everything was read.
+     *
+     * @throws ConfigException with all complaints, if there are any
+     */
     public void check() throws ConfigException {
-        sections.values().forEach(Section::unknown);
+        sectionsByPath.values().forEach(Section::complainOfUnknownKeys);
         if (!complaints.isEmpty()) {
             throw new ConfigException(complaints);
         }
     }
 
-    /** The same one each time, so that several readers may each take their keys of a table. */
+    /** The same section each time, so that several readers may share the keys of a table. */
     private Section section(String path, JsonNode node) {
-        return sections.computeIfAbsent(path, p -> new Section(p, node));
+        return sectionsByPath.computeIfAbsent(path, newPath -> new Section(newPath, node));
     }
 
-    /** One table of the file. */
+    /**
+     * One table of the file. The methods that read a value complain of one that is missing or out
+     * of range, and then return a substitute so that reading can go on until {@link #check}.
+     */
     public final class Section {
         private final String path;
         private final JsonNode node;
-        private final Set<String> asked = new HashSet<>();
+        private final Set<String> knownKeys = new HashSet<>();
 
         private Section(String path, JsonNode node) {
             this.path = path;
             this.node = node;
         }
 
-        private String full(String key) {
+        private String pathOf(String key) {
             return path.isEmpty() ? key : path + "." + key;
         }
 
         /** Records what is wrong with a key of this table. */
         public void complain(String key, String what) {
-            String full = full(key);
-            int line = lines.getOrDefault(full, lines.getOrDefault(path, 0));
-            complaints.add(file + ":" + line + ": " + full + ": " + what);
+            String keyPath = pathOf(key);
+            int line = lineIndex.lineOf(keyPath, path);
+            complaints.add(fileName + ":" + line + ": " + keyPath + ": " + what);
         }
 
+        /** The value of a key, which is known from now on; null if the table does not have it. */
         private JsonNode value(String key) {
-            asked.add(key);
+            knownKeys.add(key);
             return node.get(key);
         }
 
+        /** Whether the table has a key. */
         public boolean has(String key) {
             return node.has(key);
         }
 
-        /** A table; an empty one where the file has none. */
+        /** A table within this one; an empty one if the file does not have it. */
         public Section table(String key) {
             JsonNode value = value(key);
-            if (value != null && !value.isObject()) {
+            boolean isTable = value != null && value.isObject();
+            if (value != null && !isTable) {
                 complain(key, "must be a table");
             }
-            return section(
-                    full(key),
-                    value != null && value.isObject() ? value : MAPPER.createObjectNode());
+            return section(pathOf(key), isTable ? value : MAPPER.createObjectNode());
         }
 
-        /** The tables of an array of tables. */
+        /** The tables of an array of tables; none if the file does not have it. */
         public List<Section> tables(String key) {
-            List<Section> list = new ArrayList<>();
+            List<Section> tables = new ArrayList<>();
             JsonNode value = value(key);
             if (value != null && !value.isArray()) {
-                complain(key, "must be an array of tables: [[" + full(key) + "]]");
+                complain(key, "must be an array of tables: [[" + pathOf(key) + "]]");
             } else if (value != null) {
-                for (JsonNode each : value) {
-                    list.add(section(full(key) + "[" + list.size() + "]", each));
+                for (JsonNode table : value) {
+                    tables.add(section(pathOf(key) + "[" + tables.size() + "]", table));
                 }
             }
-            return list;
+            return tables;
         }
 
-        /** A text; {@code otherwise} null makes it required. */
+        /**
+         * A text.
+         *
+         * @param otherwise the default; null if the key is required
+         */
         public String text(String key, String otherwise) {
+            if (otherwise == null) {
+                return requiredText(key);
+            }
+            JsonNode value = value(key);
+            return value == null ? otherwise : checkedText(key, value, true);
+        }
+
+        /** A text that must be there and not be empty. */
+        String requiredText(String key) {
             JsonNode value = value(key);
             if (value == null) {
-                if (otherwise == null) {
-                    complain(key, "is missing");
-                }
-                return otherwise == null ? "" : otherwise;
+                complain(key, "is missing");
+                return "";
             }
-            if (!value.isTextual() || value.textValue().isEmpty() && otherwise == null) {
+            return checkedText(key, value, false);
+        }
+
+        private String checkedText(String key, JsonNode value, boolean mayBeEmpty) {
+            if (!value.isTextual() || (value.textValue().isEmpty() && !mayBeEmpty)) {
                 complain(key, "must be a text that is not empty");
                 return "";
             }
             return value.textValue();
         }
 
-        /** A number within bounds; {@code otherwise} NaN makes it required. */
+        /**
+         * A number within bounds.
+         *
+         * @param otherwise the default; NaN if the key is required
+         */
         public double number(String key, double least, double most, double otherwise) {
+            if (Double.isNaN(otherwise)) {
+                return requiredNumber(key, least, most);
+            }
+            JsonNode value = value(key);
+            return value == null ? otherwise : checkedNumber(key, value, least, most);
+        }
+
+        /** A number within bounds that must be there. */
+        double requiredNumber(String key, double min, double max) {
             JsonNode value = value(key);
             if (value == null) {
-                if (Double.isNaN(otherwise)) {
-                    complain(key, "is missing");
-                    return least;
-                }
-                return otherwise;
+                complain(key, "is missing");
+                return min;
             }
-            if (!value.isNumber()
-                    || !(value.doubleValue() >= least && value.doubleValue() <= most)) {
-                complain(
-                        key,
-                        "must be a number from "
-                                + plain(least)
-                                + " to "
-                                + plain(most)
-                                + ", not "
-                                + value.asText());
-                return least;
+            return checkedNumber(key, value, min, max);
+        }
+
+        private double checkedNumber(String key, JsonNode value, double min, double max) {
+            double number = value.doubleValue();
+            if (!value.isNumber() || !(number >= min && number <= max)) {
+                String range = "from " + plain(min) + " to " + plain(max);
+                complain(key, "must be a number " + range + ", not " + value.asText());
+                return min;
             }
-            return value.doubleValue();
+            return number;
         }
 
         /** A whole number within bounds. */
         public int whole(String key, int least, int most, int otherwise) {
-            JsonNode value = node.get(key);
+            JsonNode value = value(key);
             if (value != null && value.isNumber() && !value.isIntegralNumber()) {
-                asked.add(key);
                 complain(key, "must be a whole number, not " + value.asText());
                 return otherwise;
             }
             return (int) number(key, least, most, otherwise);
         }
 
-        /** Milliseconds in the file, microseconds as given back. */
+        /**
+         * A duration: milliseconds in the file, returned in microseconds.
+         *
+         * @param least the minimum, in milliseconds
+         * @param most the maximum, in milliseconds
+         * @param otherwise the default, in milliseconds; NaN if the key is required
+         */
         public long millis(String key, long least, long most, double otherwise) {
-            return Math.round(number(key, least, most, otherwise) * 1_000);
+            return millisToMicros(number(key, least, most, otherwise));
         }
 
+        /** A duration that must be there: milliseconds in the file, returned in microseconds. */
+        long requiredMillis(String key, long minMillis, long maxMillis) {
+            return millisToMicros(requiredNumber(key, minMillis, maxMillis));
+        }
+
+        /** True or false. */
         public boolean flag(String key, boolean otherwise) {
             JsonNode value = value(key);
             if (value != null && !value.isBoolean()) {
@@ -233,60 +259,75 @@
             return value == null ? otherwise : value.asBoolean();
         }
 
-        /** One of the constants of an enum, written in lower case with hyphens. */
+        /**
+         * One of the constants of an enum, written in lower case with hyphens.
+         *
+         * @param otherwise the default; null if the key is required
+         */
         public <E extends Enum<E>> E choice(String key, Class<E> of, E otherwise) {
             Map<String, E> words = new LinkedHashMap<>();
-            for (E each : of.getEnumConstants()) {
-                words.put(word(each), each);
+            for (E constant : of.getEnumConstants()) {
+                words.put(wordOf(constant), constant);
             }
             return choice(key, words, otherwise);
         }
 
         /**
-         * One of some words, each with its value; the first value where what is there is not one of
-         * them.
+         * One of some words, each with its value; the first value if the file has another word.
+         *
+         * @param words in the order in which complaints list them
+         * @param otherwise the default; null if the key is required
          */
         public <T> T choice(String key, Map<String, T> words, T otherwise) {
-            String known = String.join(", ", words.keySet());
-            T first = words.values().iterator().next();
+            if (otherwise == null) {
+                return requiredChoice(key, words);
+            }
+            JsonNode value = value(key);
+            return value == null ? otherwise : checkedChoice(key, value, words);
+        }
+
+        /** One of some words, each with its value, which must be there. */
+        <T> T requiredChoice(String key, Map<String, T> words) {
             JsonNode value = value(key);
             if (value == null) {
-                if (otherwise == null) {
-                    complain(key, "is missing; one of " + known);
-                }
-                return otherwise == null ? first : otherwise;
+                complain(key, "is missing; one of " + String.join(", ", words.keySet()));
+                return words.values().iterator().next();
             }
+            return checkedChoice(key, value, words);
+        }
+
+        private <T> T checkedChoice(String key, JsonNode value, Map<String, T> words) {
             T chosen = value.isTextual() ? words.get(value.textValue()) : null;
             if (chosen == null) {
+                String known = String.join(", ", words.keySet());
                 complain(key, "must be one of " + known + ", not " + value.asText());
-                return first;
+                return words.values().iterator().next();
             }
             return chosen;
         }
 
-        private void unknown() {
+        private void complainOfUnknownKeys() {
+            String known = String.join(", ", knownKeys.stream().sorted().toList());
             node.fieldNames()
                     .forEachRemaining(
                             key -> {
-                                if (!asked.contains(key)) {
-                                    complain(
-                                            key,
-                                            "is not known; known here: "
-                                                    + String.join(
-                                                            ", ",
-                                                            asked.stream().sorted().toList()));
+                                if (!knownKeys.contains(key)) {
+                                    complain(key, "is not known; known here: " + known);
                                 }
                             });
         }
     }
 
-    private static String word(Enum<?> constant) {
+    private static long millisToMicros(double millis) {
+        return Math.round(millis * MICROS_PER_MILLI);
+    }
+
+    private static String wordOf(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
     private static String plain(double number) {
-        return number == Math.rint(number) && Math.abs(number) < 1e15
-                ? Long.toString((long) number)
-                : Double.toString(number);
+        boolean whole = number == Math.rint(number) && Math.abs(number) < MAX_PLAIN_NUMBER;
+        return whole ? Long.toString((long) number) : Double.toString(number);
     }
 }
