--- a/decisions/src/main/java/thornferry/decisions/placement/LoadReport.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/LoadReport.java
@@ -1,7 +1,7 @@
 package thornferry.decisions.placement;
 
 /**
- * What a machine reports of its load. A value that the machine did not report is {@link #UNKNOWN}.
+ * A machine's report of its load. A value that the machine did not report is {@link #UNKNOWN}.
  *
  * @param freeCores cores that are not in use or reserved
  * @param freeMemory memory that is not in use or reserved, in the units of the settings
