--- a/decisions/src/main/java/thornferry/decisions/attempts/AttemptTracker.java
+++ b/decisions/src/main/java/thornferry/decisions/attempts/AttemptTracker.java
@@ -1,9 +1,5 @@
 package thornferry.decisions.attempts;
 
-import java.util.ArrayList;
-import java.util.Collection;
-import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
@@ -19,521 +15,477 @@
 import thornferry.decisions.placement.Placement.TaskObserved;
 
 /**
- * What each attempt has come to, and above all <b>what proves that it never ran</b>: its octets
- * were never wholly written; the machine refused it; the inventory of the same life of the machine,
- * after a reconnect, does not hold it. A broken connection proves nothing, so an attempt whose
- * second start could do harm then stays open until the machine is back or its time is up.
+ * Follows each attempt from its offer to its outcome. Each attempt ends with exactly one {@link
+ * AttemptEnded} for the placement policy.
  *
- * <p>Each attempt ends with exactly one {@link AttemptEnded} for the module. Times are
- * microseconds.
+ * <p>Above all it decides <b>what proves that an attempt never ran</b>, so that a task whose second
+ * start could do harm may be offered elsewhere:
+ *
+ * <table>
+ * <caption>What becomes of an open attempt</caption>
+ * <tr><th>observation</th><th>conclusion</th><th>outcome</th></tr>
+ * <tr><td>not all bytes of the offer were written</td><td>never ran: no machine can have read a
+ *     complete offer</td><td>{@code UNREACHABLE}</td></tr>
+ * <tr><td>the machine reports {@code REJECTED}</td><td>never ran</td><td>{@code REJECTED}</td></tr>
+ * <tr><td>the machine reports {@code CANCELLED} without a start</td><td>never ran</td>
+ *     <td>{@code REJECTED}</td></tr>
+ * <tr><td>the inventory of the same machine incarnation, after a reconnect, does not contain it,
+ *     and reaches back beyond the offer</td><td>never ran: the offer was not received</td>
+ *     <td>{@code UNREACHABLE}</td></tr>
+ * <tr><td>the same, but the inventory does not reach back that far</td><td>may have run</td>
+ *     <td>{@code LOST}</td></tr>
+ * <tr><td>the inventory contains it, or the machine reports anything but {@code REJECTED} and
+ *     {@code CANCELLED}</td><td>it was admitted</td><td>none yet, or that of the placed task</td>
+ *     </tr>
+ * <tr><td>the incarnation of the machine ended</td><td>may have run</td><td>{@code LOST}</td></tr>
+ * <tr><td>the offer expired</td><td>may have run</td><td>{@code TIMED_OUT}</td></tr>
+ * <tr><td>the connection broke</td><td>nothing: an idempotent attempt ends as {@code LOST}, any
+ *     other stays open until one of the above</td><td>{@code LOST} or none</td></tr>
+ * </table>
+ *
+ * <p>All times are microseconds of the caller's clock; the class does no I/O.
  */
 public final class AttemptTracker {
+    /** What the caller is to do; actions are to be carried out in the order in which they come. */
     public sealed interface Action {}
 
-    /** To the module. */
+    /** Pass the event to the placement policy. */
     public record NotifyPolicy(Placement.Event event) implements Action {}
 
-    /** Tell the machine to drop the attempt, whatever became of it. */
+    /** Make the machine drop the attempt, whatever became of it. */
     public record CancelAttempt(String machine, String attempt) implements Action {}
 
     /**
-     * The attempt is proven never to have run; before its {@link NotifyPolicy}. Not said of what
-     * may be repeated freely.
+     * The attempt is proven never to have run; comes before its {@link NotifyPolicy}. Omitted for
+     * idempotent tasks, where it makes no difference.
      */
     public record NeverRan(String requestId, String attempt) implements Action {}
 
-    /** The request is placed: its owner's result. */
+    /** The request is placed, which is its result. */
     public record RequestPlaced(String requestId, String machine) implements Action {}
 
-    /** A placed task is over. */
+    /** A placed task has terminated. */
     public record TaskTerminated(
             String requestId, String machine, TerminationCause terminationCause)
             implements Action {}
 
-    /** The machine refused; for the reason that the owner may be given. */
+    /** The machine rejected an offer, for a reason that the owner may be given. */
     public record OfferRejected(String requestId, String machine, OutcomeReason reason)
             implements Action {}
 
-    /** The machine holds work of a former life of this placer: look after it from now on. */
+    /** The machine runs work of an earlier incarnation of this placer: track it from now on. */
     public record AdoptTask(String machine, String attempt) implements Action {}
 
-    /** The machine spoke of an attempt that it was never offered. */
+    /** The machine reported on an attempt that it was never offered. */
     public record ProtocolViolation(String machine, String description) implements Action {}
 
-    private enum State {
-        OPEN,
-        PLACED
-    }
-
-    private static final class Attempt {
-        final String id;
-        final String request;
-        final int number;
-        final String machine;
-        final long incarnation;
-        final Idempotency effect;
-        final long sentAt;
-        final long until;
-        State state = State.OPEN;
-        boolean runs;
-        TerminationCause
-                wanted; // what the owner or the module asked for a placed task, to be named when it
-
-        // ends
-
-        Attempt(
-                String id,
-                String request,
-                int number,
-                String machine,
-                long incarnation,
-                Idempotency effect,
-                long sentAt,
-                long until) {
-            this.id = id;
-            this.request = request;
-            this.number = number;
-            this.machine = machine;
-            this.incarnation = incarnation;
-            this.effect = effect;
-            this.sentAt = sentAt;
-            this.until = until;
-        }
-    }
-
     /**
-     * Attempts given up are remembered, so that late words are not taken for lies; bounded, oldest
-     * first out.
+     * What a machine reports about an attempt.
+     *
+     * @param reason why it was rejected, {@code NONE} with any other status
+     * @param ran with {@code CANCELLED}: whether the task had started
+     * @param load the machine's load report that came with it, or null where it sent none
      */
-    private static final int REMEMBERED = 50_000;
+    public record Report(
+            String attempt,
+            AttemptStatus status,
+            OutcomeReason reason,
+            boolean ran,
+            LoadReport load) {
+        static Report running(String attempt) {
+            return new Report(attempt, AttemptStatus.RUNNING, OutcomeReason.NONE, true, null);
+        }
+    }
 
     /**
-     * A machine that does not say since when it remembers all, does so for this long: the
-     * protocol's least.
+     * How far back the inventory of a machine reaches that does not report it: the minimum that the
+     * protocol requires.
      */
-    private static final long UNSAID_MEMORY = 30_000_000;
-
-    private final String life;
-    private final Map<String, Attempt> byId = new LinkedHashMap<>();
-    private final Map<String, Attempt> byRequest = new HashMap<>();
-    private final Map<String, Map<String, Attempt>> byMachine = new HashMap<>();
-
-    /** Open ones only, in the order sent: what {@link #tick} looks through. */
-    private final Map<String, Attempt> open = new LinkedHashMap<>();
+    private static final long DEFAULT_INVENTORY_REACH_MICROS = 30_000_000;
 
-    private final Map<String, String> formerly = new LinkedHashMap<>(); // attempt -> machine
-    private long number;
+    private final String incarnationName;
+    private final AttemptIndex attempts = new AttemptIndex();
+    private long attemptCount;
 
     /**
-     * @param life names this life of this placer, unlike any earlier one; attempts are named after
-     *     it
+     * @param incarnationName names this incarnation of this placer, unlike any earlier one; it is
+     *     the prefix of the names of its attempts
      */
-    public AttemptTracker(String life) {
-        this.life = life;
+    public AttemptTracker(String incarnationName) {
+        this.incarnationName = incarnationName;
     }
 
-    /** A name for an attempt about to be offered; no other placer or life uses it. */
+    // ---- offers ----
+    /**
+     * Starts to track an attempt that is about to be offered.
+     *
+     * @param attemptNumber counts the attempts of the request, from 0
+     * @param incarnation the machine's incarnation
+     * @param timeoutMicros an attempt without an answer for so long is cancelled
+     * @return the attempt's name, which no other placer or incarnation uses
+     */
     public String begin(
             long now,
-            String request,
-            int tryNumber,
+            String requestId,
+            int attemptNumber,
             String machine,
             long incarnation,
-            Idempotency effect,
-            long timeout) {
-        Attempt a =
-                new Attempt(
-                        life + "-" + ++number,
-                        request,
-                        tryNumber,
+            Idempotency idempotency,
+            long timeoutMicros) {
+        AttemptOffer offer =
+                new AttemptOffer(
+                        incarnationName + "-" + ++attemptCount,
+                        requestId,
+                        attemptNumber,
                         machine,
                         incarnation,
-                        effect,
+                        idempotency,
                         now,
-                        now + timeout);
-        keep(a);
-        open.put(a.id, a);
-        return a.id;
+                        now + timeoutMicros);
+        attempts.add(new Attempt(offer, AttemptState.OPEN));
+        return offer.attemptId();
     }
 
-    private void keep(Attempt a) {
-        byId.put(a.id, a);
-        byRequest.put(a.request, a);
-        byMachine.computeIfAbsent(a.machine, m -> new LinkedHashMap<>()).put(a.id, a);
-    }
-
-    private void drop(Attempt a) {
-        byId.remove(a.id);
-        byRequest.remove(a.request, a);
-        byMachine.get(a.machine).remove(a.id);
-        open.remove(a.id);
-        formerly.put(a.id, a.machine);
-        if (formerly.size() > REMEMBERED) {
-            formerly.remove(formerly.keySet().iterator().next());
+    /** Not all bytes of the offer were written, so that no machine can have read it. */
+    public void notWritten(long now, String attemptId, Consumer<Action> actions) {
+        Attempt attempt = attempts.find(attemptId);
+        if (attempt != null && attempt.isOpen()) {
+            end(now, attempt, AttemptEnding.withoutReason(AttemptOutcome.UNREACHABLE), actions);
         }
     }
 
     /**
-     * The offer's octets were not all written, so no one can have read the whole of it: it never
-     * ran.
+     * Nobody waits for the request any more, or the policy migrates it: its attempt is cancelled.
+     *
+     * @param cause the termination cause of the task if it ends because of this
      */
-    public void notWritten(long now, String attempt, Consumer<Action> actions) {
-        Attempt a = byId.get(attempt);
-        if (a != null && a.state == State.OPEN) {
-            end(now, a, AttemptOutcome.UNREACHABLE, OutcomeReason.NONE, null, actions);
+    public void cancel(String requestId, TerminationCause cause, Consumer<Action> actions) {
+        Attempt attempt = attempts.findByRequest(requestId);
+        if (attempt != null) {
+            attempt.cancelledBecause(cause);
+            actions.accept(new CancelAttempt(attempt.machine(), attempt.id()));
         }
     }
 
-    /** A machine's word; {@code report} may be null. */
+    /** Cancels and ends the attempts that were not answered in time. */
+    public void tick(long now, Consumer<Action> actions) {
+        for (Attempt attempt : attempts.openAttempts()) {
+            if (now < attempt.offer().expiresAtMicros()) {
+                continue;
+            }
+            actions.accept(new CancelAttempt(attempt.machine(), attempt.id()));
+            // the cancellation has already ended an attempt whose offer was not sent
+            if (attempts.contains(attempt)) {
+                end(now, attempt, AttemptEnding.withoutReason(AttemptOutcome.TIMED_OUT), actions);
+            }
+        }
+    }
+
+    // ---- reports ----
+    /** The same as {@link #reported(long, String, Report, Consumer)}; {@code load} may be null. */
     public void reported(
             long now,
             String machine,
-            String attempt,
-            AttemptStatus word,
+            String attemptId,
+            AttemptStatus status,
             OutcomeReason reason,
             boolean ran,
-            LoadReport report,
+            LoadReport load,
             Consumer<Action> actions) {
-        Attempt a = byId.get(attempt);
-        if (a == null || !a.machine.equals(machine)) {
-            String was = a == null ? formerly.get(attempt) : a.machine;
-            boolean ours = isOwn(attempt);
-            if (ours && !machine.equals(was)) {
-                actions.accept(
-                        new ProtocolViolation(
-                                machine, "attempt " + attempt + " was not offered to this node"));
-            } else if (word == AttemptStatus.ACCEPTED || word == AttemptStatus.RUNNING) {
-                actions.accept(
-                        new CancelAttempt(
-                                machine, attempt)); // given up meanwhile: it must not stay
-            }
+        reported(now, machine, new Report(attemptId, status, reason, ran, load), actions);
+    }
+
+    /** A machine reports the status of an attempt. */
+    public void reported(long now, String machine, Report report, Consumer<Action> actions) {
+        Attempt attempt = attempts.find(report.attempt());
+        if (attempt == null || !attempt.machine().equals(machine)) {
+            reportedUntracked(machine, report, actions);
             return;
         }
-        switch (word) {
-            case ACCEPTED -> place(now, a, actions);
-            case RUNNING -> {
-                place(
-                        now, a,
-                        actions); // running proves acceptance, also where that answer was lost
-                if (!a.runs) {
-                    a.runs = true;
-                    actions.accept(
-                            new NotifyPolicy(
-                                    new TaskObserved(
-                                            a.request,
-                                            a.number,
-                                            machine,
-                                            ObservationKind.RUNNING,
-                                            1)));
-                }
-            }
-            case REJECTED -> {
-                if (a.state == State.OPEN) {
-                    actions.accept(new OfferRejected(a.request, machine, reason));
-                    end(now, a, AttemptOutcome.REJECTED, reason, report, actions);
-                }
-            }
-            case COMPLETED ->
-                    over(
-                            now,
-                            a,
-                            AttemptOutcome.COMPLETED,
-                            OutcomeReason.NONE,
-                            TerminationCause.COMPLETED,
-                            report,
-                            actions);
-            case EVICTED ->
-                    over(
-                            now,
-                            a,
-                            AttemptOutcome.LOST,
-                            OutcomeReason.EVICTED,
-                            TerminationCause.EVICTED,
-                            report,
-                            actions);
-            case EVACUATED ->
-                    over(
-                            now,
-                            a,
-                            AttemptOutcome.LOST,
-                            OutcomeReason.EVACUATED,
-                            TerminationCause.EVICTED,
-                            report,
-                            actions);
-            case CANCELLED -> {
-                if (a.state == State.PLACED) {
-                    over(
-                            now,
-                            a,
-                            AttemptOutcome.CANCELLED,
-                            OutcomeReason.NONE,
-                            TerminationCause.STOPPED,
-                            report,
-                            actions);
-                } else {
-                    end(
-                            now,
-                            a,
-                            ran ? AttemptOutcome.CANCELLED : AttemptOutcome.REJECTED,
-                            OutcomeReason.UNAVAILABLE,
-                            report,
-                            actions);
-                }
-            }
+        switch (report.status()) {
+            case ACCEPTED -> place(now, attempt, actions);
+            case RUNNING -> startedRunning(now, attempt, actions);
+            case REJECTED -> rejected(now, attempt, report, actions);
+            case CANCELLED -> cancelled(now, attempt, report, actions);
+            case COMPLETED, EVICTED, EVACUATED -> terminated(now, attempt, report, actions);
+            default -> throw new IllegalArgumentException("no such status: " + report.status());
         }
     }
 
-    /** What own tasks use, as their machine reports it. */
-    public void usageReported(
-            String machine, String attempt, double cores, double memory, Consumer<Action> actions) {
-        Attempt a = byId.get(attempt);
-        if (a != null && a.machine.equals(machine) && a.state == State.PLACED) {
+    private void reportedUntracked(String machine, Report report, Consumer<Action> actions) {
+        String attemptId = report.attempt();
+        if (isOwn(attemptId) && !machine.equals(attempts.machineOf(attemptId))) {
             actions.accept(
-                    new NotifyPolicy(
-                            new TaskObserved(
-                                    a.request,
-                                    a.number,
-                                    machine,
-                                    ObservationKind.CORES_USED,
-                                    cores)));
-            actions.accept(
-                    new NotifyPolicy(
-                            new TaskObserved(
-                                    a.request,
-                                    a.number,
-                                    machine,
-                                    ObservationKind.MEMORY_USED,
-                                    memory)));
+                    new ProtocolViolation(
+                            machine, "attempt " + attemptId + " was not offered to this node"));
+        } else if (report.status() == AttemptStatus.ACCEPTED
+                || report.status() == AttemptStatus.RUNNING) {
+            // the attempt ended meanwhile: nobody would track the task if it stayed
+            actions.accept(new CancelAttempt(machine, attemptId));
         }
     }
 
-    private void place(long now, Attempt a, Consumer<Action> actions) {
-        if (a.state == State.OPEN) {
-            a.state = State.PLACED;
-            open.remove(a.id);
+    private void startedRunning(long now, Attempt attempt, Consumer<Action> actions) {
+        // it was admitted, even where the report of that was lost
+        place(now, attempt, actions);
+        if (!attempt.isRunning()) {
+            attempt.becomeRunning();
+            actions.accept(observed(attempt, ObservationKind.RUNNING, 1));
+        }
+    }
+
+    private void rejected(long now, Attempt attempt, Report report, Consumer<Action> actions) {
+        if (attempt.isOpen()) {
             actions.accept(
-                    new NotifyPolicy(
-                            new AttemptAccepted(a.request, a.number, a.machine, now - a.sentAt)));
-            actions.accept(new RequestPlaced(a.request, a.machine));
+                    new OfferRejected(attempt.requestId(), attempt.machine(), report.reason()));
+            end(
+                    now,
+                    attempt,
+                    new AttemptEnding(AttemptOutcome.REJECTED, report.reason(), report.load()),
+                    actions);
         }
     }
 
-    private void end(
-            long now,
-            Attempt a,
-            AttemptOutcome outcome,
-            OutcomeReason reason,
-            LoadReport report,
-            Consumer<Action> actions) {
-        drop(a);
-        if (a.effect != Idempotency.IDEMPOTENT
-                && (outcome == AttemptOutcome.REJECTED || outcome == AttemptOutcome.UNREACHABLE)) {
-            actions.accept(new NeverRan(a.request, a.id));
+    private void cancelled(long now, Attempt attempt, Report report, Consumer<Action> actions) {
+        if (attempt.isOpen()) {
+            AttemptOutcome outcome =
+                    report.ran() ? AttemptOutcome.CANCELLED : AttemptOutcome.REJECTED;
+            end(
+                    now,
+                    attempt,
+                    new AttemptEnding(outcome, OutcomeReason.UNAVAILABLE, report.load()),
+                    actions);
+        } else {
+            terminate(
+                    now,
+                    attempt,
+                    new AttemptEnding(AttemptOutcome.CANCELLED, OutcomeReason.NONE, report.load()),
+                    attempt.cancellationCauseOr(TerminationCause.STOPPED),
+                    actions);
         }
-        actions.accept(
-                new NotifyPolicy(
-                        new AttemptEnded(
-                                a.request,
-                                a.number,
-                                a.machine,
-                                outcome,
-                                now - a.sentAt,
-                                false,
-                                reason,
-                                report)));
     }
 
-    /** The end of a task that was placed, or that proves by its end that it had been. */
-    private void over(
-            long now,
-            Attempt a,
-            AttemptOutcome outcome,
-            OutcomeReason reason,
-            TerminationCause fate,
-            LoadReport report,
+    private void terminated(long now, Attempt attempt, Report report, Consumer<Action> actions) {
+        if (report.status() == AttemptStatus.COMPLETED) {
+            terminate(
+                    now,
+                    attempt,
+                    new AttemptEnding(AttemptOutcome.COMPLETED, OutcomeReason.NONE, report.load()),
+                    TerminationCause.COMPLETED,
+                    actions);
+            return;
+        }
+        OutcomeReason reason =
+                report.status() == AttemptStatus.EVICTED
+                        ? OutcomeReason.EVICTED
+                        : OutcomeReason.EVACUATED;
+        terminate(
+                now,
+                attempt,
+                new AttemptEnding(AttemptOutcome.LOST, reason, report.load()),
+                TerminationCause.EVICTED,
+                actions);
+    }
+
+    /** A machine reports what a task placed there uses. */
+    public void usageReported(
+            String machine,
+            String attemptId,
+            double cores,
+            double memory,
             Consumer<Action> actions) {
-        place(now, a, actions);
-        drop(a);
-        TerminationCause told =
-                a.wanted != null && fate == TerminationCause.STOPPED ? a.wanted : fate;
-        actions.accept(
-                new NotifyPolicy(
-                        new AttemptEnded(
-                                a.request,
-                                a.number,
-                                a.machine,
-                                outcome,
-                                now - a.sentAt,
-                                true,
-                                reason,
-                                report)));
-        actions.accept(new TaskTerminated(a.request, a.machine, told));
+        Attempt attempt = attempts.find(attemptId);
+        if (attempt != null && attempt.machine().equals(machine) && !attempt.isOpen()) {
+            actions.accept(observed(attempt, ObservationKind.CORES_USED, cores));
+            actions.accept(observed(attempt, ObservationKind.MEMORY_USED, memory));
+        }
     }
 
+    // ---- connections and incarnations of machines ----
     /**
-     * The connection to a machine broke. What may be repeated freely is given up; the rest waits
-     * for proof.
+     * The connection to a machine broke. Open attempts of idempotent tasks are given up; other open
+     * attempts wait for proof, and placed tasks for the machine's return.
      */
     public void connectionLost(long now, String machine, Consumer<Action> actions) {
-        for (Attempt a : at(machine)) {
-            if (a.state == State.OPEN && a.effect == Idempotency.IDEMPOTENT) {
-                end(now, a, AttemptOutcome.LOST, OutcomeReason.NONE, null, actions);
+        for (Attempt attempt : attempts.onMachine(machine)) {
+            if (attempt.isOpen() && attempt.isIdempotent()) {
+                end(now, attempt, AttemptEnding.LOST, actions);
             }
         }
     }
 
     /**
-     * A machine is connected and says what it holds of this placer's, in {@code held}.
+     * A machine is connected and lists what it has of this placer's attempts.
      *
-     * <p>The node dials again only after its former connection is closed for it, so nothing sent on
-     * that one can still reach it: what the inventory of the same life does not hold, and whose end
-     * it has not told before with its last answers, was never received; as far back as the machine
-     * remembers.
+     * <p>A machine connects again only after it has seen its former connection closed, so nothing
+     * sent on that one can still reach it. An attempt that is missing from the inventory of the
+     * same incarnation, and whose end was not reported just before, was never received; provided
+     * that it is not older than what the machine remembers.
      *
-     * @param running those of {@code held} that run
-     * @param since by effect, since when it remembers all that it accepted
+     * @param attemptIds the attempts that the machine has
+     * @param runningAttemptIds those of them that run
+     * @param completeSinceMicros by idempotency: since when the machine remembers all attempts that
+     *     it accepted; absent where it does not report it
      */
     public void inventory(
             long now,
             String machine,
             long incarnation,
-            Set<String> held,
-            Set<String> running,
-            Map<Idempotency, Long> since,
+            Set<String> attemptIds,
+            Set<String> runningAttemptIds,
+            Map<Idempotency, Long> completeSinceMicros,
             Consumer<Action> actions) {
-        for (Attempt a : at(machine)) {
-            if (a.incarnation != incarnation) {
-                continue; // of an earlier life: lifeOver ends those
+        for (Attempt attempt : attempts.onMachine(machine)) {
+            // those of an earlier incarnation are up to incarnationEnded
+            if (attempt.offer().incarnation() != incarnation) {
+                continue;
             }
-            if (held.contains(a.id)) {
-                place(now, a, actions);
-            } else if (a.state == State.OPEN) {
-                // guards against a machine that had to forget how an attempt ended: its silence
-                // then proves nothing
-                boolean remembers = a.sentAt > since.getOrDefault(a.effect, now - UNSAID_MEMORY);
-                end(
-                        now,
-                        a,
-                        remembers ? AttemptOutcome.UNREACHABLE : AttemptOutcome.LOST,
-                        OutcomeReason.NONE,
-                        null,
-                        actions);
+            if (attemptIds.contains(attempt.id())) {
+                place(now, attempt, actions);
             } else {
-                over(
-                        now,
-                        a,
-                        AttemptOutcome.LOST,
-                        OutcomeReason.NONE,
-                        a.wanted == null ? TerminationCause.LOST : a.wanted,
-                        null,
-                        actions);
+                missingFromInventory(now, attempt, completeSinceMicros, actions);
             }
         }
-        for (String id : new LinkedHashSet<>(held)) {
-            if (byId.containsKey(id)) {
-                if (running.contains(id)) {
-                    reported(
-                            now,
-                            machine,
-                            id,
-                            AttemptStatus.RUNNING,
-                            OutcomeReason.NONE,
-                            true,
-                            null,
-                            actions);
+        for (String attemptId : new LinkedHashSet<>(attemptIds)) {
+            if (attempts.find(attemptId) != null) {
+                if (runningAttemptIds.contains(attemptId)) {
+                    reported(now, machine, Report.running(attemptId), actions);
                 }
-            } else if (isOwn(id)) {
-                actions.accept(
-                        new CancelAttempt(
-                                machine, id)); // given up while it was away: its owner was told so
+            } else if (isOwn(attemptId)) {
+                // it ended for this placer, and its owner was notified, while the machine was away
+                actions.accept(new CancelAttempt(machine, attemptId));
             } else {
-                actions.accept(new AdoptTask(machine, id));
+                actions.accept(new AdoptTask(machine, attemptId));
             }
         }
     }
 
-    /** Work of a former life, taken over: placed as attempt 0 of {@code requestId}. */
-    public void adopted(
+    private void missingFromInventory(
             long now,
-            String attempt,
-            String request,
-            String machine,
-            long incarnation,
-            Idempotency effect,
-            boolean runs) {
-        Attempt a = new Attempt(attempt, request, 0, machine, incarnation, effect, now, now);
-        a.state = State.PLACED;
-        a.runs = runs;
-        keep(a);
+            Attempt attempt,
+            Map<Idempotency, Long> completeSinceMicros,
+            Consumer<Action> actions) {
+        if (!attempt.isOpen()) {
+            lose(now, attempt, actions);
+            return;
+        }
+        // a machine that has had to forget how attempts ended proves nothing by not listing one
+        AttemptOffer offer = attempt.offer();
+        long completeSince =
+                completeSinceMicros.getOrDefault(
+                        offer.idempotency(), now - DEFAULT_INVENTORY_REACH_MICROS);
+        boolean provesNeverRan = offer.sentAtMicros() > completeSince;
+        end(
+                now,
+                attempt,
+                AttemptEnding.withoutReason(
+                        provesNeverRan ? AttemptOutcome.UNREACHABLE : AttemptOutcome.LOST),
+                actions);
     }
 
-    /** A life of the machine is over: what was placed there is lost, what was open may have run. */
+    /**
+     * An incarnation of a machine ended, and with it all earlier ones: tasks placed there are lost,
+     * open attempts may have run.
+     */
     public void incarnationEnded(
             long now, String machine, long incarnation, Consumer<Action> actions) {
-        for (Attempt a : at(machine)) {
-            if (a.incarnation > incarnation) {
+        for (Attempt attempt : attempts.onMachine(machine)) {
+            if (attempt.offer().incarnation() > incarnation) {
                 continue;
             }
-            if (a.state == State.OPEN) {
-                end(now, a, AttemptOutcome.LOST, OutcomeReason.NONE, null, actions);
+            if (attempt.isOpen()) {
+                end(now, attempt, AttemptEnding.LOST, actions);
             } else {
-                over(
-                        now,
-                        a,
-                        AttemptOutcome.LOST,
-                        OutcomeReason.NONE,
-                        a.wanted == null ? TerminationCause.LOST : a.wanted,
-                        null,
-                        actions);
+                lose(now, attempt, actions);
             }
         }
     }
 
-    /** Nobody wants the request any more, or the module moves it: its attempt is withdrawn. */
-    public void cancel(String request, TerminationCause fate, Consumer<Action> actions) {
-        Attempt a = byRequest.get(request);
-        if (a != null) {
-            a.wanted = fate;
-            actions.accept(new CancelAttempt(a.machine, a.id));
-        }
+    /**
+     * Tracks work of an earlier incarnation of this placer, as the placed attempt 0 of {@code
+     * requestId}.
+     */
+    public void adopted(
+            long now,
+            String attemptId,
+            String requestId,
+            String machine,
+            long incarnation,
+            Idempotency idempotency,
+            boolean running) {
+        AttemptOffer offer =
+                new AttemptOffer(
+                        attemptId, requestId, 0, machine, incarnation, idempotency, now, now);
+        attempts.add(new Attempt(offer, running ? AttemptState.RUNNING : AttemptState.PLACED));
     }
 
-    /** Time passes: attempts that were not answered in their time are given up, and withdrawn. */
-    public void tick(long now, Consumer<Action> actions) {
-        if (open.isEmpty()) {
-            return;
+    // ---- state transitions ----
+    private void place(long now, Attempt attempt, Consumer<Action> actions) {
+        if (attempt.isOpen()) {
+            attempts.markPlaced(attempt);
+            actions.accept(
+                    new NotifyPolicy(
+                            new AttemptAccepted(
+                                    attempt.requestId(),
+                                    attempt.number(),
+                                    attempt.machine(),
+                                    attempt.ageMicros(now))));
+            actions.accept(new RequestPlaced(attempt.requestId(), attempt.machine()));
         }
-        for (Attempt a : new ArrayList<>(open.values())) {
-            if (now >= a.until) {
-                actions.accept(new CancelAttempt(a.machine, a.id));
-                if (byId.get(a.id)
-                        == a) { // else it was never sent, and the withdrawal has ended it
-                    end(now, a, AttemptOutcome.TIMED_OUT, OutcomeReason.NONE, null, actions);
-                }
-            }
+    }
+
+    /** Ends an attempt that was not placed. */
+    private void end(long now, Attempt attempt, AttemptEnding ending, Consumer<Action> actions) {
+        attempts.remove(attempt);
+        if (!attempt.isIdempotent() && ending.provesNeverRan()) {
+            actions.accept(new NeverRan(attempt.requestId(), attempt.id()));
         }
+        actions.accept(new NotifyPolicy(ending.event(now, attempt, false)));
     }
 
-    /** Whether the attempt is open: offered, or about to be, and without an outcome. */
-    public boolean isOpen(String attempt) {
-        return open.containsKey(attempt);
+    /** Ends a task that was placed, or that proves by its end that it had been. */
+    private void terminate(
+            long now,
+            Attempt attempt,
+            AttemptEnding ending,
+            TerminationCause cause,
+            Consumer<Action> actions) {
+        place(now, attempt, actions);
+        attempts.remove(attempt);
+        actions.accept(new NotifyPolicy(ending.event(now, attempt, true)));
+        actions.accept(new TaskTerminated(attempt.requestId(), attempt.machine(), cause));
     }
 
-    /** Whether an attempt is of this life of the placer. */
-    public boolean isOwn(String attempt) {
-        return attempt.startsWith(life + "-");
+    /** A placed task is gone with its machine; one that was being cancelled counts as cancelled. */
+    private void lose(long now, Attempt attempt, Consumer<Action> actions) {
+        TerminationCause cause = attempt.cancellationCauseOr(TerminationCause.LOST);
+        terminate(now, attempt, AttemptEnding.LOST, cause, actions);
+    }
+
+    private static NotifyPolicy observed(Attempt attempt, ObservationKind kind, double value) {
+        return new NotifyPolicy(
+                new TaskObserved(
+                        attempt.requestId(), attempt.number(), attempt.machine(), kind, value));
+    }
+
+    // ---- queries ----
+    /** Whether the attempt is open: offered, or about to be, and without an outcome. */
+    public boolean isOpen(String attemptId) {
+        return attempts.isOpen(attemptId);
     }
 
-    private Collection<Attempt> at(String machine) {
-        return new ArrayList<>(byMachine.getOrDefault(machine, Map.of()).values());
+    /** Whether the attempt was made by this incarnation of the placer. */
+    public boolean isOwn(String attemptId) {
+        return attemptId.startsWith(incarnationName + "-");
     }
 
-    /** Attempts held on a machine, open ones among them. */
+    /** The number of attempts without an outcome on a machine, open and placed ones. */
     public int count(String machine) {
-        return byMachine.getOrDefault(machine, Map.of()).size();
+        return attempts.countOnMachine(machine);
     }
 
+    /** The number of attempts without an outcome on all machines, open and placed ones. */
     public int size() {
-        return byId.size();
+        return attempts.size();
     }
 }
--- a/decisions/src/test/java/thornferry/decisions/attempts/AttemptTrackerTest.java
+++ b/decisions/src/test/java/thornferry/decisions/attempts/AttemptTrackerTest.java
@@ -6,12 +6,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import thornferry.decisions.attempts.AttemptTracker.Action;
 import thornferry.decisions.attempts.AttemptTracker.AdoptTask;
 import thornferry.decisions.attempts.AttemptTracker.CancelAttempt;
 import thornferry.decisions.attempts.AttemptTracker.NotifyPolicy;
 import thornferry.decisions.attempts.AttemptTracker.ProtocolViolation;
+import thornferry.decisions.attempts.AttemptTracker.Report;
 import thornferry.decisions.attempts.AttemptTracker.RequestPlaced;
 import thornferry.decisions.attempts.AttemptTracker.TaskTerminated;
 import thornferry.decisions.placement.Placement.AttemptAccepted;
@@ -23,240 +25,230 @@
 /** What proves that an attempt never ran, and what does not. */
 class AttemptTrackerTest {
     private static final long SECOND = 1_000_000;
+    private static final long OFFER_TIMEOUT_MICROS = 2 * SECOND;
 
     private final AttemptTracker attempts = new AttemptTracker("p.1");
     private final List<Action> actions = new ArrayList<>();
     private long now = 100 * SECOND;
 
-    private String offered(Idempotency effect) {
-        return attempts.begin(now, "q1", 0, "n", 5, effect, 2 * SECOND);
+    private String offered(Idempotency idempotency) {
+        return attempts.begin(now, "q1", 0, "n", 5, idempotency, OFFER_TIMEOUT_MICROS);
     }
 
-    private List<Action> says(String attempt, AttemptStatus word) {
-        return did(
-                () ->
-                        attempts.reported(
-                                now,
-                                "n",
-                                attempt,
-                                word,
-                                OutcomeReason.INSUFFICIENT_CORES,
-                                false,
-                                null,
-                                actions::add));
+    private List<Action> reported(String attempt, AttemptStatus status) {
+        Report report = new Report(attempt, status, OutcomeReason.INSUFFICIENT_CORES, false, null);
+        return actionsOf(() -> attempts.reported(now, "n", report, actions::add));
     }
 
-    private List<Action> did(Runnable what) {
+    private List<Action> actionsOf(Runnable call) {
         actions.clear();
-        what.run();
+        call.run();
         return List.copyOf(actions);
     }
 
-    /** The one outcome that the module was told, or null. */
+    /** The single outcome that the policy was notified of, or null. */
     private static AttemptOutcome outcome(List<Action> actions) {
-        List<AttemptOutcome> all =
+        List<AttemptOutcome> outcomes =
                 actions.stream()
                         .filter(NotifyPolicy.class::isInstance)
-                        .map(a -> ((NotifyPolicy) a).event())
+                        .map(action -> ((NotifyPolicy) action).event())
                         .filter(AttemptEnded.class::isInstance)
-                        .map(e -> ((AttemptEnded) e).outcome())
+                        .map(event -> ((AttemptEnded) event).outcome())
                         .toList();
-        assertThat(all).hasSizeLessThanOrEqualTo(1);
-        return all.isEmpty() ? null : all.get(0);
+        assertThat(outcomes).hasSizeLessThanOrEqualTo(1);
+        return outcomes.isEmpty() ? null : outcomes.get(0);
     }
 
-    private List<Action> inventory(long incarnation, Set<String> held) {
-        return did(
+    private List<Action> inventory(long incarnation, Set<String> attemptIds) {
+        return actionsOf(
                 () ->
                         attempts.inventory(
-                                now, "n", incarnation, held, Set.of(), Map.of(), actions::add));
+                                now,
+                                "n",
+                                incarnation,
+                                attemptIds,
+                                Set.of(),
+                                Map.of(),
+                                actions::add));
     }
 
     @Test
-    void octetsNeverWhollyWrittenProveThatItNeverRan() {
-        String a = offered(Idempotency.NON_IDEMPOTENT);
-        AttemptOutcome outcome = outcome(did(() -> attempts.notWritten(now, a, actions::add)));
+    void incompletelyWrittenOfferNeverRan() {
+        String attempt = offered(Idempotency.NON_IDEMPOTENT);
+        AttemptOutcome outcome =
+                outcome(actionsOf(() -> attempts.notWritten(now, attempt, actions::add)));
         assertThat(outcome.neverRan).isTrue();
     }
 
     @Test
-    void aRefusalProvesThatItNeverRanAndComesOnce() {
-        String a = offered(Idempotency.NON_IDEMPOTENT);
-        assertThat(outcome(says(a, AttemptStatus.REJECTED)).neverRan).isTrue();
-        assertThat(says(a, AttemptStatus.REJECTED)).isEmpty();
+    void rejectedAttemptNeverRanAndEndsOnce() {
+        String attempt = offered(Idempotency.NON_IDEMPOTENT);
+        assertThat(outcome(reported(attempt, AttemptStatus.REJECTED)).neverRan).isTrue();
+        assertThat(reported(attempt, AttemptStatus.REJECTED)).isEmpty();
     }
 
     @Test
-    void aBrokenConnectionProvesNothingAndUnsafeWorkWaitsForProof() {
-        String a = offered(Idempotency.NON_IDEMPOTENT);
-        assertThat(did(() -> attempts.connectionLost(now, "n", actions::add))).isEmpty();
+    void nonIdempotentAttemptStaysOpenAfterConnectionLossUntilInventoryProvesItNeverRan() {
+        String attempt = offered(Idempotency.NON_IDEMPOTENT);
+        assertThat(actionsOf(() -> attempts.connectionLost(now, "n", actions::add))).isEmpty();
         assertThat(outcome(inventory(5, Set.of())).neverRan).isTrue();
-        assertThat(says(a, AttemptStatus.ACCEPTED)).containsExactly(new CancelAttempt("n", a));
+        assertThat(reported(attempt, AttemptStatus.ACCEPTED))
+                .containsExactly(new CancelAttempt("n", attempt));
     }
 
     @Test
-    void whatMayBeRepeatedFreelyIsGivenUpWithTheConnection() {
-        String a = offered(Idempotency.IDEMPOTENT);
-        assertThat(outcome(did(() -> attempts.connectionLost(now, "n", actions::add))))
+    void idempotentAttemptIsLostWithItsConnection() {
+        String attempt = offered(Idempotency.IDEMPOTENT);
+        assertThat(outcome(actionsOf(() -> attempts.connectionLost(now, "n", actions::add))))
                 .isEqualTo(AttemptOutcome.LOST);
-        assertThat(inventory(5, Set.of(a)))
-                .containsExactly(new CancelAttempt("n", a)); // a copy that nobody looks after
+        assertThat(inventory(5, Set.of(attempt)))
+                .containsExactly(new CancelAttempt("n", attempt)); // a copy that nobody tracks
     }
 
     @Test
-    void anInventoryThatHoldsItProvesThatItWasAccepted() {
-        String a = offered(Idempotency.IDEMPOTENT_WITH_KEY);
-        did(() -> attempts.connectionLost(now, "n", actions::add));
-        assertThat(inventory(5, Set.of(a))).contains(new RequestPlaced("q1", "n"));
+    void inventoryListingTheAttemptProvesAcceptance() {
+        String attempt = offered(Idempotency.IDEMPOTENT_WITH_KEY);
+        actionsOf(() -> attempts.connectionLost(now, "n", actions::add));
+        assertThat(inventory(5, Set.of(attempt))).contains(new RequestPlaced("q1", "n"));
     }
 
     @Test
-    void theInventoryOfALaterLifeProvesNothing() {
+    void inventoryOfLaterIncarnationProvesNothing() {
         offered(Idempotency.NON_IDEMPOTENT);
         assertThat(inventory(6, Set.of())).isEmpty();
-        assertThat(outcome(did(() -> attempts.incarnationEnded(now, "n", 5, actions::add))))
+        assertThat(outcome(actionsOf(() -> attempts.incarnationEnded(now, "n", 5, actions::add))))
                 .isEqualTo(AttemptOutcome.LOST);
     }
 
     @Test
-    void unansweredInItsTimeItIsGivenUpAndWithdrawnAndALateYesDoesNotStand() {
-        String a = offered(Idempotency.IDEMPOTENT);
+    void unansweredAttemptTimesOutAndLateAcceptanceIsCancelled() {
+        String attempt = offered(Idempotency.IDEMPOTENT);
         now += 2 * SECOND;
-        List<Action> led = did(() -> attempts.tick(now, actions::add));
-        assertThat(led.get(0)).isEqualTo(new CancelAttempt("n", a));
-        assertThat(outcome(led)).isEqualTo(AttemptOutcome.TIMED_OUT);
-        assertThat(says(a, AttemptStatus.ACCEPTED)).containsExactly(new CancelAttempt("n", a));
-        assertThat(says(a, AttemptStatus.CANCELLED)).isEmpty();
+        List<Action> timeoutActions = actionsOf(() -> attempts.tick(now, actions::add));
+        assertThat(timeoutActions.get(0)).isEqualTo(new CancelAttempt("n", attempt));
+        assertThat(outcome(timeoutActions)).isEqualTo(AttemptOutcome.TIMED_OUT);
+        assertThat(reported(attempt, AttemptStatus.ACCEPTED))
+                .containsExactly(new CancelAttempt("n", attempt));
+        assertThat(reported(attempt, AttemptStatus.CANCELLED)).isEmpty();
     }
 
     @Test
-    void aPlacedTaskOutlastsItsTimeOutAndEndsOnce() {
-        String a = offered(Idempotency.IDEMPOTENT);
-        assertThat(says(a, AttemptStatus.ACCEPTED))
-                .anyMatch(x -> x instanceof NotifyPolicy t && t.event() instanceof AttemptAccepted);
+    void placedTaskOutlivesOfferTimeoutAndTerminatesOnce() {
+        String attempt = offered(Idempotency.IDEMPOTENT);
+        assertThat(reported(attempt, AttemptStatus.ACCEPTED))
+                .anyMatch(
+                        action ->
+                                action instanceof NotifyPolicy notify
+                                        && notify.event() instanceof AttemptAccepted);
         now += 10 * SECOND;
-        assertThat(did(() -> attempts.tick(now, actions::add))).isEmpty();
-        assertThat(says(a, AttemptStatus.COMPLETED))
+        assertThat(actionsOf(() -> attempts.tick(now, actions::add))).isEmpty();
+        assertThat(reported(attempt, AttemptStatus.COMPLETED))
                 .contains(new TaskTerminated("q1", "n", TerminationCause.COMPLETED));
-        assertThat(says(a, AttemptStatus.COMPLETED)).isEmpty();
+        assertThat(reported(attempt, AttemptStatus.COMPLETED)).isEmpty();
         assertThat(attempts.size()).isZero();
     }
 
     @Test
-    void runningProvesAcceptanceWhereThatAnswerWasLost() {
-        String a = offered(Idempotency.NON_IDEMPOTENT);
-        assertThat(says(a, AttemptStatus.RUNNING)).contains(new RequestPlaced("q1", "n"));
+    void runningReportProvesAcceptanceWhenAcceptedReportWasLost() {
+        String attempt = offered(Idempotency.NON_IDEMPOTENT);
+        assertThat(reported(attempt, AttemptStatus.RUNNING)).contains(new RequestPlaced("q1", "n"));
     }
 
     @Test
-    void aPlacedTaskThatTheSameLifeNoLongerHoldsIsLost() {
-        String a = offered(Idempotency.IDEMPOTENT);
-        says(a, AttemptStatus.ACCEPTED);
-        assertThat(did(() -> attempts.connectionLost(now, "n", actions::add))).isEmpty();
+    void placedTaskMissingFromInventoryOfSameIncarnationIsLost() {
+        String attempt = offered(Idempotency.IDEMPOTENT);
+        reported(attempt, AttemptStatus.ACCEPTED);
+        assertThat(actionsOf(() -> attempts.connectionLost(now, "n", actions::add))).isEmpty();
         assertThat(inventory(5, Set.of()))
                 .contains(new TaskTerminated("q1", "n", TerminationCause.LOST));
     }
 
     @Test
-    void aStopIsNamedByWhoAskedForIt() {
-        String a = offered(Idempotency.IDEMPOTENT);
-        says(a, AttemptStatus.ACCEPTED);
-        assertThat(did(() -> attempts.cancel("q1", TerminationCause.MIGRATED, actions::add)))
-                .containsExactly(new CancelAttempt("n", a));
-        assertThat(says(a, AttemptStatus.CANCELLED))
+    void cancelledTaskTerminatesWithTheCauseOfItsCancellation() {
+        String attempt = offered(Idempotency.IDEMPOTENT);
+        reported(attempt, AttemptStatus.ACCEPTED);
+        assertThat(actionsOf(() -> attempts.cancel("q1", TerminationCause.MIGRATED, actions::add)))
+                .containsExactly(new CancelAttempt("n", attempt));
+        assertThat(reported(attempt, AttemptStatus.CANCELLED))
                 .contains(new TaskTerminated("q1", "n", TerminationCause.MIGRATED));
     }
 
     @Test
-    void aNodeThatAnswersWhatItNeverGotIsGuilty() {
-        String a = offered(Idempotency.IDEMPOTENT);
-        List<Action> led =
-                did(
-                        () ->
-                                attempts.reported(
-                                        now,
-                                        "m",
-                                        a,
-                                        AttemptStatus.ACCEPTED,
-                                        OutcomeReason.NONE,
-                                        false,
-                                        null,
-                                        actions::add));
-        assertThat(led).singleElement().isInstanceOf(ProtocolViolation.class);
-        led =
-                did(
-                        () ->
-                                attempts.reported(
-                                        now,
-                                        "n",
-                                        "p.1-999",
-                                        AttemptStatus.COMPLETED,
-                                        OutcomeReason.NONE,
-                                        false,
-                                        null,
-                                        actions::add));
-        assertThat(led).singleElement().isInstanceOf(ProtocolViolation.class);
-        assertThat(says(a, AttemptStatus.ACCEPTED))
-                .contains(new RequestPlaced("q1", "n")); // nothing lost for the honest one
+    void reportOnAttemptNeverOfferedIsProtocolViolation() {
+        String attempt = offered(Idempotency.IDEMPOTENT);
+        Report fromOtherMachine =
+                new Report(attempt, AttemptStatus.ACCEPTED, OutcomeReason.NONE, false, null);
+        assertThat(actionsOf(() -> attempts.reported(now, "m", fromOtherMachine, actions::add)))
+                .singleElement()
+                .isInstanceOf(ProtocolViolation.class);
+        Report ofUnknownAttempt =
+                new Report("p.1-999", AttemptStatus.COMPLETED, OutcomeReason.NONE, false, null);
+        assertThat(actionsOf(() -> attempts.reported(now, "n", ofUnknownAttempt, actions::add)))
+                .singleElement()
+                .isInstanceOf(ProtocolViolation.class);
+        assertThat(reported(attempt, AttemptStatus.ACCEPTED))
+                .contains(new RequestPlaced("q1", "n")); // the right machine is not affected
     }
 
     @Test
-    void workOfAFormerLifeIsTakenOverAndThenLookedAfter() {
+    void workOfEarlierIncarnationIsAdoptedAndTracked() {
         assertThat(inventory(5, Set.of("p.0-7"))).containsExactly(new AdoptTask("n", "p.0-7"));
         attempts.adopted(now, "p.0-7", "q9", "n", 5, Idempotency.NON_IDEMPOTENT, true);
-        assertThat(says("p.0-7", AttemptStatus.COMPLETED))
+        assertThat(reported("p.0-7", AttemptStatus.COMPLETED))
                 .contains(new TaskTerminated("q9", "n", TerminationCause.COMPLETED));
     }
 
     @Test
-    void everyAttemptEndsExactlyOnceWhateverHappens() {
-        java.util.SplittableRandom random = new java.util.SplittableRandom(3);
+    void everyAttemptEndsExactlyOnceUnderRandomEvents() {
+        SplittableRandom random = new SplittableRandom(3);
         for (int run = 0; run < 2_000; run++) {
-            AttemptTracker all = new AttemptTracker("r" + run);
-            Idempotency effect = Idempotency.values()[random.nextInt(3)];
-            String a = all.begin(0, "q", 0, "n", 5, effect, 1_000);
+            AttemptTracker tracker = new AttemptTracker("r" + run);
+            Idempotency idempotency = Idempotency.values()[random.nextInt(3)];
+            String attempt = tracker.begin(0, "q", 0, "n", 5, idempotency, 1_000);
             List<Action> seen = new ArrayList<>();
             for (int step = 0; step < 8; step++) {
-                long at = step * 200;
-                switch (random.nextInt(6)) {
-                    case 0 -> all.connectionLost(at, "n", seen::add);
-                    case 1 ->
-                            all.inventory(
-                                    at,
-                                    "n",
-                                    5,
-                                    random.nextBoolean() ? Set.of(a) : Set.of(),
-                                    Set.of(),
-                                    Map.of(),
-                                    seen::add);
-                    case 2 ->
-                            all.reported(
-                                    at,
-                                    "n",
-                                    a,
-                                    AttemptStatus.values()[
-                                            random.nextInt(AttemptStatus.values().length)],
-                                    OutcomeReason.NONE,
-                                    random.nextBoolean(),
-                                    null,
-                                    seen::add);
-                    case 3 -> all.tick(at, seen::add);
-                    case 4 -> all.notWritten(at, a, seen::add);
-                    default -> all.cancel("q", TerminationCause.STOPPED, seen::add);
-                }
+                randomEvent(random, tracker, attempt, step * 200, seen);
             }
-            all.incarnationEnded(5_000, "n", 5, seen::add);
-            assertThat(
-                            seen.stream()
-                                    .filter(
-                                            x ->
-                                                    x instanceof NotifyPolicy t
-                                                            && t.event() instanceof AttemptEnded)
-                                    .count())
+            tracker.incarnationEnded(5_000, "n", 5, seen::add);
+            assertThat(seen.stream().filter(AttemptTrackerTest::isAttemptEnded).count())
                     .as("run " + run + ": " + seen)
                     .isEqualTo(1);
             assertThat(seen.stream().filter(RequestPlaced.class::isInstance).count())
                     .isLessThanOrEqualTo(1);
         }
     }
+
+    private static boolean isAttemptEnded(Action action) {
+        return action instanceof NotifyPolicy notify && notify.event() instanceof AttemptEnded;
+    }
+
+    private static void randomEvent(
+            SplittableRandom random,
+            AttemptTracker tracker,
+            String attempt,
+            long at,
+            List<Action> seen) {
+        switch (random.nextInt(6)) {
+            case 0 -> tracker.connectionLost(at, "n", seen::add);
+            case 1 ->
+                    tracker.inventory(
+                            at,
+                            "n",
+                            5,
+                            random.nextBoolean() ? Set.of(attempt) : Set.of(),
+                            Set.of(),
+                            Map.of(),
+                            seen::add);
+            case 2 -> tracker.reported(at, "n", randomReport(random, attempt), seen::add);
+            case 3 -> tracker.tick(at, seen::add);
+            case 4 -> tracker.notWritten(at, attempt, seen::add);
+            default -> tracker.cancel("q", TerminationCause.STOPPED, seen::add);
+        }
+    }
+
+    private static Report randomReport(SplittableRandom random, String attempt) {
+        AttemptStatus status =
+                AttemptStatus.values()[random.nextInt(AttemptStatus.values().length)];
+        return new Report(attempt, status, OutcomeReason.NONE, random.nextBoolean(), null);
+    }
 }
