--- a/decisions/src/main/java/thornferry/decisions/diagnosis/PendingReasons.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/PendingReasons.java
@@ -604,16 +604,16 @@
         double lackMemory = 0;
         int fits = 0;
         for (MachineStatus m : fleet.allMachines()) {
-            if (m.state != MachineState.READY) {
+            if (m.state() != MachineState.READY) {
                 continue;
             }
-            double cores = Math.max(0, r.item.cores() - m.freeCores);
-            double memory = Math.max(0, r.item.memory() - m.freeMemory);
+            double cores = Math.max(0, r.item.cores() - m.freeCores());
+            double memory = Math.max(0, r.item.memory() - m.freeMemory());
             if (!ofKind(r, m)) {
                 counts[FilterReason.WRONG_KIND.ordinal()]++;
-            } else if (r.item.cores() > m.cores || r.item.memory() > m.memory) {
+            } else if (r.item.cores() > m.cores() || r.item.memory() > m.memory()) {
                 counts[FilterReason.MACHINE_TOO_SMALL.ordinal()]++;
-            } else if (m.unresponsive) {
+            } else if (m.unresponsive()) {
                 counts[FilterReason.MACHINE_EJECTED.ordinal()]++;
             } else if (cores > 0 || memory > 0) {
                 counts[
@@ -621,10 +621,10 @@
                                         ? FilterReason.INSUFFICIENT_CORES
                                         : FilterReason.INSUFFICIENT_MEMORY)
                                 .ordinal()]++;
-                double lacks = Math.max(cores / m.cores, memory / m.memory);
+                double lacks = Math.max(cores / m.cores(), memory / m.memory());
                 if (lacks < least) {
                     least = lacks;
-                    closest = m.name;
+                    closest = m.name();
                     lackCores = cores;
                     lackMemory = memory;
                 }
@@ -665,13 +665,13 @@
         for (MachineStatus m : fleet.allMachines()) {
             known++;
             boolean could =
-                    r.item.cores() <= m.cores && r.item.memory() <= m.memory && ofKind(r, m);
-            if (could && m.state == MachineState.DRAINING) {
+                    r.item.cores() <= m.cores() && r.item.memory() <= m.memory() && ofKind(r, m);
+            if (could && m.state() == MachineState.DRAINING) {
                 draining++;
-                drains.add(m.name);
-            } else if (could && m.state == MachineState.GONE) {
+                drains.add(m.name());
+            } else if (could && m.state() == MachineState.GONE) {
                 gone++;
-                away.add(m.name);
+                away.add(m.name());
             }
         }
         Map<Kind, Integer> counts = new LinkedHashMap<>();
@@ -733,7 +733,7 @@
 
     private boolean ofKind(Record r, MachineStatus m) {
         String needed = needs.getOrDefault(r.item.taskClass(), "");
-        return needed.isEmpty() || needed.equals(m.kind);
+        return needed.isEmpty() || needed.equals(m.kind());
     }
 
     private static int reasonOf(Pending held, FilterReason cause) {
@@ -796,12 +796,12 @@
         int memory = 0;
         String node = "";
         for (MachineStatus m : fleet.allMachines()) {
-            if (m.state == MachineState.READY
-                    && (m.lastRejection == RejectionReason.INSUFFICIENT_CORES
-                            || m.lastRejection == RejectionReason.INSUFFICIENT_MEMORY)) {
-                cores += m.lastRejection == RejectionReason.INSUFFICIENT_CORES ? 1 : 0;
-                memory += m.lastRejection == RejectionReason.INSUFFICIENT_MEMORY ? 1 : 0;
-                node = m.name;
+            if (m.state() == MachineState.READY
+                    && (m.lastRejection() == RejectionReason.INSUFFICIENT_CORES
+                            || m.lastRejection() == RejectionReason.INSUFFICIENT_MEMORY)) {
+                cores += m.lastRejection() == RejectionReason.INSUFFICIENT_CORES ? 1 : 0;
+                memory += m.lastRejection() == RejectionReason.INSUFFICIENT_MEMORY ? 1 : 0;
+                node = m.name();
             }
         }
         if (refused > 0) {
@@ -849,9 +849,9 @@
         // what it said counts until it is listed as ready anew, or accepts something
         boolean drains =
                 node != null
-                        && (node.state == MachineState.DRAINING
+                        && (node.state() == MachineState.DRAINING
                                 || r.said == RejectionReason.DRAINING
-                                        && node.lastRejection == RejectionReason.DRAINING);
+                                        && node.lastRejection() == RejectionReason.DRAINING);
         if (r.failed != AttemptOutcome.REJECTED) {
             counts.merge(Kind.MACHINES_EJECTED, 1, Integer::sum);
             evidence.add(
--- a/decisions/src/main/java/thornferry/decisions/membership/ClusterView.java
+++ b/decisions/src/main/java/thornferry/decisions/membership/ClusterView.java
@@ -7,157 +7,167 @@
 import java.util.Map;
 import thornferry.decisions.placement.Placement.MachineEntry;
 import thornferry.decisions.placement.Placement.MachineKind;
-import thornferry.decisions.placement.Placement.MachineState;
 
 /**
- * What has been seen of the machines, for the line and for reasons: state, size, the last report of
- * room and the last refusal. Observed beside the module and never asked by it: where a task goes is
- * not decided here. Microseconds.
+ * Read model of the cluster for the admission queue and the diagnosis of pending tasks: state and
+ * size of each machine, its last load report and its last rejection.
+ *
+ * <p>It is maintained beside the placement policy and never consulted by it: no placement is
+ * decided here. Cores and memory are in the units of the task specifications.
  */
 public final class ClusterView {
     private final Map<String, MachineKind> kinds = new HashMap<>();
     private final Map<String, MachineStatus> machines = new LinkedHashMap<>();
     private long version;
-    private boolean roomCame;
+    private boolean capacityGained;
     private double largestCores;
     private double largestMemory;
     private double totalCores;
     private double totalMemory;
 
+    /** A view without machines; {@code kinds} are the configured machine kinds. */
     public ClusterView(List<MachineKind> kinds) {
-        kinds.forEach(k -> this.kinds.put(k.name(), k));
-    }
-
-    /** The same lines as the module's list. */
-    public void update(List<MachineEntry> lines) {
-        for (MachineEntry line : lines) {
-            MachineStatus m = machines.computeIfAbsent(line.machine(), MachineStatus::new);
-            MachineKind kind = kinds.get(line.kind());
-            m.kind = line.kind();
-            m.cores = kind == null ? 0 : kind.cores();
-            m.memory = kind == null ? 0 : kind.memory();
-            if (m.state != MachineState.READY && line.state() == MachineState.READY) {
-                m.freeCores = line.freeCores();
-                m.freeMemory = line.freeMemory();
-                m.lastRejection = RejectionReason.NONE;
-                m.unresponsive = false;
-                roomCame = true;
-            }
-            m.state = line.state();
+        kinds.forEach(kind -> this.kinds.put(kind.name(), kind));
+    }
+
+    /** Applies changed entries of the machine list, the same as the placement policy receives. */
+    public void update(List<MachineEntry> entries) {
+        for (MachineEntry entry : entries) {
+            MachineStatus machine = machines.computeIfAbsent(entry.machine(), MachineStatus::new);
+            machine.setKind(entry.kind(), kinds.get(entry.kind()));
+            capacityGained |= machine.updateState(entry);
         }
         version++;
+        recomputeTotals();
+    }
+
+    private void recomputeTotals() {
         largestCores = 0;
         largestMemory = 0;
         totalCores = 0;
         totalMemory = 0;
-        for (MachineStatus m : machines.values()) {
-            if (m.state == MachineState.READY) {
-                largestCores = Math.max(largestCores, m.cores);
-                largestMemory = Math.max(largestMemory, m.memory);
-                totalCores += m.cores;
-                totalMemory += m.memory;
+        for (MachineStatus machine : machines.values()) {
+            if (machine.isReady()) {
+                largestCores = Math.max(largestCores, machine.cores());
+                largestMemory = Math.max(largestMemory, machine.memory());
+                totalCores += machine.cores();
+                totalMemory += machine.memory();
             }
         }
     }
 
-    /** A machine that membership has forgotten. */
+    /** Removes a machine that membership has forgotten; does nothing if it is not listed. */
     public void remove(String machine) {
         if (machines.remove(machine) != null) {
-            update(List.of());
+            version++;
+            recomputeTotals();
         }
     }
 
-    /** A report of room, with an answer or a probe's reply. */
+    /**
+     * Applies a load report, received with a response or a health check. Ignored for a machine that
+     * is not listed, or where a figure is not finite.
+     */
     public void loadReported(String machine, double coresFree, double memoryFree) {
-        MachineStatus m = machines.get(machine);
-        if (m == null || !Double.isFinite(coresFree + memoryFree)) {
+        MachineStatus status = machines.get(machine);
+        if (status == null || !Double.isFinite(coresFree + memoryFree)) {
             return;
         }
-        roomCame |= coresFree > m.freeCores || memoryFree > m.freeMemory;
-        m.freeCores = coresFree;
-        m.freeMemory = memoryFree;
-        m.unresponsive = false;
+        capacityGained |= coresFree > status.freeCores() || memoryFree > status.freeMemory();
+        status.setFreeCapacity(coresFree, memoryFree);
         version++;
     }
 
-    public void rejected(String machine, RejectionReason why) {
-        MachineStatus m = machines.get(machine);
-        if (m != null) {
-            m.lastRejection = why;
-            m.unresponsive = false;
+    /** Records that the machine rejected an offer. */
+    public void rejected(String machine, RejectionReason reason) {
+        MachineStatus status = machines.get(machine);
+        if (status != null) {
+            status.setRejected(reason);
             version++;
         }
     }
 
-    /** It accepted something: what it refused before no longer describes it. */
+    /** Records that the machine accepted an offer: an earlier rejection no longer describes it. */
     public void accepted(String machine) {
-        MachineStatus m = machines.get(machine);
-        if (m != null && (m.lastRejection != RejectionReason.NONE || m.unresponsive)) {
-            m.lastRejection = RejectionReason.NONE;
-            m.unresponsive = false;
+        MachineStatus status = machines.get(machine);
+        if (status != null
+                && (status.lastRejection() != RejectionReason.NONE || status.unresponsive())) {
+            status.setAccepted();
             version++;
         }
     }
 
-    /** An attempt there was left unanswered or broke off. */
+    /** Records that an attempt at the machine timed out, or that the connection broke during it. */
     public void unresponsive(String machine) {
-        MachineStatus m = machines.get(machine);
-        if (m != null) {
-            m.unresponsive = true;
+        MachineStatus status = machines.get(machine);
+        if (status != null) {
+            status.setUnresponsive();
             version++;
         }
     }
 
     /**
-     * Whether a ready machine shows so much room; its report may be old, so this is a hint, not an
-     * answer.
+     * Whether a ready machine reported this much free capacity. A hint only, since the report may
+     * be out of date.
      */
     public boolean hasCapacity(double cores, double memory) {
-        for (MachineStatus m : machines.values()) {
-            if (m.state == MachineState.READY && m.freeCores >= cores && m.freeMemory >= memory) {
+        for (MachineStatus machine : machines.values()) {
+            if (machine.isReady()
+                    && machine.freeCores() >= cores
+                    && machine.freeMemory() >= memory) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Whether any known machine is as large as that. */
+    /** Whether any listed machine, in whatever state, is that large in total. */
     public boolean couldEverFit(double cores, double memory) {
-        for (MachineStatus m : machines.values()) {
-            if (m.cores >= cores && m.memory >= memory) {
+        for (MachineStatus machine : machines.values()) {
+            if (machine.cores() >= cores && machine.memory() >= memory) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Whether room has come since this was asked last. */
+    /** Whether free capacity has grown anywhere since the last call; resets the mark. */
     public boolean takeCapacityGained() {
-        boolean came = roomCame;
-        roomCame = false;
-        return came;
+        boolean gained = capacityGained;
+        capacityGained = false;
+        return gained;
     }
 
-    /** Whether the task is a large one: this part of the largest ready machine. */
-    public boolean isLarge(double cores, double memory, double part) {
-        return part < 1
-                && (cores >= part * largestCores && largestCores > 0
-                        || memory >= part * largestMemory && largestMemory > 0);
+    /**
+     * Whether a task is large: it needs at least {@code fraction} of the largest ready machine's
+     * cores or memory. No task is large for a fraction of 1 or more.
+     */
+    public boolean isLarge(double cores, double memory, double fraction) {
+        return fraction < 1
+                && (cores >= fraction * largestCores && largestCores > 0
+                        || memory >= fraction * largestMemory && largestMemory > 0);
     }
 
-    /** The larger of the parts of all ready machines; of 1 where there are none. */
+    /**
+     * Dominant share of the amounts: the larger of the fractions of all ready machines' cores and
+     * memory, as in Ghodsi et al., "Dominant Resource Fairness", NSDI 2011. Totals below 1 count as
+     * 1.
+     */
     public double dominantShare(double cores, double memory) {
         return Math.max(cores / Math.max(1, totalCores), memory / Math.max(1, totalMemory));
     }
 
+    /** A number that grows with each change that a reader could see. */
     public long version() {
         return version;
     }
 
+    /** All listed machines in the order of their first appearance. */
     public List<MachineStatus> allMachines() {
         return new ArrayList<>(machines.values());
     }
 
+    /** The machine of that name, or null if it is not listed. */
     public MachineStatus machine(String name) {
         return machines.get(name);
     }
--- a/decisions/src/main/java/thornferry/decisions/membership/Membership.java
+++ b/decisions/src/main/java/thornferry/decisions/membership/Membership.java
@@ -1,33 +1,57 @@
 package thornferry.decisions.membership;
 
 import java.util.ArrayList;
+import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import thornferry.decisions.placement.Placement;
 import thornferry.decisions.placement.Placement.MachineEntry;
 import thornferry.decisions.placement.Placement.MachineState;
 
 /**
- * Which machines there are, in which life, and whether they may be offered anything: from
- * registrations, broken connections and drains to the machine list of {@link Placement}.
+ * Tracks which machines are registered, in which incarnation, and whether they may receive offers:
+ * from registrations, closed connections and drains to the machine list of {@link Placement}.
  *
- * <p>A machine is known by its name, and its lives by their incarnations. A connection that breaks
- * proves nothing about what runs there: the machine is taken off the list at once, since nothing
- * can be sent, but its tasks are given up only after {@link Limits#goneAfterMicros} or when a later
- * incarnation registers. Times are microseconds.
+ * <p>A closed connection does not prove that the machine's tasks have ended. The machine is taken
+ * off the list at once, since nothing can be sent to it, but its incarnation ends only after {@link
+ * Limits#goneAfterMicros} or when a later incarnation registers. The package description lists the
+ * states and transitions of a machine.
+ *
+ * <p>Each method that changes state passes the resulting {@link Action}s, in order, to its {@code
+ * actions} parameter. All times are microseconds; {@code nowMicros} never decreases.
  */
 public final class Membership {
+    /** Stands in for a connection's identity where a machine has none. */
+    public static final long NO_CONNECTION = -1;
+
+    /** Stands in for an incarnation where the machine is not known. */
+    public static final long NO_INCARNATION = -1;
+
     /**
-     * @param goneAfterMicros a machine without a connection for so long is gone, and what ran there
-     *     is lost
+     * A longer gap between two ticks is a pause of the placer itself, and is not counted as time
+     * without a connection of any machine.
+     */
+    private static final long MAX_TICK_GAP_MICROS = 250_000;
+
+    /** Value of {@link #lastTickMicros} before the first tick. */
+    private static final long NEVER = Long.MIN_VALUE;
+
+    private static final long MICROS_PER_MILLI = 1_000;
+
+    /**
+     * Limits of the membership; each must be above 0.
+     *
+     * @param goneAfterMicros time without a connection after which a machine's incarnation ends and
+     *     its tasks are lost
      * @param maxFlaps connections that a machine may lose within {@code flapWindowMicros} without
-     *     being held out
-     * @param flapWindowMicros see {@code maxFlaps}
-     * @param quarantineMicros the first time for which a flapping machine gets nothing; doubles up
-     *     to 16 times that
-     * @param maxMachines machines known at once, gone ones among them
+     *     being quarantined
+     * @param flapWindowMicros window in which lost connections are counted
+     * @param quarantineMicros length of a flapping machine's first quarantine; doubles up to 16
+     *     times that
+     * @param maxMachines machines known at once, including lost ones
      */
     public record Limits(
             long goneAfterMicros,
@@ -36,19 +60,29 @@
             long quarantineMicros,
             int maxMachines) {
         public Limits {
-            if (goneAfterMicros <= 0
-                    || maxFlaps < 1
-                    || flapWindowMicros <= 0
-                    || quarantineMicros <= 0
-                    || maxMachines < 1) {
-                throw new IllegalArgumentException("membership limits must be above 0");
+            requirePositive("goneAfterMicros", goneAfterMicros);
+            requirePositive("maxFlaps", maxFlaps);
+            requirePositive("flapWindowMicros", flapWindowMicros);
+            requirePositive("quarantineMicros", quarantineMicros);
+            requirePositive("maxMachines", maxMachines);
+        }
+
+        private static void requirePositive(String field, long value) {
+            if (value <= 0) {
+                throw new IllegalArgumentException(
+                        "membership limit " + field + " must be above 0, is " + value);
             }
         }
     }
 
     /**
-     * What a machine says of itself. {@code uptimeMicros} since this incarnation started; free
-     * figures count asks.
+     * What a machine reports when it registers.
+     *
+     * @param incarnation number of this start of the machine's agent; grows with each start
+     * @param cores total cores, which must match the configured kind, as must {@code memory}
+     * @param uptimeMicros time since this incarnation started
+     * @param freeCores free cores, in units of task requests
+     * @param freeMemory free memory, in units of task requests
      */
     public record Registration(
             String machine,
@@ -62,35 +96,35 @@
             double freeCores,
             double freeMemory) {}
 
-    /** What is to be done; in the order given. */
+    /** What the caller has to do, in the order given. */
     public sealed interface Action {}
 
-    /** The module's list changed: hand it these lines. */
+    /** Pass these changed entries of the machine list to the placement policy. */
     public record MachinesChanged(List<MachineEntry> entries) implements Action {}
 
-    /** End this connection, whose peer did what {@code reason} says. */
+    /** Close the connection and send its peer the reason. */
     public record CloseConnection(long connection, String reason) implements Action {}
 
-    /** This life of the machine is over: whatever was placed or offered there is lost. */
+    /** This incarnation of the machine has ended: all tasks and offers there are lost. */
     public record IncarnationEnded(String machine, long incarnation, String reason)
             implements Action {}
 
-    /**
-     * A machine long gone is known no longer: another took its place among those that may be known.
-     */
+    /** A lost machine is no longer known, since another needed its entry. */
     public record MachineForgotten(String machine) implements Action {}
 
-    /** The machine is connected by this link, in this life; its inventory holds what it has. */
+    /** The machine is registered on this connection in this incarnation; its inventory is valid. */
     public record MachineAdmitted(String machine, long incarnation, long connection)
             implements Action {}
 
-    /** Tell the machine that it drains, or no longer does. */
+    /** Notify the machine that its drain began or ended. */
     public record NotifyDrain(String machine, long connection, boolean draining)
             implements Action {}
 
     /**
-     * A machine as an operator sees it; {@code note} says why it gets nothing, where it gets
-     * nothing.
+     * A machine as operators see it.
+     *
+     * @param state {@code gone}, {@code draining}, {@code held-out} (quarantined) or {@code ready}
+     * @param note why the machine receives no offers; empty if it does, or drains
      */
     public record MachineView(
             String machine,
@@ -102,302 +136,209 @@
             double memory,
             String note) {}
 
-    private static final long NO_LINK = -1;
-
-    /** Held out at most so many times the first time. */
-    private static final int HELD_OUT_FACTOR = 16;
-
-    /**
-     * A tick later than this tells that we stood still; the time is then held against no machine.
-     */
-    private static final long TICK_LATE = 250_000;
-
-    private static final class Machine {
-        Registration is;
-        long started;
-        long link = NO_LINK;
-        boolean draining;
-        boolean over; // its life was given up
-        long brokenAt;
-        long registeredAt; // what it said of its room then is a reading at that moment only
-        final List<Long> breaks = new ArrayList<>();
-        long heldOutUntil = Long.MIN_VALUE;
-        long heldOutFor;
-        MachineState told = MachineState.GONE;
-    }
-
     private final Limits limits;
-    private final Map<String, Placement.MachineKind> kinds = new LinkedHashMap<>();
-    private final Map<String, Machine> machines = new LinkedHashMap<>();
-    private final Map<Long, String> links = new LinkedHashMap<>();
-    private long lastTick = Long.MIN_VALUE;
+    private final RegistrationValidator validator;
+    private final Map<String, MemberMachine> machines = new LinkedHashMap<>();
+    private final Map<Long, String> machineByConnection = new HashMap<>();
+    private long lastTickMicros = NEVER;
 
+    /** Creates a membership without machines; {@code kinds} are the configured machine kinds. */
     public Membership(Limits limits, List<Placement.MachineKind> kinds) {
         this.limits = limits;
-        kinds.forEach(k -> this.kinds.put(k.name(), k));
+        this.validator = new RegistrationValidator(kinds);
     }
 
-    /** A machine registers on a connection; again on the same one, where it says so anew. */
-    public void registered(long now, long link, Registration r, Consumer<Action> actions) {
-        String wrong = wrong(r);
-        Machine m = machines.get(r.machine());
-        if (wrong == null && links.containsKey(link) && !links.get(link).equals(r.machine())) {
-            wrong = "this connection is registered as another node";
-        }
-        if (wrong == null
-                && m == null
-                && machines.size() >= limits.maxMachines()
-                && !forgetOne(actions)) {
-            wrong = "the placer knows as many nodes as it may: " + limits.maxMachines();
-        }
-        if (wrong == null && m != null && r.incarnation() < m.is.incarnation()) {
-            // guards against a process thought dead that wakes after its successor has registered
-            wrong = "incarnation " + r.incarnation() + " is older than " + m.is.incarnation();
-        }
-        if (wrong != null) {
-            actions.accept(new CloseConnection(link, wrong));
+    /**
+     * A machine registers on a connection, for the first time or again. An invalid registration
+     * closes the connection and changes nothing else.
+     */
+    public void registered(
+            long nowMicros, long connection, Registration registration, Consumer<Action> actions) {
+        MemberMachine machine = machines.get(registration.machine());
+        Optional<String> error =
+                validator
+                        .findError(registration)
+                        .or(() -> findConflict(connection, registration, machine, actions));
+        if (error.isPresent()) {
+            actions.accept(new CloseConnection(connection, error.get()));
             return;
         }
-        if (m == null) {
-            m = new Machine();
-            machines.put(r.machine(), m);
-        } else if (m.link != link && m.link != NO_LINK) {
-            // connected twice: the newer connection counts, for the older may be half-open without
-            // our knowing
-            long old = m.link;
-            unlink(now, m);
-            actions.accept(new CloseConnection(old, "registered again on another connection"));
+        if (machine == null) {
+            MemberMachine added = new MemberMachine(nowMicros, connection, registration, limits);
+            machines.put(registration.machine(), added);
+            admit(nowMicros, added, actions);
+            return;
         }
-        if (m.is != null && r.incarnation() > m.is.incarnation()) {
-            if (!m.over) {
-                actions.accept(
-                        new IncarnationEnded(
-                                r.machine(), m.is.incarnation(), "it has started anew"));
-            }
-            m.is = null;
+        closePreviousConnection(nowMicros, connection, machine, actions);
+        if (machine.isSupersededBy(registration) && !machine.isLost()) {
+            actions.accept(
+                    new IncarnationEnded(
+                            machine.name(), machine.incarnation(), "it has started anew"));
         }
-        if (m.is == null) {
-            // kept for the whole life: a start that seemed to move would look like a restart to the
-            // module
-            m.started = Math.max(1, now - r.uptimeMicros());
+        machine.registerAgain(nowMicros, connection, registration);
+        admit(nowMicros, machine, actions);
+    }
+
+    /**
+     * Returns how a valid registration conflicts with what is known; makes space for a machine that
+     * is not known yet.
+     */
+    private Optional<String> findConflict(
+            long connection,
+            Registration registration,
+            MemberMachine machine,
+            Consumer<Action> actions) {
+        String registeredMachine = machineByConnection.get(connection);
+        if (registeredMachine != null && !registeredMachine.equals(registration.machine())) {
+            return Optional.of("this connection is registered as another node");
         }
-        m.is = r;
-        m.registeredAt = now;
-        m.over = false;
-        m.link = link;
-        links.put(link, r.machine());
-        actions.accept(new MachineAdmitted(r.machine(), r.incarnation(), link));
-        if (m.draining) {
-            actions.accept(new NotifyDrain(r.machine(), link, true));
+        if (machine == null) {
+            return machines.size() < limits.maxMachines() || forgetLostMachine(actions)
+                    ? Optional.empty()
+                    : Optional.of(
+                            "the placer knows as many nodes as it may: " + limits.maxMachines());
         }
-        tell(now, m, actions);
+        // Prevents a process that was thought dead from replacing its successor when it wakes.
+        return registration.incarnation() < machine.incarnation()
+                ? Optional.of(
+                        "incarnation "
+                                + registration.incarnation()
+                                + " is older than "
+                                + machine.incarnation())
+                : Optional.empty();
     }
 
-    private String wrong(Registration r) {
-        Placement.MachineKind kind = kinds.get(r.kind());
-        if (r.machine().isEmpty() || r.machine().length() > 128) {
-            return "a node's name has 1 to 128 characters";
-        } else if (r.zone().isEmpty()) {
-            return "node " + r.machine() + " names no zone";
-        } else if (kind == null) {
-            return "kind "
-                    + r.kind()
-                    + " is not configured; known: "
-                    + String.join(", ", kinds.keySet());
-        } else if (Math.abs(r.cores() - kind.cores()) > 1e-6
-                || Math.abs(r.memory() - kind.memory()) > 1e-6) {
-            return "kind "
-                    + r.kind()
-                    + " is configured with "
-                    + kind.cores()
-                    + " cores and "
-                    + kind.memory()
-                    + " memory, not "
-                    + r.cores()
-                    + " and "
-                    + r.memory();
-        } else if (r.uptimeMicros() < 0
-                || !Double.isFinite(r.freeCores())
-                || !Double.isFinite(r.freeMemory())) {
-            return "uptime and load must be numbers, uptime not below 0";
+    /** Forgets a lost machine that is not draining; returns false if there is none. */
+    private boolean forgetLostMachine(Consumer<Action> actions) {
+        Optional<String> lost =
+                machines.values().stream()
+                        .filter(machine -> machine.isLost() && !machine.isDraining())
+                        .map(MemberMachine::name)
+                        .findFirst();
+        lost.ifPresent(
+                name -> {
+                    machines.remove(name);
+                    actions.accept(new MachineForgotten(name));
+                });
+        return lost.isPresent();
+    }
+
+    /** The newer of two connections counts, since the older may be half-open without notice. */
+    private void closePreviousConnection(
+            long nowMicros, long connection, MemberMachine machine, Consumer<Action> actions) {
+        if (machine.isConnected() && machine.connection() != connection) {
+            long previous = machine.connection();
+            disconnect(nowMicros, machine);
+            actions.accept(new CloseConnection(previous, "registered again on another connection"));
         }
-        return null;
     }
 
-    /**
-     * Room for another by forgetting one that is gone and not being drained; false where there is
-     * none.
-     */
-    private boolean forgetOne(Consumer<Action> actions) {
-        String gone =
-                machines.entrySet().stream()
-                        .filter(e -> e.getValue().over && !e.getValue().draining)
-                        .map(Map.Entry::getKey)
-                        .findFirst()
-                        .orElse(null);
-        if (gone == null) {
-            return false;
+    private void admit(long nowMicros, MemberMachine machine, Consumer<Action> actions) {
+        machineByConnection.put(machine.connection(), machine.name());
+        actions.accept(
+                new MachineAdmitted(machine.name(), machine.incarnation(), machine.connection()));
+        if (machine.isDraining()) {
+            actions.accept(new NotifyDrain(machine.name(), machine.connection(), true));
         }
-        machines.remove(gone);
-        actions.accept(new MachineForgotten(gone));
-        return true;
+        publishState(nowMicros, machine, actions);
     }
 
     /**
-     * A connection is over, whoever ended it. Unknown ones are ignored: they never registered, or
-     * were replaced.
+     * A connection was closed, by whichever side. Ignored if no machine is registered on it: it
+     * never registered, or was replaced.
      */
-    public void connectionClosed(long now, long link, Consumer<Action> actions) {
-        String name = links.get(link);
+    public void connectionClosed(long nowMicros, long connection, Consumer<Action> actions) {
+        String name = machineByConnection.get(connection);
         if (name != null) {
-            Machine m = machines.get(name);
-            unlink(now, m);
-            tell(now, m, actions);
+            MemberMachine machine = machines.get(name);
+            disconnect(nowMicros, machine);
+            publishState(nowMicros, machine, actions);
         }
     }
 
-    private void unlink(long now, Machine m) {
-        links.remove(m.link);
-        m.link = NO_LINK;
-        m.brokenAt = now;
-        m.breaks.add(now);
-        m.breaks.removeIf(at -> at <= now - limits.flapWindowMicros());
-        if (m.breaks.size() > limits.maxFlaps()) {
-            // guards against a machine whose link comes and goes: each return would draw offers
-            // that then hang
-            boolean calm = now > m.heldOutUntil + limits.flapWindowMicros();
-            m.heldOutFor =
-                    calm
-                            ? limits.quarantineMicros()
-                            : Math.min(
-                                    limits.quarantineMicros() * HELD_OUT_FACTOR, m.heldOutFor * 2);
-            m.heldOutUntil = now + m.heldOutFor;
-            m.breaks.clear();
-        }
+    private void disconnect(long nowMicros, MemberMachine machine) {
+        machineByConnection.remove(machine.connection());
+        machine.disconnect(nowMicros);
     }
 
     /**
-     * Starts or ends a drain; false where no such machine is known. A drain outlasts connections
-     * and lives.
+     * Begins or ends a drain, which outlasts connections and incarnations.
+     *
+     * @return false if the machine is not known
      */
-    public boolean drain(long now, String machine, boolean on, Consumer<Action> actions) {
-        Machine m = machines.get(machine);
-        if (m == null) {
+    public boolean drain(
+            long nowMicros, String machine, boolean enabled, Consumer<Action> actions) {
+        MemberMachine member = machines.get(machine);
+        if (member == null) {
             return false;
         }
-        m.draining = on;
-        tell(now, m, actions); // first the module, so that nothing new is offered after this moment
-        if (m.link != NO_LINK) {
-            actions.accept(new NotifyDrain(machine, m.link, on));
+        member.setDraining(enabled);
+        // The policy comes first, so that no offer is made once the machine has been notified.
+        publishState(nowMicros, member, actions);
+        if (member.isConnected()) {
+            actions.accept(new NotifyDrain(machine, member.connection(), enabled));
         }
         return true;
     }
 
-    /** Time passes; to be called several times a second. */
-    public void tick(long now, Consumer<Action> actions) {
-        long late = lastTick == Long.MIN_VALUE ? 0 : now - lastTick;
-        lastTick = now;
-        for (Map.Entry<String, Machine> e : machines.entrySet()) {
-            Machine m = e.getValue();
-            if (late > TICK_LATE && m.link == NO_LINK) {
-                m.brokenAt +=
-                        late; // guards against condemning all at once after a pause of our own
+    /** Advances time: ends incarnations and quarantines. To be called several times a second. */
+    public void tick(long nowMicros, Consumer<Action> actions) {
+        long gapMicros = lastTickMicros == NEVER ? 0 : nowMicros - lastTickMicros;
+        lastTickMicros = nowMicros;
+        for (MemberMachine machine : machines.values()) {
+            if (gapMicros > MAX_TICK_GAP_MICROS) {
+                // Without this, a pause of the placer would end all incarnations at once.
+                machine.excludePause(gapMicros);
             }
-            if (m.link == NO_LINK && !m.over && now - m.brokenAt > limits.goneAfterMicros()) {
-                m.over = true;
+            if (machine.isDueToBeLost(nowMicros, limits.goneAfterMicros())) {
+                machine.markLost();
                 actions.accept(
                         new IncarnationEnded(
-                                e.getKey(),
-                                m.is.incarnation(),
-                                "not heard of for " + limits.goneAfterMicros() / 1_000 + " ms"));
+                                machine.name(),
+                                machine.incarnation(),
+                                "not heard of for "
+                                        + limits.goneAfterMicros() / MICROS_PER_MILLI
+                                        + " ms"));
             }
-            tell(now, m, actions);
+            publishState(nowMicros, machine, actions);
         }
     }
 
-    private void tell(long now, Machine m, Consumer<Action> actions) {
-        MachineState state =
-                m.link == NO_LINK || now < m.heldOutUntil
-                        ? MachineState.GONE
-                        : m.draining ? MachineState.DRAINING : MachineState.READY;
-        if (state != m.told) {
-            m.told = state;
-            Registration r = m.is;
-            // guards against a drain that ends long after: the module takes what the list shows for
-            // a reading
-            boolean fresh = now == m.registeredAt;
-            actions.accept(
-                    new MachinesChanged(
-                            List.of(
-                                    new MachineEntry(
-                                            r.machine(),
-                                            r.zone(),
-                                            r.kind(),
-                                            r.cell(),
-                                            state,
-                                            fresh ? r.freeCores() : Double.NaN,
-                                            fresh ? r.freeMemory() : Double.NaN,
-                                            1,
-                                            m.started))));
+    private static void publishState(
+            long nowMicros, MemberMachine machine, Consumer<Action> actions) {
+        MachineState state = machine.currentState(nowMicros);
+        if (state != machine.publishedState()) {
+            actions.accept(new MachinesChanged(List.of(machine.publish(nowMicros, state))));
         }
     }
 
-    /** The link of a machine, or -1 where it has none. */
+    /** Connection of a machine, or {@link #NO_CONNECTION} if it has none or is not known. */
     public long connectionOf(String machine) {
-        Machine m = machines.get(machine);
-        return m == null ? NO_LINK : m.link;
+        MemberMachine member = machines.get(machine);
+        return member == null ? NO_CONNECTION : member.connection();
     }
 
-    /** Whether the machine may be offered something at this moment, as the module was told last. */
+    /** Whether the machine was listed as ready in the last entry passed to the policy. */
     public boolean ready(String machine) {
-        Machine m = machines.get(machine);
-        return m != null && m.told == MachineState.READY;
+        MemberMachine member = machines.get(machine);
+        return member != null && member.publishedState() == MachineState.READY;
     }
 
-    /** The present incarnation of a machine, or -1 where it is not known. */
+    /** Current incarnation of a machine, or {@link #NO_INCARNATION} if it is not known. */
     public long incarnation(String machine) {
-        Machine m = machines.get(machine);
-        return m == null ? -1 : m.is.incarnation();
+        MemberMachine member = machines.get(machine);
+        return member == null ? NO_INCARNATION : member.incarnation();
     }
 
-    /** The machine registered on this link, or null. */
-    public String machineOf(long link) {
-        return links.get(link);
+    /** The machine registered on this connection, or null. */
+    public String machineOf(long connection) {
+        return machineByConnection.get(connection);
     }
 
-    public List<MachineView> view(long now) {
+    /** All known machines in the order of their first registration, as operators see them. */
+    public List<MachineView> view(long nowMicros) {
         List<MachineView> views = new ArrayList<>();
-        machines.forEach(
-                (name, m) -> {
-                    String state =
-                            m.link == NO_LINK
-                                    ? "gone"
-                                    : m.draining
-                                            ? "draining"
-                                            : now < m.heldOutUntil ? "held-out" : "ready";
-                    String note =
-                            m.link == NO_LINK
-                                    ? "no connection for "
-                                            + (now - m.brokenAt) / 1_000_000
-                                            + " s"
-                                            + (m.draining ? ", drains" : "")
-                                    : now < m.heldOutUntil
-                                            ? "its connection came and went too often; held out for"
-                                                    + " "
-                                                    + (m.heldOutUntil - now) / 1_000_000
-                                                    + " s more"
-                                            : "";
-                    views.add(
-                            new MachineView(
-                                    name,
-                                    m.is.incarnation(),
-                                    m.is.kind(),
-                                    m.is.zone(),
-                                    state,
-                                    m.is.cores(),
-                                    m.is.memory(),
-                                    note));
-                });
+        machines.values().forEach(machine -> views.add(machine.view(nowMicros)));
         return views;
     }
 }
--- a/decisions/src/test/java/thornferry/decisions/membership/MembershipTest.java
+++ b/decisions/src/test/java/thornferry/decisions/membership/MembershipTest.java
@@ -16,7 +16,7 @@
 import thornferry.decisions.placement.Placement.MachineState;
 
 class MembershipTest {
-    private static final long MS = 1_000;
+    private static final long MILLI = 1_000;
     private static final long SECOND = 1_000_000;
 
     private final Membership membership =
@@ -24,235 +24,215 @@
                     new Membership.Limits(10 * SECOND, 2, 30 * SECOND, 5 * SECOND, 3),
                     List.of(new Placement.MachineKind("std", 20, 40)));
     private final List<Action> actions = new ArrayList<>();
-    private long now = 1_000 * SECOND;
+    private long nowMicros = 1_000 * SECOND;
 
-    private static Registration node(String name, long incarnation, long uptime) {
-        return new Registration(name, incarnation, "std", "a", 1, 20, 40, uptime, 20, 40);
+    private static Registration registration(String machine, long incarnation, long uptimeMicros) {
+        return new Registration(machine, incarnation, "std", "a", 1, 20, 40, uptimeMicros, 20, 40);
     }
 
-    private List<Action> registers(long link, String name, long incarnation) {
-        return did(
-                () ->
-                        membership.registered(
-                                now, link, node(name, incarnation, 3_600 * SECOND), actions::add));
+    private List<Action> register(long connection, String machine, long incarnation) {
+        return register(connection, registration(machine, incarnation, 3_600 * SECOND));
     }
 
-    private List<Action> breaks(long link) {
-        return did(() -> membership.connectionClosed(now, link, actions::add));
+    private List<Action> register(long connection, Registration registration) {
+        return actionsOf(
+                () -> membership.registered(nowMicros, connection, registration, actions::add));
     }
 
-    /** Ticks as the host does, every 100 ms. */
-    private List<Action> passes(long time) {
-        return did(
+    private List<Action> disconnect(long connection) {
+        return actionsOf(() -> membership.connectionClosed(nowMicros, connection, actions::add));
+    }
+
+    /** Ticks every 100 ms, as the placer does. */
+    private List<Action> advance(long durationMicros) {
+        return actionsOf(
                 () -> {
-                    for (long end = now + time; now < end; ) {
-                        now = Math.min(end, now + 100 * MS);
-                        membership.tick(now, actions::add);
+                    for (long endMicros = nowMicros + durationMicros; nowMicros < endMicros; ) {
+                        nowMicros = Math.min(endMicros, nowMicros + 100 * MILLI);
+                        membership.tick(nowMicros, actions::add);
                     }
                 });
     }
 
-    private List<Action> did(Runnable what) {
+    private List<Action> actionsOf(Runnable step) {
         actions.clear();
-        what.run();
+        step.run();
         return List.copyOf(actions);
     }
 
-    private static MachineState state(List<Action> actions) {
+    private static MachineState lastPublishedState(List<Action> actions) {
         return actions.stream()
                 .filter(MachinesChanged.class::isInstance)
-                .map(a -> ((MachinesChanged) a).entries().get(0).state())
-                .reduce((a, b) -> b)
+                .map(action -> ((MachinesChanged) action).entries().get(0).state())
+                .reduce((earlier, later) -> later)
                 .orElse(null);
     }
 
-    private String view(String name) {
-        return membership.view(now).stream()
-                .filter(v -> v.machine().equals(name))
+    private String viewedState(String machine) {
+        return membership.view(nowMicros).stream()
+                .filter(view -> view.machine().equals(machine))
                 .findFirst()
                 .orElseThrow()
                 .state();
     }
 
     @Test
-    void aNodeThatRegistersIsAdmittedAndListed() {
-        List<Action> led = registers(1, "n", 5);
-        assertThat(led.get(0)).isEqualTo(new MachineAdmitted("n", 5, 1));
-        assertThat(state(led)).isEqualTo(MachineState.READY);
+    void admitsAndListsRegisteredMachine() {
+        List<Action> result = register(1, "n", 5);
+        assertThat(result.get(0)).isEqualTo(new MachineAdmitted("n", 5, 1));
+        assertThat(lastPublishedState(result)).isEqualTo(MachineState.READY);
         assertThat(membership.connectionOf("n")).isEqualTo(1);
     }
 
     @Test
-    void aBrokenConnectionTakesItOffTheListAtOnceButLosesNothing() {
-        registers(1, "n", 5);
-        assertThat(state(breaks(1))).isEqualTo(MachineState.GONE);
-        assertThat(passes(9 * SECOND)).noneMatch(IncarnationEnded.class::isInstance);
-        List<Action> back = registers(2, "n", 5);
-        assertThat(state(back)).isEqualTo(MachineState.READY);
-        assertThat(back).noneMatch(IncarnationEnded.class::isInstance);
+    void unlistsDisconnectedMachineWithoutEndingIncarnation() {
+        register(1, "n", 5);
+        assertThat(lastPublishedState(disconnect(1))).isEqualTo(MachineState.GONE);
+        assertThat(advance(9 * SECOND)).noneMatch(IncarnationEnded.class::isInstance);
+        List<Action> reconnected = register(2, "n", 5);
+        assertThat(lastPublishedState(reconnected)).isEqualTo(MachineState.READY);
+        assertThat(reconnected).noneMatch(IncarnationEnded.class::isInstance);
     }
 
     @Test
-    void sameLifeKeepsItsStartSoThatTheModuleSeesNoRestart() {
-        MachinesChanged first = (MachinesChanged) registers(1, "n", 5).get(1);
-        breaks(1);
-        now += SECOND;
+    void keepsStartTimeWithinIncarnation() {
+        MachinesChanged first = (MachinesChanged) register(1, "n", 5).get(1);
+        disconnect(1);
+        nowMicros += SECOND;
         // its uptime is rounded and delayed on the way: a start that moved would look like a
         // restart
-        MachinesChanged again =
-                (MachinesChanged)
-                        did(() ->
-                                        membership.registered(
-                                                now, 2, node("n", 5, 3_600 * SECOND), actions::add))
-                                .get(1);
+        MachinesChanged again = (MachinesChanged) register(2, "n", 5).get(1);
         assertThat(again.entries().get(0).startedAtMicros())
                 .isEqualTo(first.entries().get(0).startedAtMicros());
     }
 
     @Test
-    void silentForTooLongItsLifeIsOverOnceAndOnlyOnce() {
-        registers(1, "n", 5);
-        breaks(1);
-        assertThat(passes(30 * SECOND)).filteredOn(IncarnationEnded.class::isInstance).hasSize(1);
+    void endsIncarnationOnceAfterTimeWithoutConnection() {
+        register(1, "n", 5);
+        disconnect(1);
+        assertThat(advance(30 * SECOND)).filteredOn(IncarnationEnded.class::isInstance).hasSize(1);
     }
 
     @Test
-    void aPauseOfOurOwnCondemnsNobody() {
-        registers(1, "n", 5);
-        passes(SECOND);
-        breaks(1);
-        passes(9 * SECOND);
-        now += 2 * SECOND; // nobody looked meanwhile: over ten seconds since the break, but
-        // only nine of ours
-        assertThat(did(() -> membership.tick(now, actions::add)))
+    void excludesOwnPauseFromTimeWithoutConnection() {
+        register(1, "n", 5);
+        advance(SECOND);
+        disconnect(1);
+        advance(9 * SECOND);
+        // no tick meanwhile: eleven seconds since the disconnect, but only nine of them ticked
+        nowMicros += 2 * SECOND;
+        assertThat(actionsOf(() -> membership.tick(nowMicros, actions::add)))
                 .noneMatch(IncarnationEnded.class::isInstance);
-        assertThat(passes(2 * SECOND)).anyMatch(IncarnationEnded.class::isInstance);
+        assertThat(advance(2 * SECOND)).anyMatch(IncarnationEnded.class::isInstance);
     }
 
     @Test
-    void aLaterIncarnationEndsTheEarlierLifeBeforeItIsDeclaredGone() {
-        registers(1, "n", 5);
-        List<Action> led = registers(2, "n", 6);
-        assertThat(led)
+    void endsEarlierIncarnationWhenLaterOneRegisters() {
+        register(1, "n", 5);
+        List<Action> result = register(2, "n", 6);
+        assertThat(result)
                 .containsSubsequence(
                         new CloseConnection(1, "registered again on another connection"),
                         new IncarnationEnded("n", 5, "it has started anew"),
                         new MachineAdmitted("n", 6, 2));
-        assertThat(breaks(1)).isEmpty(); // the old connection's end says nothing of the new life
+        // closing the old connection does not affect the new incarnation
+        assertThat(disconnect(1)).isEmpty();
         assertThat(membership.connectionOf("n")).isEqualTo(2);
     }
 
     @Test
-    void anOlderIncarnationIsTurnedAway() {
-        registers(1, "n", 6);
-        List<Action> led = registers(2, "n", 5);
-        assertThat(led).singleElement().isInstanceOf(CloseConnection.class);
+    void rejectsOlderIncarnation() {
+        register(1, "n", 6);
+        List<Action> result = register(2, "n", 5);
+        assertThat(result).singleElement().isInstanceOf(CloseConnection.class);
         assertThat(membership.incarnation("n")).isEqualTo(6);
         assertThat(membership.connectionOf("n")).isEqualTo(1);
     }
 
     @Test
-    void connectedTwiceTheNewerConnectionCounts() {
-        registers(1, "n", 5);
-        List<Action> led = registers(2, "n", 5);
-        assertThat(led).contains(new CloseConnection(1, "registered again on another connection"));
-        assertThat(led).noneMatch(IncarnationEnded.class::isInstance);
-        assertThat(view("n")).isEqualTo("ready");
+    void prefersNewerConnection() {
+        register(1, "n", 5);
+        List<Action> result = register(2, "n", 5);
+        assertThat(result)
+                .contains(new CloseConnection(1, "registered again on another connection"));
+        assertThat(result).noneMatch(IncarnationEnded.class::isInstance);
+        assertThat(viewedState("n")).isEqualTo("ready");
     }
 
     @Test
-    void oneConnectionCannotBeTwoNodes() {
-        registers(1, "n", 5);
-        assertThat(registers(1, "m", 5)).singleElement().isInstanceOf(CloseConnection.class);
+    void rejectsSecondMachineOnSameConnection() {
+        register(1, "n", 5);
+        assertThat(register(1, "m", 5)).singleElement().isInstanceOf(CloseConnection.class);
     }
 
     @Test
-    void aFlappingNodeIsHeldOutLongerEachTime() {
-        long link = 1;
-        long[] heldOut = new long[2];
+    void doublesQuarantineOfFlappingMachine() {
+        long connection = 1;
+        long[] quarantineMicros = new long[2];
         for (int round = 0; round < 2; round++) {
             for (int i = 0; i < 3; i++) {
-                registers(link, "n", 5);
-                breaks(link++);
+                register(connection, "n", 5);
+                disconnect(connection++);
             }
-            registers(link, "n", 5);
-            assertThat(view("n")).isEqualTo("held-out");
-            long from = now;
-            while (view("n").equals("held-out")) {
-                passes(100 * MS);
+            register(connection, "n", 5);
+            assertThat(viewedState("n")).isEqualTo("held-out");
+            long startMicros = nowMicros;
+            while (viewedState("n").equals("held-out")) {
+                advance(100 * MILLI);
             }
-            heldOut[round] = now - from;
-            breaks(link++);
+            quarantineMicros[round] = nowMicros - startMicros;
+            disconnect(connection++);
         }
-        assertThat(heldOut[0]).isBetween(4 * SECOND, 6 * SECOND);
-        assertThat(heldOut[1]).isBetween(9 * SECOND, 11 * SECOND);
+        assertThat(quarantineMicros[0]).isBetween(4 * SECOND, 6 * SECOND);
+        assertThat(quarantineMicros[1]).isBetween(9 * SECOND, 11 * SECOND);
     }
 
     @Test
-    void aDrainTellsTheModuleFirstAndOutlastsLives() {
-        registers(1, "n", 5);
-        List<Action> led = did(() -> membership.drain(now, "n", true, actions::add));
-        assertThat(state(led)).isEqualTo(MachineState.DRAINING);
-        assertThat(led.get(led.size() - 1)).isEqualTo(new NotifyDrain("n", 1, true));
-        breaks(1);
-        List<Action> back = registers(2, "n", 6);
-        assertThat(state(back)).isEqualTo(MachineState.DRAINING);
-        assertThat(back).contains(new NotifyDrain("n", 2, true));
-        assertThat(state(did(() -> membership.drain(now, "n", false, actions::add))))
+    void drainNotifiesPolicyFirstAndOutlastsIncarnations() {
+        register(1, "n", 5);
+        List<Action> result = actionsOf(() -> membership.drain(nowMicros, "n", true, actions::add));
+        assertThat(lastPublishedState(result)).isEqualTo(MachineState.DRAINING);
+        assertThat(result.get(result.size() - 1)).isEqualTo(new NotifyDrain("n", 1, true));
+        disconnect(1);
+        List<Action> reconnected = register(2, "n", 6);
+        assertThat(lastPublishedState(reconnected)).isEqualTo(MachineState.DRAINING);
+        assertThat(reconnected).contains(new NotifyDrain("n", 2, true));
+        assertThat(
+                        lastPublishedState(
+                                actionsOf(
+                                        () ->
+                                                membership.drain(
+                                                        nowMicros, "n", false, actions::add))))
                 .isEqualTo(MachineState.READY);
-        assertThat(membership.drain(now, "nobody", true, actions::add)).isFalse();
+        assertThat(membership.drain(nowMicros, "nobody", true, actions::add)).isFalse();
     }
 
     @Test
-    void wrongRegistrationsAreTurnedAwayWithAReason() {
-        assertThat(
-                        did(
-                                () ->
-                                        membership.registered(
-                                                now,
-                                                1,
-                                                new Registration(
-                                                        "n", 1, "odd", "a", 1, 20, 40, 0, 1, 1),
-                                                actions::add)))
+    void rejectsInvalidRegistrationsWithReason() {
+        assertThat(register(1, new Registration("n", 1, "odd", "a", 1, 20, 40, 0, 1, 1)))
                 .singleElement()
-                .extracting(a -> ((CloseConnection) a).reason())
+                .extracting(action -> ((CloseConnection) action).reason())
                 .asString()
                 .contains("kind odd");
-        assertThat(
-                        did(
-                                () ->
-                                        membership.registered(
-                                                now,
-                                                1,
-                                                new Registration(
-                                                        "n", 1, "std", "a", 1, 10, 40, 0, 1, 1),
-                                                actions::add)))
+        assertThat(register(1, new Registration("n", 1, "std", "a", 1, 10, 40, 0, 1, 1)))
                 .singleElement()
-                .extracting(a -> ((CloseConnection) a).reason())
+                .extracting(action -> ((CloseConnection) action).reason())
                 .asString()
                 .contains("20.0 cores");
-        assertThat(
-                        did(
-                                () ->
-                                        membership.registered(
-                                                now,
-                                                1,
-                                                new Registration(
-                                                        "n", 1, "std", "", 1, 20, 40, 0, 1, 1),
-                                                actions::add)))
+        assertThat(register(1, new Registration("n", 1, "std", "", 1, 20, 40, 0, 1, 1)))
                 .singleElement()
                 .isInstanceOf(CloseConnection.class);
-        assertThat(membership.view(now)).isEmpty();
+        assertThat(membership.view(nowMicros)).isEmpty();
     }
 
     @Test
-    void theNumberOfNodesIsBoundedAndGoneOnesMakeRoom() {
-        registers(1, "a", 1);
-        registers(2, "b", 1);
-        registers(3, "c", 1);
-        assertThat(registers(4, "d", 1)).singleElement().isInstanceOf(CloseConnection.class);
-        breaks(1);
-        passes(11 * SECOND);
-        assertThat(registers(5, "d", 1)).contains(new MachineAdmitted("d", 1, 5));
+    void boundsNumberOfMachinesAndReplacesLostOnes() {
+        register(1, "a", 1);
+        register(2, "b", 1);
+        register(3, "c", 1);
+        assertThat(register(4, "d", 1)).singleElement().isInstanceOf(CloseConnection.class);
+        disconnect(1);
+        advance(11 * SECOND);
+        assertThat(register(5, "d", 1)).contains(new MachineAdmitted("d", 1, 5));
     }
 }
