--- a/placer/src/main/java/thornferry/placer/Account.java
+++ b/placer/src/main/java/thornferry/placer/Account.java
@@ -1,25 +1,27 @@
 package thornferry.placer;
 
 /**
- * Who may connect, and as what.
+ * A login that may connect, and what it may do.
  *
- * @param secret a hash of the passcode, or for trials the passcode itself; null where only a
- *     certificate will do
- * @param tenant whose share an owner's tasks count in; empty where the site has no tenants
+ * @param secret a hash of the passcode, or the passcode itself in test setups; null if only a
+ *     certificate is accepted
+ * @param tenant the tenant in whose quota the tasks of this account count; empty if the site has no
+ *     tenants
  */
 public record Account(String login, String secret, Role role, String tenant) {
-    /**
-     * What an account may do: place tasks, be a node, or watch and drain nodes (and place tasks
-     * too).
-     */
+    /** What an account may do. */
     public enum Role {
+        /** A client, which submits tasks and owns them. */
         OWNER,
+        /** A node. */
         AGENT,
+        /** A client that may also watch and drain nodes and reload the configuration. */
         OPERATOR
     }
 
+    /** Login and role; never the secret. */
     @Override
     public String toString() {
-        return login + " (" + role + ")"; // never the secret
+        return login + " (" + role + ")";
     }
 }
--- /dev/null
+++ b/placer/src/main/java/thornferry/placer/AdmissionActions.java
@@ -0,0 +1,82 @@
+package thornferry.placer;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.function.Consumer;
+import thornferry.decisions.admission.AdmissionQueue;
+import thornferry.decisions.admission.QueuedRequest;
+import thornferry.decisions.placement.Placement;
+import thornferry.decisions.requests.RequestTracker;
+
+/** Carries out what the {@link AdmissionQueue} decides: dispatch, recall or shed a request. */
+final class AdmissionActions implements Consumer<AdmissionQueue.Action> {
+    private final PlacerComponents components;
+
+    /** By request id, until the request is placed or has its result. */
+    private final Map<String, Placement.PlacementRequest> placementRequests = new HashMap<>();
+
+    AdmissionActions(PlacerComponents components) {
+        this.components = components;
+    }
+
+    /** Puts a request into the admission queue. */
+    void enqueue(long nowMicros, RequestTracker.Dispatch dispatch) {
+        Placement.PlacementRequest request = dispatch.request();
+        QueuedRequest queued =
+                components.taskClasses.queuedRequest(
+                        request,
+                        dispatch.owner(),
+                        dispatch.deadlineMicros(),
+                        dispatch.rejectedBy());
+        placementRequests.put(request.id(), request);
+        components.reasons.queued(dispatch.spec().id(), queued);
+        components.admissionQueue.arrived(nowMicros, queued, this);
+    }
+
+    /** Forgets a request that needs no dispatch any more. */
+    void forget(String requestId) {
+        placementRequests.remove(requestId);
+    }
+
+    @Override
+    public void accept(AdmissionQueue.Action action) {
+        if (action instanceof AdmissionQueue.Dispatch dispatch) {
+            dispatch(dispatch);
+        } else if (action instanceof AdmissionQueue.Recall recall) {
+            components.reasons.stageChanged(recall.requestId());
+            components.policy.accept(new Placement.ClientDisconnected(recall.requestId()));
+        } else if (action instanceof AdmissionQueue.Shed shed) {
+            components.requests.shed(
+                    components.clock().now(),
+                    shed.requestId(),
+                    shed.reason(),
+                    shed.retryAfterMicros(),
+                    components.requestActions);
+        }
+    }
+
+    private void dispatch(AdmissionQueue.Dispatch dispatch) {
+        Placement.PlacementRequest request = placementRequests.get(dispatch.requestId());
+        components.reasons.stageChanged(dispatch.requestId());
+        if (request != null) {
+            components.policy.accept(
+                    new Placement.PlacementRequested(
+                            withMaxWait(request, dispatch.maxWaitMicros())));
+        }
+    }
+
+    private static Placement.PlacementRequest withMaxWait(
+            Placement.PlacementRequest request, long maxWaitMicros) {
+        return new Placement.PlacementRequest(
+                request.id(),
+                request.taskClass(),
+                request.tenant(),
+                request.task(),
+                maxWaitMicros,
+                request.expectedRunMicros(),
+                request.service(),
+                request.cores(),
+                request.memory(),
+                request.retry());
+    }
+}
--- a/placer/src/main/java/thornferry/placer/Clock.java
+++ b/placer/src/main/java/thornferry/placer/Clock.java
@@ -1,11 +1,16 @@
 package thornferry.placer;
 
-/** The one clock of an instance: microseconds that never go back, near to those since 1970. */
+/** A monotonic clock whose values are close to the wall-clock time. */
 public interface Clock {
+    /** The current time in microseconds since 1970; never less than an earlier value. */
     long now();
 
+    /**
+     * A clock that starts at the system's wall-clock time and advances with its monotonic clock;
+     * later adjustments of the wall clock have no effect on it.
+     */
     static Clock system() {
-        long base = System.currentTimeMillis() * 1_000 - System.nanoTime() / 1_000;
-        return () -> base + System.nanoTime() / 1_000;
+        long baseMicros = System.currentTimeMillis() * 1_000 - System.nanoTime() / 1_000;
+        return () -> baseMicros + System.nanoTime() / 1_000;
     }
 }
--- a/placer/src/main/java/thornferry/placer/DestinationPermissions.java
+++ b/placer/src/main/java/thornferry/placer/DestinationPermissions.java
@@ -2,13 +2,14 @@
 
 import java.util.EnumSet;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import thornferry.placer.Account.Role;
 import thornferry.protocol.Destinations;
 
-/** Which destination takes which role: the one place where that stands. */
+/** Which role may use which destination. */
 final class DestinationPermissions {
-    /** What a destination leads to. */
+    /** What a destination is for. */
     enum Endpoint {
         TASKS,
         STOP,
@@ -26,55 +27,59 @@
         REPLIES
     }
 
-    private static final Set<Role> OWNERS = EnumSet.of(Role.OWNER, Role.OPERATOR);
+    private static final Set<Role> CLIENTS = EnumSet.of(Role.OWNER, Role.OPERATOR);
     private static final Set<Role> AGENTS = EnumSet.of(Role.AGENT);
     private static final Set<Role> OPERATORS = EnumSet.of(Role.OPERATOR);
+    private static final Set<Role> AGENTS_AND_OPERATORS = EnumSet.of(Role.AGENT, Role.OPERATOR);
 
     private static final Map<String, Endpoint> SEND =
             Map.ofEntries(
                     Map.entry(Destinations.TASKS, Endpoint.TASKS),
-                            Map.entry(Destinations.STOP, Endpoint.STOP),
+                    Map.entry(Destinations.STOP, Endpoint.STOP),
                     Map.entry(Destinations.WHY, Endpoint.WHY),
-                            Map.entry(Destinations.WAITING, Endpoint.WAITING),
+                    Map.entry(Destinations.WAITING, Endpoint.WAITING),
                     Map.entry(Destinations.LIMITS, Endpoint.LIMITS),
-                            Map.entry(Destinations.RELOAD, Endpoint.RELOAD),
+                    Map.entry(Destinations.RELOAD, Endpoint.RELOAD),
                     Map.entry(Destinations.REGISTER, Endpoint.REGISTER),
-                            Map.entry(Destinations.ANSWERS, Endpoint.ANSWERS),
+                    Map.entry(Destinations.ANSWERS, Endpoint.ANSWERS),
                     Map.entry(Destinations.PROBES, Endpoint.PROBES),
-                            Map.entry(Destinations.DRAIN, Endpoint.DRAIN));
+                    Map.entry(Destinations.DRAIN, Endpoint.DRAIN));
 
     private static final Map<String, Endpoint> SUBSCRIBE =
-            Map.of(
-                    Destinations.RESULTS,
-                    Endpoint.RESULTS,
-                    Destinations.WAITING,
-                    Endpoint.WAITING,
-                    Destinations.NODES,
-                    Endpoint.NODES);
+            Map.ofEntries(
+                    Map.entry(Destinations.RESULTS, Endpoint.RESULTS),
+                    Map.entry(Destinations.WAITING, Endpoint.WAITING),
+                    Map.entry(Destinations.NODES, Endpoint.NODES));
 
     private DestinationPermissions() {}
 
-    /** What a SEND leads to, or null where there is no such destination. */
-    static Endpoint send(String destination) {
-        return SEND.get(destination);
+    /** The endpoint of a SEND; empty if there is no such destination. */
+    static Optional<Endpoint> send(String destination) {
+        return Optional.ofNullable(SEND.get(destination));
     }
 
-    /** What a SUBSCRIBE leads to, or null. Names are compared whole: there are no patterns. */
-    static Endpoint subscribe(String destination) {
-        return Destinations.nodeOfOffers(destination) != null
-                ? Endpoint.OFFERS
-                : destination.startsWith(Destinations.REPLIES)
-                        ? Endpoint.REPLIES
-                        : SUBSCRIBE.get(destination);
+    /**
+     * The endpoint of a SUBSCRIBE; empty if there is no such destination. There are no wildcards.
+     */
+    static Optional<Endpoint> subscribe(String destination) {
+        if (Destinations.nodeOfOffers(destination) != null) {
+            return Optional.of(Endpoint.OFFERS);
+        }
+        if (destination.startsWith(Destinations.REPLIES)) {
+            return Optional.of(Endpoint.REPLIES);
+        }
+        return Optional.ofNullable(SUBSCRIBE.get(destination));
     }
 
-    static boolean allows(Role role, Endpoint to) {
-        return switch (to) {
-            case TASKS, STOP, RESULTS, WAITING, WHY, LIMITS -> OWNERS.contains(role);
+    /** Whether a role may use an endpoint. */
+    static boolean allows(Role role, Endpoint endpoint) {
+        return switch (endpoint) {
+            case TASKS, STOP, RESULTS, WAITING, WHY, LIMITS -> CLIENTS.contains(role);
             case REGISTER, ANSWERS, PROBES, OFFERS -> AGENTS.contains(role);
             case RELOAD, NODES -> OPERATORS.contains(role);
-            case DRAIN -> role != Role.OWNER; // an agent only of itself
-            case REPLIES -> true; // each connection's own
+            // the handler lets an agent drain only itself
+            case DRAIN -> AGENTS_AND_OPERATORS.contains(role);
+            case REPLIES -> true; // each connection has its own
         };
     }
 }
--- /dev/null
+++ b/placer/src/main/java/thornferry/placer/JournalOpener.java
@@ -0,0 +1,67 @@
+package thornferry.placer;
+
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import thornferry.state.Durability;
+import thornferry.state.Journal;
+import thornferry.state.JournalFile;
+
+/** Opens the journals of the instances of a placer, and closes them with it. */
+final class JournalOpener implements AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(JournalOpener.class);
+
+    private final List<JournalFile> journals = new ArrayList<>();
+
+    /**
+     * Reads what earlier incarnations of an instance left. If the folder cannot be used, the
+     * instance starts nevertheless and rejects only the tasks that need the journal.
+     *
+     * @throws JournalFile.JournalInUseException if another process uses the journal
+     */
+    RecoveredState open(Site site, String instance) throws IOException {
+        if (site.state().durability() == Durability.NONE) {
+            return RecoveredState.NOTHING;
+        }
+        Path folder = site.state().folder().resolve(instance);
+        try {
+            JournalFile file = JournalFile.open(folder, instance, site.state().durability());
+            journals.add(file);
+            boolean complete = file.incompleteBecause().isEmpty();
+            LOG.atInfo()
+                    .addKeyValue("instance", instance)
+                    .log(
+                            "journal in {}: {} lines of former lives{}",
+                            folder,
+                            file.records().size(),
+                            complete ? "" : "; " + file.incompleteBecause());
+            return new RecoveredState(file, file.records(), complete);
+        } catch (JournalFile.JournalInUseException e) {
+            throw e;
+        } catch (IOException e) {
+            String failure = "the journal in " + folder + " cannot be used: " + e;
+            LOG.atError()
+                    .addKeyValue("instance", instance)
+                    .log("{}; keyed and unsafe tasks are rejected", failure);
+            return new RecoveredState(Journal.broken(failure), List.of(), false);
+        }
+    }
+
+    /**
+     * Writes the records that still count as the beginning of the new incarnation's journal; does
+     * nothing without a journal file.
+     */
+    static void startIncarnation(RecoveredState recovered, PlacerServer server) throws IOException {
+        if (recovered.journal() instanceof JournalFile file) {
+            file.startIncarnation(server.recordsToKeep());
+        }
+    }
+
+    @Override
+    public void close() {
+        journals.forEach(JournalFile::close);
+    }
+}
--- a/placer/src/main/java/thornferry/placer/LoginAuthenticator.java
+++ b/placer/src/main/java/thornferry/placer/LoginAuthenticator.java
@@ -5,8 +5,10 @@
 import java.security.MessageDigest;
 import java.security.SecureRandom;
 import java.util.HashMap;
+import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.RejectedExecutionException;
@@ -19,48 +21,101 @@
 import thornferry.security.Passcodes;
 
 /**
- * Checks logins for all instances of a placer: hashes off the event loops, on two threads with a
- * bounded queue, and {@link LoginRateLimiter} decides who waits. A passcode found good is
- * remembered as a keyed digest until accounts change, so that a thousand nodes that dial again do
- * not cost a thousand hashes. Safe for use by several threads.
+ * Checks logins for all instances of a placer. Passcodes are hashed off the event loops, by two
+ * threads with a bounded queue, and a {@link LoginRateLimiter} delays or rejects those who guess. A
+ * passcode that was found correct is cached as a keyed digest until the accounts change, so that a
+ * thousand nodes that reconnect do not cost a thousand hashes. Safe for use by several threads.
  */
 final class LoginAuthenticator implements AutoCloseable {
+    /** The rejection of a wrong login or passcode; it does not say which of the two is wrong. */
+    static final String NOT_ACCEPTED = "login or passcode not accepted";
+
+    private static final String TOO_MANY_ATTEMPTS =
+            "too many tries of this login from your address; wait";
+    private static final String TOO_MANY_LOGINS = "too many logins at once; try again";
+
     private static final int THREADS = 2;
-    private static final int QUEUE = 512;
-    private static final int REMEMBERED = 20_000;
-    private static final String NO = "login or passcode not accepted";
+    private static final int MAX_QUEUED_CHECKS = 512;
+    private static final int MAX_CACHED_DIGESTS = 20_000;
+    private static final int DIGEST_KEY_BYTES = 32;
+    private static final String DIGEST_ALGORITHM = "HmacSHA256";
+
+    /**
+     * What a peer presents.
+     *
+     * @param address of the peer
+     * @param login may be null
+     * @param passcode may be null
+     */
+    record Credentials(String address, String login, String passcode) {}
+
+    /** Runs a task after a delay. */
+    interface DelayedExecutor {
+        void execute(long delayMicros, Runnable task);
+    }
+
+    /**
+     * One check of credentials.
+     *
+     * @param login as given, or empty if none was given or it is too long
+     * @param account null if there is none of this login
+     * @param digest the key of the cache; null if there is nothing that could be cached
+     * @param callback receives empty if the credentials are correct, or the reason of the rejection
+     */
+    private record LoginCheck(
+            String address,
+            String login,
+            String passcode,
+            Account account,
+            String digest,
+            Consumer<Optional<String>> callback) {
+        void accept() {
+            callback.accept(Optional.empty());
+        }
+
+        void reject(String reason) {
+            callback.accept(Optional.of(reason));
+        }
+    }
 
     private final Clock clock = Clock.system();
-    private final LoginRateLimiter throttle =
+
+    /** Not safe for use by several threads: guarded by itself. */
+    private final LoginRateLimiter rateLimiter =
             new LoginRateLimiter(LoginRateLimiter.Settings.DEFAULTS);
+
     private final ThreadPoolExecutor workers =
             new ThreadPoolExecutor(
                     THREADS,
                     THREADS,
                     1,
                     TimeUnit.MINUTES,
-                    new ArrayBlockingQueue<>(QUEUE),
-                    task -> {
-                        Thread t = new Thread(task, "login");
-                        t.setDaemon(true);
-                        return t;
-                    });
-    private final byte[] secret = new byte[32];
-    private final Map<String, String> good =
-            new ConcurrentHashMap<>(); // digest of login, passcode and stored secret
+                    new ArrayBlockingQueue<>(MAX_QUEUED_CHECKS),
+                    LoginAuthenticator::workerThread);
+    private final byte[] digestKey = new byte[DIGEST_KEY_BYTES];
+
+    /** Digests of login, passcode and stored secret of successful checks; the value is unused. */
+    private final Map<String, String> acceptedDigests = new ConcurrentHashMap<>();
+
     private volatile Map<String, Account> accounts;
 
     LoginAuthenticator(List<Account> accounts) {
-        new SecureRandom().nextBytes(secret);
-        set(accounts);
+        new SecureRandom().nextBytes(digestKey);
+        setAccounts(accounts);
+    }
+
+    private static Thread workerThread(Runnable task) {
+        Thread thread = new Thread(task, "login");
+        thread.setDaemon(true);
+        return thread;
     }
 
-    /** Other accounts from now on; who is connected stays so. */
-    void set(List<Account> list) {
-        Map<String, Account> map = new HashMap<>();
-        list.forEach(a -> map.put(a.login(), a));
-        accounts = Map.copyOf(map);
-        good.clear();
+    /** Replaces the accounts; open connections stay. */
+    void setAccounts(List<Account> list) {
+        Map<String, Account> byLogin = new HashMap<>();
+        list.forEach(account -> byLogin.put(account.login(), account));
+        accounts = Map.copyOf(byLogin);
+        acceptedDigests.clear();
     }
 
     /** The account of a login, or null. */
@@ -69,107 +124,106 @@
     }
 
     /**
-     * Checks a login. {@code answer} hears null where it is good, else what to tell the peer; on a
-     * thread of the gate's or before this returns. {@code later} runs something after so many
-     * microseconds.
+     * Checks credentials.
+     *
+     * @param delayedExecutor runs checks that the rate limiter delays
+     * @param callback receives empty if the credentials are correct, or the reason of the
+     *     rejection; on another thread, or before this method returns
      */
     void check(
-            String address,
-            String login,
-            String passcode,
-            DelayedExecutor later,
-            Consumer<String> answer) {
-        String name = login == null ? "" : login.length() > Passcodes.MOST_LENGTH ? "" : login;
-        Account account = accounts.get(name);
-        String digest =
-                account == null || account.secret() == null || passcode == null
-                        ? null
-                        : digest(name, passcode, account.secret());
-        if (digest != null && good.containsKey(digest)) {
-            synchronized (throttle) {
-                // a passcode known to be good is no guess, so it need not wait for what others
-                // guessed
-                throttle.attemptStarted(clock.now(), address, name);
-                throttle.attemptEnded(clock.now(), address, name, true);
+            Credentials credentials,
+            DelayedExecutor delayedExecutor,
+            Consumer<Optional<String>> callback) {
+        LoginCheck check = loginCheck(credentials, callback);
+        if (isCached(check)) {
+            // A passcode known to be correct is no guess, so it is not delayed by the guesses of
+            // others.
+            synchronized (rateLimiter) {
+                rateLimiter.attemptStarted(clock.now(), check.address(), check.login());
+                rateLimiter.attemptEnded(clock.now(), check.address(), check.login(), true);
             }
-            answer.accept(null);
+            check.accept();
             return;
         }
-        long at;
-        synchronized (throttle) {
-            at = throttle.attemptStarted(clock.now(), address, name);
+        long startAtMicros;
+        synchronized (rateLimiter) {
+            startAtMicros = rateLimiter.attemptStarted(clock.now(), check.address(), check.login());
         }
-        if (at < 0) {
-            answer.accept("too many tries of this login from your address; wait");
+        if (startAtMicros < 0) {
+            check.reject(TOO_MANY_ATTEMPTS);
             return;
         }
-        long wait = at - clock.now();
-        Runnable look =
-                () ->
-                        work(
-                                () -> look(address, name, account, passcode, digest, answer),
-                                address,
-                                name,
-                                answer);
-        if (wait <= 0) {
-            look.run();
+        long delayMicros = startAtMicros - clock.now();
+        if (delayMicros <= 0) {
+            submit(check);
         } else {
-            later.run(wait, look);
+            delayedExecutor.execute(delayMicros, () -> submit(check));
         }
     }
 
-    /** Runs something after so many microseconds. */
-    interface DelayedExecutor {
-        void run(long micros, Runnable what);
+    private LoginCheck loginCheck(Credentials credentials, Consumer<Optional<String>> callback) {
+        String login = credentials.login();
+        if (login == null || login.length() > Passcodes.MOST_LENGTH) {
+            login = "";
+        }
+        Account account = accounts.get(login);
+        String passcode = credentials.passcode();
+        String digest =
+                account == null || account.secret() == null || passcode == null
+                        ? null
+                        : digest(login, passcode, account.secret());
+        return new LoginCheck(credentials.address(), login, passcode, account, digest, callback);
     }
 
-    private void work(Runnable task, String address, String name, Consumer<String> answer) {
+    private boolean isCached(LoginCheck check) {
+        return check.digest() != null && acceptedDigests.containsKey(check.digest());
+    }
+
+    private void submit(LoginCheck check) {
         try {
-            workers.execute(task);
+            workers.execute(() -> run(check));
         } catch (RejectedExecutionException e) {
-            synchronized (throttle) {
-                throttle.abandoned(address, name);
+            synchronized (rateLimiter) {
+                rateLimiter.abandoned(check.address(), check.login());
             }
-            answer.accept("too many logins at once; try again");
+            check.reject(TOO_MANY_LOGINS);
         }
     }
 
-    private void look(
-            String address,
-            String name,
-            Account account,
-            String passcode,
-            String digest,
-            Consumer<String> answer) {
-        boolean matches =
-                digest != null && good.containsKey(digest)
-                        || Passcodes.matches(passcode, account == null ? null : account.secret());
-        if (matches && digest != null && good.size() < REMEMBERED) {
-            good.put(digest, name);
+    private void run(LoginCheck check) {
+        String stored = check.account() == null ? null : check.account().secret();
+        boolean correct = isCached(check) || Passcodes.matches(check.passcode(), stored);
+        if (correct && check.digest() != null && acceptedDigests.size() < MAX_CACHED_DIGESTS) {
+            acceptedDigests.put(check.digest(), check.login());
         }
-        synchronized (throttle) {
-            throttle.attemptEnded(clock.now(), address, name, matches);
+        synchronized (rateLimiter) {
+            rateLimiter.attemptEnded(clock.now(), check.address(), check.login(), correct);
+        }
+        if (correct) {
+            check.accept();
+        } else {
+            check.reject(NOT_ACCEPTED);
         }
-        answer.accept(matches ? null : NO);
     }
 
     private String digest(String login, String passcode, String stored) {
         try {
-            Mac mac = Mac.getInstance("HmacSHA256");
-            mac.init(new SecretKeySpec(secret, "HmacSHA256"));
-            for (String part : new String[] {login, passcode, stored}) {
-                byte[] octets = part.getBytes(StandardCharsets.UTF_8);
-                mac.update((octets.length + ":").getBytes(StandardCharsets.UTF_8));
-                mac.update(octets);
+            Mac mac = Mac.getInstance(DIGEST_ALGORITHM);
+            mac.init(new SecretKeySpec(digestKey, DIGEST_ALGORITHM));
+            for (String part : List.of(login, passcode, stored)) {
+                byte[] bytes = part.getBytes(StandardCharsets.UTF_8);
+                // with its length, so that no two lists of parts give the same input
+                mac.update((bytes.length + ":").getBytes(StandardCharsets.UTF_8));
+                mac.update(bytes);
             }
-            return java.util.HexFormat.of().formatHex(mac.doFinal());
+            return HexFormat.of().formatHex(mac.doFinal());
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException(e); // every Java has it
+            throw new IllegalStateException(DIGEST_ALGORITHM + " is part of every Java runtime", e);
         }
     }
 
-    /** Whether a certificate's name and a login given beside it may go together. */
-    static boolean fits(String login, String certified) {
+    /** Whether the login that a peer gave, if any, is the one that its certificate names. */
+    static boolean isConsistent(String login, String certified) {
         return login == null
                 || login.isEmpty()
                 || MessageDigest.isEqual(
--- /dev/null
+++ b/placer/src/main/java/thornferry/placer/NodeRegistration.java
@@ -0,0 +1,45 @@
+package thornferry.placer;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.stream.Collectors;
+import thornferry.decisions.membership.Membership;
+import thornferry.decisions.placement.Placement;
+import thornferry.decisions.recovery.MachineInventory;
+import thornferry.decisions.recovery.RetainedAttempt;
+
+/**
+ * The registration of a node on a connection, with its inventory.
+ *
+ * @param connection the number of the connection
+ * @param machine the machine as {@link Membership} sees it
+ * @param heldAttempts accepted and unfinished attempts
+ * @param recentReports the last final reports, which may have been lost with an earlier connection
+ * @param retainedAttempts finished attempts of tasks that must not run twice
+ * @param completeSinceMicros see {@link MachineInventory}
+ */
+record NodeRegistration(
+        long connection,
+        Membership.Registration machine,
+        List<HeldAttempt> heldAttempts,
+        List<AttemptReport> recentReports,
+        List<RetainedAttempt> retainedAttempts,
+        Map<Placement.Idempotency, Long> completeSinceMicros) {
+
+    /** The held attempts by id; if an id is listed twice, the later entry counts. */
+    Map<String, HeldAttempt> heldAttemptsById() {
+        Map<String, HeldAttempt> byId = new HashMap<>();
+        heldAttempts.forEach(held -> byId.put(held.attempt(), held));
+        return byId;
+    }
+
+    /** The ids of the held attempts whose task has started. */
+    Set<String> runningAttempts() {
+        return heldAttemptsById().values().stream()
+                .filter(HeldAttempt::running)
+                .map(HeldAttempt::attempt)
+                .collect(Collectors.toSet());
+    }
+}
--- a/placer/src/main/java/thornferry/placer/OptionalTlsHandler.java
+++ b/placer/src/main/java/thornferry/placer/OptionalTlsHandler.java
@@ -12,39 +12,43 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The first handler of a port that speaks TLS. One who comes in plain text is told so, in plain
- * text, and cut off.
+ * The first handler of a TLS port. A peer that connects in plain text receives an ERROR frame in
+ * plain text, and the connection is closed.
  */
 final class OptionalTlsHandler extends OptionalSslHandler {
-    private static final String TOLD = "ERROR\nmessage:this port speaks TLS 1.3 only\n\n\0\n";
+    private static final String PLAIN_TEXT_REJECTED =
+            "ERROR\nmessage:this port speaks TLS 1.3 only\n\n\0\n";
 
-    private final int handshakeMs;
+    private final int handshakeTimeoutMillis;
 
-    OptionalTlsHandler(SslContext context, int handshakeMs) {
+    OptionalTlsHandler(SslContext context, int handshakeTimeoutMillis) {
         super(context);
-        this.handshakeMs = handshakeMs;
+        this.handshakeTimeoutMillis = handshakeTimeoutMillis;
     }
 
     @Override
-    protected SslHandler newSslHandler(ChannelHandlerContext context, SslContext tls) {
-        SslHandler handler = super.newSslHandler(context, tls);
-        handler.setHandshakeTimeoutMillis(handshakeMs);
+    protected SslHandler newSslHandler(ChannelHandlerContext context, SslContext sslContext) {
+        SslHandler handler = super.newSslHandler(context, sslContext);
+        handler.setHandshakeTimeoutMillis(handshakeTimeoutMillis);
         return handler;
     }
 
     @Override
     protected ChannelHandler newNonSslHandler(ChannelHandlerContext context) {
-        return new ChannelInboundHandlerAdapter() {
-            @Override
-            public void handlerAdded(ChannelHandlerContext ctx) {
-                ctx.writeAndFlush(Unpooled.copiedBuffer(TOLD, StandardCharsets.UTF_8))
-                        .addListener(ChannelFutureListener.CLOSE);
-            }
-
-            @Override
-            public void channelRead(ChannelHandlerContext ctx, Object message) {
-                ReferenceCountUtil.release(message);
-            }
-        };
+        return new PlainTextRejectionHandler();
+    }
+
+    private static final class PlainTextRejectionHandler extends ChannelInboundHandlerAdapter {
+        @Override
+        public void handlerAdded(ChannelHandlerContext context) {
+            context.writeAndFlush(
+                            Unpooled.copiedBuffer(PLAIN_TEXT_REJECTED, StandardCharsets.UTF_8))
+                    .addListener(ChannelFutureListener.CLOSE);
+        }
+
+        @Override
+        public void channelRead(ChannelHandlerContext context, Object message) {
+            ReferenceCountUtil.release(message);
+        }
     }
 }
--- a/placer/src/main/java/thornferry/placer/PolicyExecutor.java
+++ b/placer/src/main/java/thornferry/placer/PolicyExecutor.java
@@ -2,124 +2,137 @@
 
 import io.netty.channel.EventLoop;
 import java.util.ArrayDeque;
+import java.util.Queue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import thornferry.decisions.placement.Placement;
 
 /**
- * Feeds one placement module: one event at a time, in order, with timers no earlier than asked for.
- * It decides nothing. Events that come up while the module is at work wait their turn, so that it
- * is never entered twice.
+ * Passes events to a placement policy, one at a time and in order, and fires the timers that it
+ * sets, never early. Events that arise while the policy processes another one are queued, so that
+ * the policy is never entered twice. An exception of the policy affects only the request of the
+ * event that caused it. Everything runs on the event loop.
  */
 public final class PolicyExecutor {
-    /**
-     * What to do when the module throws: the request of the event, or null where it was about none.
-     */
+    /** Called after the policy threw an exception on an event that is about a request. */
     public interface FailureHandler {
-        void request(String id);
+        /** The request must be failed, since the policy may have lost track of it. */
+        void policyFailed(String requestId);
     }
 
-    private final Placement module;
+    private static final long MIN_DELAY_MICROS = 1;
+
+    private final Placement policy;
     private final EventLoop loop;
     private final Clock clock;
     private final Consumer<Placement.Action> actions;
-    private final FailureHandler failed;
+    private final FailureHandler failureHandler;
     private final Logger log;
     private final String instance;
-    private final ArrayDeque<Placement.Event> waiting = new ArrayDeque<>();
-    private boolean working;
+    private final Queue<Placement.Event> queue = new ArrayDeque<>();
+    private boolean processing;
     private long failures;
 
+    /**
+     * @param actions receives each action of the policy except timers
+     * @param log receives the exceptions of the policy
+     * @param instance the name of the instance in the log
+     */
     public PolicyExecutor(
-            Placement module,
+            Placement policy,
             EventLoop loop,
             Clock clock,
             Consumer<Placement.Action> actions,
-            FailureHandler failed,
+            FailureHandler failureHandler,
             Logger log,
             String instance) {
-        this.module = module;
+        this.policy = policy;
         this.loop = loop;
         this.clock = clock;
         this.actions = actions;
-        this.failed = failed;
+        this.failureHandler = failureHandler;
         this.log = log;
         this.instance = instance;
     }
 
+    /**
+     * Passes an event to the policy: before this returns, or if the policy is processing another
+     * event, once it is done with that.
+     */
     public void accept(Placement.Event event) {
-        waiting.add(event);
-        if (working) {
+        queue.add(event);
+        if (processing) {
             return;
         }
-        working = true;
+        processing = true;
         try {
-            for (Placement.Event next = waiting.poll(); next != null; next = waiting.poll()) {
-                one(next);
+            Placement.Event next = queue.poll();
+            while (next != null) {
+                process(next);
+                next = queue.poll();
             }
         } finally {
-            working = false;
+            processing = false;
         }
     }
 
-    private void one(Placement.Event event) {
+    /** How often the policy threw an exception. */
+    public long failures() {
+        return failures;
+    }
+
+    private void process(Placement.Event event) {
         try {
-            module.on(clock.now(), event, this::act);
+            policy.on(clock.now(), event, this::carryOut);
         } catch (RuntimeException e) {
-            // guards against a fault in the module taking every task with it: only the one in hand
-            // fails
             failures++;
+            String requestId = requestId(event);
             log.atError()
                     .addKeyValue("instance", instance)
-                    .addKeyValue("task", request(event))
+                    .addKeyValue("task", requestId)
                     .setCause(e)
-                    .log("the module failed on {}", event.getClass().getSimpleName());
-            if (request(event) != null) {
-                failed.request(request(event));
+                    .log("the policy failed on {}", event.getClass().getSimpleName());
+            if (requestId != null) {
+                failureHandler.policyFailed(requestId);
             }
         }
     }
 
-    private void act(Placement.Action action) {
+    private void carryOut(Placement.Action action) {
         if (action instanceof Placement.SetTimer timer) {
-            set(timer);
+            schedule(timer);
         } else {
             actions.accept(action);
         }
     }
 
-    private void set(Placement.SetTimer timer) {
-        long delay = Math.max(1, timer.atMicros() - clock.now());
-        loop.schedule(
-                () -> {
-                    if (clock.now() < timer.atMicros()) {
-                        set(timer);
-                    } else {
-                        accept(new Placement.TimerFired(timer.ref()));
-                    }
-                },
-                delay,
-                TimeUnit.MICROSECONDS);
+    private void schedule(Placement.SetTimer timer) {
+        long delayMicros = Math.max(MIN_DELAY_MICROS, timer.atMicros() - clock.now());
+        loop.schedule(() -> fire(timer), delayMicros, TimeUnit.MICROSECONDS);
     }
 
-    private static String request(Placement.Event event) {
-        if (event instanceof Placement.PlacementRequested e) {
-            return e.request().id();
-        } else if (event instanceof Placement.AttemptEnded e) {
-            return e.requestId();
-        } else if (event instanceof Placement.AttemptAccepted e) {
-            return e.requestId();
-        } else if (event instanceof Placement.TaskObserved e) {
-            return e.requestId();
-        } else if (event instanceof Placement.TaskAdopted e) {
-            return e.request().id();
+    private void fire(Placement.SetTimer timer) {
+        if (clock.now() < timer.atMicros()) {
+            schedule(timer); // the clock of the event loop is ahead of ours
+        } else {
+            accept(new Placement.TimerFired(timer.ref()));
         }
-        return null;
     }
 
-    /** How often the module threw. */
-    public long failures() {
-        return failures;
+    /** The request that an event is about, or null. */
+    private static String requestId(Placement.Event event) {
+        if (event instanceof Placement.PlacementRequested requested) {
+            return requested.request().id();
+        } else if (event instanceof Placement.AttemptEnded ended) {
+            return ended.requestId();
+        } else if (event instanceof Placement.AttemptAccepted accepted) {
+            return accepted.requestId();
+        } else if (event instanceof Placement.TaskObserved observed) {
+            return observed.requestId();
+        } else if (event instanceof Placement.TaskAdopted adopted) {
+            return adopted.request().id();
+        }
+        return null;
     }
 }
--- /dev/null
+++ b/placer/src/main/java/thornferry/placer/ReloadableConfiguration.java
@@ -0,0 +1,96 @@
+package thornferry.placer;
+
+import io.netty.handler.ssl.SslContext;
+import java.io.IOException;
+import java.time.Instant;
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import thornferry.security.Tls;
+
+/**
+ * The configuration of a running placer. A reload replaces the accounts, the certificates and the
+ * limits of the admission queue, for new connections and requests; everything else needs a restart.
+ * Safe for use by several threads.
+ */
+final class ReloadableConfiguration implements ConfigurationReloader {
+    private static final Logger LOG = LoggerFactory.getLogger(ReloadableConfiguration.class);
+
+    private final LoginAuthenticator authenticator;
+    private final Consumer<Site> onReload;
+    private volatile Site site;
+    private volatile Optional<SslContext> tls;
+    private volatile String lastReload = "";
+    private volatile Placer.Source source =
+            () -> {
+                throw new IOException("this placer was started without a file");
+            };
+
+    /**
+     * @param onReload receives each new configuration
+     * @throws IOException if a certificate or key cannot be read
+     */
+    ReloadableConfiguration(Site site, LoginAuthenticator authenticator, Consumer<Site> onReload)
+            throws IOException {
+        this.site = site;
+        this.authenticator = authenticator;
+        this.onReload = onReload;
+        tls = tlsContext(site);
+    }
+
+    /** The TLS context for new connections; empty if the port is plain text. */
+    Optional<SslContext> tls() {
+        return tls;
+    }
+
+    /** Sets where {@link #reload} reads from. */
+    void setSource(Placer.Source newSource) {
+        source = newSource;
+    }
+
+    @Override
+    public String lastReload() {
+        return lastReload;
+    }
+
+    @Override
+    public synchronized Optional<String> reload() {
+        try {
+            String restartNote = apply(source.read());
+            lastReload = Instant.now() + ": good" + restartNote;
+            LOG.info("reloaded{}", restartNote);
+            return Optional.empty();
+        } catch (Exception e) {
+            lastReload = Instant.now() + ": not reloaded, the former stays: " + e.getMessage();
+            LOG.error("not reloaded, the former configuration stays: {}", e.getMessage());
+            return Optional.of(String.valueOf(e.getMessage()));
+        }
+    }
+
+    /**
+     * Applies a new configuration, or nothing of it if an exception is thrown.
+     *
+     * @return what needs a restart, to be appended to a message; empty if nothing does
+     */
+    private String apply(Site next) throws IOException {
+        if ((next.tls() == null) != (site.tls() == null)) {
+            throw new IOException(
+                    "tls: a port cannot change between plain text and TLS without a restart");
+        }
+        tls = tlsContext(next);
+        authenticator.setAccounts(next.accounts());
+        boolean placementUnchanged = next.placement().equals(site.placement());
+        site = next;
+        onReload.accept(next);
+        return placementUnchanged
+                ? ""
+                : "; changes of classes, kinds, rules or prices wait for a restart";
+    }
+
+    private static Optional<SslContext> tlsContext(Site site) throws IOException {
+        return site.tls() == null
+                ? Optional.empty()
+                : Optional.of(Tls.server(site.tls().files(), site.tls().clients()));
+    }
+}
--- a/placer/src/main/java/thornferry/placer/Site.java
+++ b/placer/src/main/java/thornferry/placer/Site.java
@@ -12,17 +12,21 @@
 import thornferry.state.Durability;
 
 /**
- * Everything that a placer is configured with. Checked when it is read; see the configuration in
- * app.
+ * The configuration of a placer. Checked when it is read, by module {@code config}.
  *
  * @param name of the placer; instance i of it is called NAME-i
- * @param placement settings of the placement module; seed and number are set for each instance
- * @param seed from which the instances' seeds are drawn
- * @param handshakeMs a peer that has not sent CONNECT after so long is cut off
- * @param admission limits and order of what waits
+ * @param placement settings of the placement policy; seed and number are set for each instance
+ * @param seed from which the seeds of the instances are derived
+ * @param accounts who may connect
+ * @param membershipLimits limits of the membership of nodes
+ * @param requestLimits limits of the tracking of requests
+ * @param admission settings of the admission queue
  * @param tls certificate, key and authorities; null for plain text
- * @param connections open at once, for each instance; more are closed as they come
- * @param state what is kept over restarts
+ * @param frames limits of STOMP frames
+ * @param heartbeat the heartbeat interval that the placer offers
+ * @param handshakeMs milliseconds within which a peer must send CONNECT
+ * @param connections the maximum number of open connections per instance
+ * @param state what is persisted
  */
 public record Site(
         String name,
@@ -38,128 +42,139 @@
         int handshakeMs,
         int connections,
         State state) {
+    private static final long INSTANCE_SEED_FACTOR = 1_000_003;
+
     /**
-     * What lasts over restarts, and where: a folder for each instance below {@code folder}, of no
-     * use with none.
+     * What is persisted over restarts.
+     *
+     * @param folder contains a folder for each instance; not used if nothing is persisted
      */
     public record State(Durability durability, Path folder) {
+        /** Nothing is persisted. */
         public static final State NONE = new State(Durability.NONE, Path.of("state"));
     }
 
-    /** Where a placer's certificate, its key and the authorities of its peers' certificates are. */
+    /**
+     * The TLS files of a placer.
+     *
+     * @param files its certificate and key, and the authorities of its peers
+     * @param clients whether clients need a certificate
+     */
     public record TlsFiles(Tls.Pem files, Tls.Clients clients) {}
 
-    /** The module's settings for one instance. */
+    /** The placement settings of one instance, with its own seed and number. */
     Placement.Settings placementOf(int instance) {
-        return settings(seed * 1_000_003 + instance, instance, placement.instanceCount());
+        return placementSettings(
+                seed * INSTANCE_SEED_FACTOR + instance, instance, placement.instanceCount());
     }
 
     /**
-     * The same site as one of {@code placers} placers has it: under its own name, seed and number,
-     * for more accounts.
+     * This site as one of several placers sees it: with its own name, seed and number, and with
+     * other accounts.
+     *
+     * @param placers the number of placers
      */
-    public Site asPlacer(String name, int number, int placers, long seed, List<Account> accounts) {
-        return new Site(
-                name,
-                settings(placement.seed(), number, placers),
-                seed,
-                accounts,
-                membershipLimits,
-                requestLimits,
-                admission,
-                tls,
-                frames,
-                heartbeat,
-                handshakeMs,
-                connections,
-                state);
+    public Site asPlacer(
+            String newName, int number, int placers, long newSeed, List<Account> newAccounts) {
+        Builder builder = new Builder(this);
+        builder.name = newName;
+        builder.placement = placementSettings(placement.seed(), number, placers);
+        builder.seed = newSeed;
+        builder.accounts = newAccounts;
+        return builder.build();
     }
 
-    /** The same with other limits and order of what waits. */
-    public Site withLine(AdmissionSettings other) {
-        return new Site(
-                name,
-                placement,
-                seed,
-                accounts,
-                membershipLimits,
-                requestLimits,
-                other,
-                tls,
-                frames,
-                heartbeat,
-                handshakeMs,
-                connections,
-                state);
+    /** This site with other settings of the admission queue. */
+    public Site withLine(AdmissionSettings newAdmission) {
+        Builder builder = new Builder(this);
+        builder.admission = newAdmission;
+        return builder.build();
     }
 
-    /** The same with neither line nor reasons, for measuring what they cost and bring. */
+    /** This site without admission control and pending reasons, to measure what they cost. */
     public Site withoutLine() {
         return withLine(admission.disabled());
     }
 
-    /** The same over TLS. */
-    public Site withTls(TlsFiles files) {
-        return new Site(
-                name,
-                placement,
-                seed,
-                accounts,
-                membershipLimits,
-                requestLimits,
-                admission,
-                files,
-                frames,
-                heartbeat,
-                handshakeMs,
-                connections,
-                state);
+    /** This site over TLS. */
+    public Site withTls(TlsFiles newTls) {
+        Builder builder = new Builder(this);
+        builder.tls = newTls;
+        return builder.build();
     }
 
-    /** The same with other means to outlast restarts. */
-    public Site withState(State other) {
-        return new Site(
-                name,
-                placement,
-                seed,
-                accounts,
-                membershipLimits,
-                requestLimits,
-                admission,
-                tls,
-                frames,
-                heartbeat,
-                handshakeMs,
-                connections,
-                other);
+    /** This site with other settings of its persistent state. */
+    public Site withState(State newState) {
+        Builder builder = new Builder(this);
+        builder.state = newState;
+        return builder.build();
+    }
+
+    /** A copy of a site in which single components can be replaced. */
+    private static final class Builder {
+        private String name;
+        private Placement.Settings placement;
+        private long seed;
+        private List<Account> accounts;
+        private AdmissionSettings admission;
+        private TlsFiles tls;
+        private State state;
+        private final Site original;
+
+        Builder(Site original) {
+            this.original = original;
+            name = original.name;
+            placement = original.placement;
+            seed = original.seed;
+            accounts = original.accounts;
+            admission = original.admission;
+            tls = original.tls;
+            state = original.state;
+        }
+
+        Site build() {
+            return new Site(
+                    name,
+                    placement,
+                    seed,
+                    accounts,
+                    original.membershipLimits,
+                    original.requestLimits,
+                    admission,
+                    tls,
+                    original.frames,
+                    original.heartbeat,
+                    original.handshakeMs,
+                    original.connections,
+                    state);
+        }
     }
 
-    private Placement.Settings settings(long moduleSeed, int number, int placers) {
-        Placement.Settings s = placement;
+    private Placement.Settings placementSettings(long policySeed, int number, int placers) {
         return new Placement.Settings(
-                moduleSeed,
+                policySeed,
                 number,
                 placers,
-                s.zone(),
-                s.classes(),
-                s.machineKinds(),
-                s.tenants(),
-                s.loadReportMode(),
-                s.reportsMeasureUsage(),
-                s.listShowsFreeCapacity(),
-                s.listNeedsSubscription(),
-                s.acceptedWhenRunning(),
-                s.observesTasks(),
-                s.preempts(),
-                s.singlePreferredMachine(),
-                s.coresOvercommit(),
-                s.memoryOvercommit(),
-                s.meanTaskCores(),
-                s.meanTaskMemory(),
-                s.overQuotaWeight(),
-                s.clientRetryMicros(),
-                s.costWeights(),
-                s.rules(),
-                s.limits());
+                placement.zone(),
+                placement.classes(),
+                placement.machineKinds(),
+                placement.tenants(),
+                placement.loadReportMode(),
+                placement.reportsMeasureUsage(),
+                placement.listShowsFreeCapacity(),
+                placement.listNeedsSubscription(),
+                placement.acceptedWhenRunning(),
+                placement.observesTasks(),
+                placement.preempts(),
+                placement.singlePreferredMachine(),
+                placement.coresOvercommit(),
+                placement.memoryOvercommit(),
+                placement.meanTaskCores(),
+                placement.meanTaskMemory(),
+                placement.overQuotaWeight(),
+                placement.clientRetryMicros(),
+                placement.costWeights(),
+                placement.rules(),
+                placement.limits());
     }
 }
--- a/placer/src/main/java/thornferry/placer/WireWords.java
+++ b/placer/src/main/java/thornferry/placer/WireWords.java
@@ -1,15 +1,19 @@
 package thornferry.placer;
 
+import thornferry.decisions.attempts.AttemptStatus;
 import thornferry.decisions.attempts.TerminationCause;
 import thornferry.decisions.diagnosis.PendingReasons;
+import thornferry.decisions.membership.RejectionReason;
 import thornferry.decisions.placement.Placement.Idempotency;
 import thornferry.decisions.requests.RequestResult;
+import thornferry.protocol.ProtocolException;
+import thornferry.protocol.v1.Answer;
 import thornferry.protocol.v1.Effect;
 import thornferry.protocol.v1.Reason;
 
 /**
- * The words of the STOMP protocol for enumerated values. They never change; the constants' names
- * may.
+ * Maps enumerated values to and from their names in the STOMP protocol. The names on the wire never
+ * change; those of the constants may.
  */
 final class WireWords {
     private WireWords() {}
@@ -22,6 +26,42 @@
         };
     }
 
+    static Idempotency idempotency(Effect effect) {
+        return switch (effect) {
+            case KEYED -> Idempotency.IDEMPOTENT_WITH_KEY;
+            case UNSAFE -> Idempotency.NON_IDEMPOTENT;
+            default -> Idempotency.IDEMPOTENT;
+        };
+    }
+
+    /**
+     * @throws ProtocolException if the kind is not the status of an attempt
+     */
+    static AttemptStatus attemptStatus(Answer.Kind kind) throws ProtocolException {
+        return switch (kind) {
+            case ACCEPTED -> AttemptStatus.ACCEPTED;
+            case REFUSED -> AttemptStatus.REJECTED;
+            case RUNS -> AttemptStatus.RUNNING;
+            case ENDED -> AttemptStatus.COMPLETED;
+            case EVICTED -> AttemptStatus.EVICTED;
+            case SENT_AWAY -> AttemptStatus.EVACUATED;
+            case WITHDRAWN -> AttemptStatus.CANCELLED;
+            default -> throw new ProtocolException("an answer must have a known kind");
+        };
+    }
+
+    static RejectionReason rejectionReason(Answer.Reason reason) {
+        return switch (reason) {
+            case NO_CORES -> RejectionReason.INSUFFICIENT_CORES;
+            case NO_MEMORY -> RejectionReason.INSUFFICIENT_MEMORY;
+            case OFFERS_WAIT -> RejectionReason.QUEUE_FULL;
+            case NOT_HERE -> RejectionReason.UNAVAILABLE;
+            case KEY_HELD -> RejectionReason.KEY_HELD;
+            case DRAINING -> RejectionReason.DRAINING;
+            default -> RejectionReason.NONE;
+        };
+    }
+
     static String result(RequestResult result) {
         return switch (result) {
             case PLACED -> "placed";
--- a/placer/src/test/java/thornferry/placer/IncarnationTest.java
+++ b/placer/src/test/java/thornferry/placer/IncarnationTest.java
@@ -103,7 +103,7 @@
         }
     }
 
-    private static final class World implements PlacerCore.Output {
+    private static final class World implements PlacerOutput {
         final SplittableRandom random;
         final Planted planted;
         final boolean journaled;
@@ -215,16 +215,12 @@
             List<JournalRecord> left = List.copyOf(durable);
             core =
                     new PlacerCore(
-                            site,
-                            0,
-                            "p-0",
-                            channel.eventLoop(),
-                            () -> now,
+                            new PlacerInstance(site, 0, channel.eventLoop(), () -> now),
                             Policy::new,
                             owner -> "",
                             journaled
-                                    ? new PlacerCore.RecoveredState(new Disk(life), left, true)
-                                    : PlacerCore.RecoveredState.NOTHING,
+                                    ? new RecoveredState(new Disk(life), left, true)
+                                    : RecoveredState.NOTHING,
                             this);
             durable.clear();
             durable.addAll(core.recordsToKeep());
@@ -395,12 +391,12 @@
             }
             Link link = new Link(++links);
             n.link = link;
-            List<PlacerCore.HeldAttempt> held = new ArrayList<>();
+            List<HeldAttempt> held = new ArrayList<>();
             n.held.values()
                     .forEach(
                             w ->
                                     held.add(
-                                            new PlacerCore.HeldAttempt(
+                                            new HeldAttempt(
                                                     w.attempt(),
                                                     w.owner(),
                                                     w.wish(),
@@ -416,11 +412,11 @@
                     planted == Planted.NO_MEMORY ? List.of() : List.copyOf(n.memory.keySet());
             Map<Idempotency, Long> told = planted == Planted.NO_MEMORY ? Map.of() : since;
             long incarnation = n.incarnation;
-            List<PlacerCore.AttemptReport> lately =
+            List<AttemptReport> lately =
                     remembered.stream()
                             .map(
                                     r ->
-                                            new PlacerCore.AttemptReport(
+                                            new AttemptReport(
                                                     r.attempt(),
                                                     r.status(),
                                                     RejectionReason.NONE,
@@ -433,22 +429,23 @@
                     link,
                     () ->
                             core.registered(
-                                    link.id,
-                                    new Membership.Registration(
-                                            n.name,
-                                            incarnation,
-                                            "std",
-                                            "a",
-                                            1,
-                                            16,
-                                            16,
-                                            3_600 * SECOND,
-                                            16,
-                                            16),
-                                    held,
-                                    lately,
-                                    remembered,
-                                    told));
+                                    new NodeRegistration(
+                                            link.id,
+                                            new Membership.Registration(
+                                                    n.name,
+                                                    incarnation,
+                                                    "std",
+                                                    "a",
+                                                    1,
+                                                    16,
+                                                    16,
+                                                    3_600 * SECOND,
+                                                    16,
+                                                    16),
+                                            held,
+                                            lately,
+                                            remembered,
+                                            told)));
         }
 
         void up(Node n, Link link, Runnable what) {
@@ -532,7 +529,7 @@
                             if (n.name.equals(core.membership().machineOf(link.id))) {
                                 core.attemptReported(
                                         n.name,
-                                        new PlacerCore.AttemptReport(
+                                        new AttemptReport(
                                                 w.attempt(),
                                                 word,
                                                 RejectionReason.NONE,
--- a/placer/src/test/java/thornferry/placer/PendingReasonsTest.java
+++ b/placer/src/test/java/thornferry/placer/PendingReasonsTest.java
@@ -104,7 +104,7 @@
     private record Out(String attempt, String owner, TaskSpec wish) {}
 
     /** One world with its own randomness. */
-    private static final class World implements PlacerCore.Output {
+    private static final class World implements PlacerOutput {
         final SplittableRandom random;
         final EmbeddedChannel channel = new EmbeddedChannel();
         final PlacerCore core;
@@ -160,14 +160,10 @@
                             line);
             core =
                     new PlacerCore(
-                            site,
-                            0,
-                            "p-0",
-                            channel.eventLoop(),
-                            () -> now,
+                            new PlacerInstance(site, 0, channel.eventLoop(), () -> now),
                             Policy::new,
                             owner -> "t" + owner.charAt(1),
-                            PlacerCore.RecoveredState.NOTHING,
+                            RecoveredState.NOTHING,
                             this);
             for (int i = 0; i < 3; i++) {
                 nodes.add(new Node("n" + i));
@@ -205,33 +201,31 @@
             }
             n.link = ++links;
             n.known = true;
-            List<PlacerCore.HeldAttempt> held = new ArrayList<>();
+            List<HeldAttempt> held = new ArrayList<>();
             n.runs.values()
                     .forEach(
-                            o ->
-                                    held.add(
-                                            new PlacerCore.HeldAttempt(
-                                                    o.attempt(), o.owner(), o.wish(), true)));
+                            o -> held.add(new HeldAttempt(o.attempt(), o.owner(), o.wish(), true)));
             n.told = Math.min(n.free, n.everHeard ? n.told : n.free);
             n.everHeard = true;
             n.open.clear(); // what was on its way never arrived
             core.registered(
-                    n.link,
-                    new Membership.Registration(
-                            n.name,
-                            n.incarnation,
-                            "std",
-                            "a",
-                            1,
-                            CORES,
-                            CORES,
-                            3_600 * SECOND,
-                            n.free,
-                            n.memoryFree()),
-                    held,
-                    List.of(),
-                    List.of(),
-                    Map.of());
+                    new NodeRegistration(
+                            n.link,
+                            new Membership.Registration(
+                                    n.name,
+                                    n.incarnation,
+                                    "std",
+                                    "a",
+                                    1,
+                                    CORES,
+                                    CORES,
+                                    3_600 * SECOND,
+                                    n.free,
+                                    n.memoryFree()),
+                            held,
+                            List.of(),
+                            List.of(),
+                            Map.of()));
         }
 
         void leave(Node n) {
@@ -249,7 +243,7 @@
                 double free = n.free;
                 core.attemptReported(
                         n.name,
-                        new PlacerCore.AttemptReport(
+                        new AttemptReport(
                                 o.attempt(), word, why, word != AttemptStatus.REJECTED, load(n)));
                 if (core.attemptsAt(n.name)
                         < before) { // else it spoke of an attempt given up, and was not listened to
@@ -490,7 +484,7 @@
                                 && nodes.stream().anyMatch(n -> n.has(wish.service(), now));
                 case WARMING_UP ->
                         nodes.stream().anyMatch(n -> n.ready() && n.troubleAt > now - 10 * SECOND);
-                case OWNER_QUOTA -> core.line().ownerUsage(owner).tasks() >= OWN_LIMIT;
+                case OWNER_QUOTA -> core.admissionQueue().ownerUsage(owner).tasks() >= OWN_LIMIT;
                 case INDETERMINATE ->
                         !wish.taskClass().equals("safe")
                                 && nodes.stream()
--- a/placer/src/test/java/thornferry/placer/WriteAheadTest.java
+++ b/placer/src/test/java/thornferry/placer/WriteAheadTest.java
@@ -33,7 +33,7 @@
  * An offer of what must not start twice leaves only when its promise is durable, and only if it
  * still should.
  */
-class WriteAheadTest implements PlacerCore.Output {
+class WriteAheadTest implements PlacerOutput {
     private static final long MS = 1_000;
     private static final long SECOND = 1_000_000;
 
@@ -98,24 +98,24 @@
                         AdmissionSettings.defaults());
         core =
                 new PlacerCore(
-                        site,
-                        0,
-                        "p-0",
-                        channel.eventLoop(),
-                        () -> now,
+                        new PlacerInstance(site, 0, channel.eventLoop(), () -> now),
                         Policy::new,
                         owner -> "",
-                        new PlacerCore.RecoveredState(slow, List.of(), true),
+                        new RecoveredState(slow, List.of(), true),
                         this);
         channel.runPendingTasks();
         core.registered(
-                1,
-                new Membership.Registration("n", 5, "std", "a", 1, 16, 16, 3_600 * SECOND, 16, 16),
-                List.of(),
-                List.of(),
-                List.of(),
-                new EnumMap<>(
-                        Map.of(Idempotency.NON_IDEMPOTENT, MachineInventory.WHOLE_INCARNATION)));
+                new NodeRegistration(
+                        1,
+                        new Membership.Registration(
+                                "n", 5, "std", "a", 1, 16, 16, 3_600 * SECOND, 16, 16),
+                        List.of(),
+                        List.of(),
+                        List.of(),
+                        new EnumMap<>(
+                                Map.of(
+                                        Idempotency.NON_IDEMPOTENT,
+                                        MachineInventory.WHOLE_INCARNATION))));
         pass(100 * MS);
     }
 
@@ -151,7 +151,7 @@
         assertThat(offers).hasSize(1);
         core.attemptReported(
                 "n",
-                new PlacerCore.AttemptReport(
+                new AttemptReport(
                         offers.get(0), AttemptStatus.ACCEPTED, RejectionReason.NONE, false, null));
         assertThat(written.get(1)).isInstanceOf(JournalRecord.Completed.class);
         assertThat(news).isEmpty();
@@ -197,12 +197,14 @@
         ask("levy-run");
         core.connectionClosed(1);
         core.registered(
-                2,
-                new Membership.Registration("n", 5, "std", "a", 1, 16, 16, 3_600 * SECOND, 16, 16),
-                List.of(),
-                List.of(),
-                List.of(),
-                Map.of(Idempotency.NON_IDEMPOTENT, MachineInventory.WHOLE_INCARNATION));
+                new NodeRegistration(
+                        2,
+                        new Membership.Registration(
+                                "n", 5, "std", "a", 1, 16, 16, 3_600 * SECOND, 16, 16),
+                        List.of(),
+                        List.of(),
+                        List.of(),
+                        Map.of(Idempotency.NON_IDEMPOTENT, MachineInventory.WHOLE_INCARNATION)));
         String first = ((JournalRecord.Offered) written.get(0)).attempt();
         acknowledge(null);
         pass(500 * MS);
