--- a/decisions/src/main/java/thornferry/decisions/placement/AttemptTimeoutEstimator.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/AttemptTimeoutEstimator.java
@@ -59,7 +59,7 @@
             // A timeout would gain nothing: the task could not be retried.
             return timeLeftMicros;
         }
-        long minMicros =
+        double minMicros =
                 settings.acceptedWhenRunning()
                         ? MIN_TIMEOUT_UNTIL_RUNNING_MICROS
                         : MIN_TIMEOUT_MICROS;
--- a/decisions/src/test/java/thornferry/decisions/PackageDependencyTest.java
+++ b/decisions/src/test/java/thornferry/decisions/PackageDependencyTest.java
@@ -9,7 +9,7 @@
 import com.tngtech.archunit.lang.ArchRule;
 
 /**
- * What makes a decision module replayable: it reads no clock, does no I/O, draws only from its
+ * The decisions can be replayed: they do no I/O, read no clock and draw random numbers only from a
  * seed.
  */
 @AnalyzeClasses(
@@ -17,7 +17,7 @@
         importOptions = ImportOption.DoNotIncludeTests.class)
 class PackageDependencyTest {
     @ArchTest
-    static final ArchRule DECISIONS_DO_NO_INPUT_OR_OUTPUT =
+    static final ArchRule DECISIONS_DO_NO_IO =
             noClasses()
                     .should()
                     .dependOnClassesThat()
@@ -40,7 +40,7 @@
                     .resideInAnyPackage("java.time..");
 
     @ArchTest
-    static final ArchRule DECISIONS_DRAW_FROM_THEIR_SEED =
+    static final ArchRule DECISIONS_DRAW_RANDOM_NUMBERS_FROM_SEED =
             noClasses()
                     .should()
                     .callMethod(Math.class, "random")
--- a/decisions/src/test/java/thornferry/decisions/placement/DualModeKalmanFilterTest.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/DualModeKalmanFilterTest.java
@@ -6,25 +6,24 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Figures worked by hand for a fast Q of 3 and a reset error of 4. */
+/** Values computed by hand for a fast process noise of 3 and a reset error of 4. */
 class DualModeKalmanFilterTest {
     private final DualModeKalmanFilter filter = new DualModeKalmanFilter();
 
     @Test
-    void risesWithTheFastHalf() {
-        filter.update(1); // fast: P 4, gain 0.8
+    void followsRisingLoadWithFastEstimate() {
+        filter.update(1); // fast: error 4, gain 0.8
         assertEquals(0.8, filter.value(), 1e-9);
-        filter.update(
-                1); // fast: P 3.8, gain 0.791667; the slow half, reset to 0.8 with error 4, stands
-        // at 0.96
+        // fast: error 3.8, gain 0.791667; slow: reset to 0.8 with error 4, now 0.96
+        filter.update(1);
         assertEquals(0.8 + 0.2 * 3.8 / 4.8, filter.value(), 1e-9);
     }
 
     @Test
-    void fallingStartsWhereTheFastHalfLeftOffAndSlowsDown() {
+    void fallsFromFastEstimateAndSlowsDown() {
         filter.update(1);
         filter.update(1);
-        filter.update(0); // switch: the slow half takes the fast one's 0.2
+        filter.update(0); // change of mode: the slow estimate is reset to the fast one, 0.2
         assertEquals(0.2, filter.value(), 1e-6);
         filter.update(0); // error 4: gain 0.8
         assertEquals(0.04, filter.value(), 1e-6);
@@ -33,16 +32,16 @@
     }
 
     @Test
-    void risingAgainUsesTheFastHalf() {
+    void returnsToFastEstimateWhenLoadRisesAgain() {
         filter.update(1);
         filter.update(0);
         double low = filter.value();
         filter.update(1);
-        assertTrue(filter.value() > low + 0.7 * (1 - low), "gain of the fast half");
+        assertTrue(filter.value() > low + 0.7 * (1 - low), "gain of the fast estimate");
     }
 
     @Test
-    void whatIsNoNumberSaysNothing() {
+    void ignoresSamplesThatAreNotFinite() {
         filter.update(Double.NaN);
         filter.update(Double.POSITIVE_INFINITY);
         assertFalse(filter.hasSample());
--- a/decisions/src/test/java/thornferry/decisions/placement/EmbeddingTest.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/EmbeddingTest.java
@@ -8,30 +8,33 @@
 
 /** The use shown in the README, as a new user would write it. */
 class EmbeddingTest {
-    private final List<Placement.Action> done = new ArrayList<>();
+    private final List<Placement.Action> actions = new ArrayList<>();
 
-    private void act(Placement.Action action) {
-        done.add(action);
+    private void record(Placement.Action action) {
+        actions.add(action);
     }
 
     @Test
-    void theReadmesExampleOffersATask() {
+    void offersTaskInReadmeExample() {
         Placement.Settings settings = new PolicyFixtures().settings();
-        List<Placement.MachineEntry> machines = List.of(PolicyFixtures.ready("m1", "a", 10));
-        Placement.PlacementRequest ask =
+        List<Placement.MachineEntry> machines = List.of(PolicyFixtures.readyMachine("m1", "a", 10));
+        Placement.PlacementRequest request =
                 new Placement.PlacementRequest(
                         "r1", "safe", null, "t1", 5_000_000, 0, "service", 1, 1, false);
-        long now = 0;
+        long nowMicros = 0;
 
-        Placement module = new Policy(settings);
-        module.on(
-                now,
+        Placement policy = new Policy(settings);
+        policy.on(
+                nowMicros,
                 new Placement.MachineListUpdated(1, Placement.ListUpdateKind.FULL, machines),
-                this::act);
-        module.on(now, new Placement.PlacementRequested(ask), this::act);
+                this::record);
+        policy.on(nowMicros, new Placement.PlacementRequested(request), this::record);
 
         assertTrue(
-                done.stream()
-                        .anyMatch(a -> a instanceof Placement.Offer o && o.machine().equals("m1")));
+                actions.stream()
+                        .anyMatch(
+                                recorded ->
+                                        recorded instanceof Placement.Offer o
+                                                && o.machine().equals("m1")));
     }
 }
--- a/decisions/src/test/java/thornferry/decisions/placement/PolicyFixtures.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/PolicyFixtures.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.stream.IntStream;
 import thornferry.decisions.placement.Placement.Action;
 import thornferry.decisions.placement.Placement.AttemptEnded;
 import thornferry.decisions.placement.Placement.AttemptOutcome;
@@ -26,24 +27,24 @@
 import thornferry.decisions.placement.Placement.TimerFired;
 import thornferry.decisions.placement.Placement.TopologyScope;
 
-/** Settings and a held clock for tests of the module through its interface. */
+/** Settings, events and a simulated clock for tests of the policy through its interface. */
 public final class PolicyFixtures {
-    static final long MS = 1_000;
+    static final long MILLISECOND = 1_000;
     static final long SECOND = 1_000_000;
 
     long seed = 7;
-    int number;
-    int instances = 1;
-    LoadReportMode reports = LoadReportMode.NONE;
-    boolean countsUsed;
-    boolean listsRoom = true;
-    boolean mustAsk;
-    boolean running;
-    double fleetPrice;
-    double coldOffers = 40;
-    int attempts = 4;
-    boolean probes = true;
-    double probePrice = 0.003;
+    int instanceIndex;
+    int instanceCount = 1;
+    LoadReportMode loadReportMode = LoadReportMode.NONE;
+    boolean reportsMeasureUsage;
+    boolean listShowsFreeCapacity = true;
+    boolean listNeedsSubscription;
+    boolean acceptedWhenRunning;
+    double fleetCost;
+    double slowStartOffers = 40;
+    int maxAttempts = 4;
+    boolean healthChecks = true;
+    double healthCheckCost = 0.003;
     public List<TaskClass> classes =
             new ArrayList<>(
                     List.of(
@@ -92,43 +93,43 @@
 
     static TaskClass taskClass(
             String name,
-            Idempotency effect,
-            TopologyScope key,
-            double worth,
-            TopologyScope spread,
-            int most) {
+            Idempotency idempotency,
+            TopologyScope keyScope,
+            double priorityWeight,
+            TopologyScope spreadScope,
+            int maxTasksPerScope) {
         return new TaskClass(
                 name,
-                effect,
-                key,
+                idempotency,
+                keyScope,
                 5 * SECOND,
                 SECOND,
                 8 * SECOND,
-                worth,
+                priorityWeight,
                 0.1,
                 12,
                 1.0,
                 1.0,
                 0,
                 -1,
-                spread,
-                most);
+                spreadScope,
+                maxTasksPerScope);
     }
 
     Settings settings() {
         return new Settings(
                 seed,
-                number,
-                instances,
+                instanceIndex,
+                instanceCount,
                 "a",
                 classes,
                 List.of(new MachineKind("std", 20, 40)),
                 List.of(),
-                reports,
-                countsUsed,
-                listsRoom,
-                mustAsk,
-                running,
+                loadReportMode,
+                reportsMeasureUsage,
+                listShowsFreeCapacity,
+                listNeedsSubscription,
+                acceptedWhenRunning,
                 false,
                 false,
                 false,
@@ -138,83 +139,128 @@
                 2,
                 0.1,
                 3 * SECOND,
-                new CostWeights(fleetPrice, 0.08, 0.03, 0, probePrice, 0.004, 0.02, 2),
+                new CostWeights(fleetCost, 0.08, 0.03, 0, healthCheckCost, 0.004, 0.02, 2),
                 new Rules(
-                        8 * MS,
-                        500 * MS,
+                        8 * MILLISECOND,
+                        500 * MILLISECOND,
                         10 * SECOND,
                         0.25,
                         16 * SECOND,
                         2,
                         3 * SECOND,
-                        coldOffers),
-                new Limits(probes, true, true, false, attempts, 3 * SECOND));
+                        slowStartOffers),
+                new Limits(healthChecks, true, true, false, maxAttempts, 3 * SECOND));
     }
 
     static MachineEntry machine(
-            String id, String zone, MachineState state, double coresFree, long started) {
-        return new MachineEntry(id, zone, "std", 1, state, coresFree, coresFree * 2, 1, started);
+            String id, String zone, MachineState state, double freeCores, long startedAtMicros) {
+        return new MachineEntry(
+                id, zone, "std", 1, state, freeCores, freeCores * 2, 1, startedAtMicros);
     }
 
-    static MachineEntry ready(String id, String zone, double coresFree) {
-        return machine(id, zone, MachineState.READY, coresFree, 0);
+    static MachineEntry readyMachine(String id, String zone, double freeCores) {
+        return machine(id, zone, MachineState.READY, freeCores, 0);
     }
 
-    static MachineListUpdated full(MachineEntry... entries) {
+    static MachineListUpdated fullList(MachineEntry... entries) {
         return new MachineListUpdated(1, ListUpdateKind.FULL, List.of(entries));
     }
 
-    static MachineListUpdated delta(MachineEntry... entries) {
+    static MachineListUpdated deltaList(MachineEntry... entries) {
         return new MachineListUpdated(2, ListUpdateKind.DELTA, List.of(entries));
     }
 
-    static PlacementRequested ask(String id, String taskClass, double cores) {
-        return ask(id, taskClass, cores, 8 * SECOND);
+    static PlacementRequested request(String id, String taskClass, double cores) {
+        return request(id, taskClass, cores, 8 * SECOND);
     }
 
-    static PlacementRequested ask(String id, String taskClass, double cores, long patience) {
+    static PlacementRequested request(
+            String id, String taskClass, double cores, long maxWaitMicros) {
         return new PlacementRequested(
                 new PlacementRequest(
-                        id, taskClass, null, "t-" + id, patience, 0, "service", cores, cores,
+                        id,
+                        taskClass,
+                        null,
+                        "t-" + id,
+                        maxWaitMicros,
+                        0,
+                        "service",
+                        cores,
+                        cores,
                         false));
     }
 
-    static AttemptEnded ended(
+    static AttemptEnded attemptEnded(
             Offer offer, int attempt, AttemptOutcome outcome, OutcomeReason reason) {
         return new AttemptEnded(
-                offer.requestId(), attempt, offer.machine(), outcome, 50 * MS, false, reason, null);
+                offer.requestId(),
+                attempt,
+                offer.machine(),
+                outcome,
+                50 * MILLISECOND,
+                false,
+                reason,
+                null);
+    }
+
+    /** A policy that knows these machines from a full list. */
+    PolicyDriver driverWith(MachineEntry... entries) {
+        PolicyDriver driver = new PolicyDriver(this);
+        driver.send(fullList(entries));
+        return driver;
+    }
+
+    /** Ready machines with the same free capacity. */
+    static MachineEntry[] cluster(int size, double freeCores) {
+        return IntStream.range(0, size)
+                .mapToObj(i -> readyMachine("m" + i, "a", freeCores))
+                .toArray(MachineEntry[]::new);
+    }
+
+    static PlacementRequested requestOfService(String id, String service) {
+        return new PlacementRequested(
+                new PlacementRequest(
+                        id, "safe", null, "t-" + id, 8 * SECOND, 0, service, 1, 1, false));
+    }
+
+    /** A request for a service of its own, so that no machine has its program. */
+    static PlacementRequested requestOfOwnService(String id, String taskClass) {
+        return new PlacementRequested(
+                new PlacementRequest(
+                        id, taskClass, null, "t-" + id, 8 * SECOND, 0, "s-" + id, 0.5, 0.5, false));
     }
 
-    /** One instance with its clock; timers fire when the test moves the clock past them. */
-    static final class Script {
-        final Placement module;
-        final List<Action> actions = new ArrayList<>();
-        final List<Long> timers = new ArrayList<>();
-        long now = 1_000 * SECOND;
-        int fired;
+    /** A policy with its clock; timers fire when the test moves the clock past them. */
+    static final class PolicyDriver {
+        final Placement policy;
+        final List<Action> allActions = new ArrayList<>();
+        final List<Long> dueTimers = new ArrayList<>();
+        long nowMicros = 1_000 * SECOND;
+        int firedTimers;
 
-        Script(PolicyFixtures fixtures) {
-            module = new Policy(fixtures.settings());
+        PolicyDriver(PolicyFixtures fixtures) {
+            policy = new Policy(fixtures.settings());
         }
 
-        /** Sends one event; returns what it led to, timers left out. */
+        /** Sends one event; returns the actions that follow from it, without timers. */
         List<Action> send(Event event) {
-            List<Action> led = new ArrayList<>();
-            module.on(
-                    now,
+            List<Action> actions = new ArrayList<>();
+            policy.on(
+                    nowMicros,
                     event,
                     action -> {
                         if (action instanceof SetTimer timer) {
-                            timers.add(timer.atMicros());
+                            dueTimers.add(timer.atMicros());
                         } else {
-                            led.add(action);
+                            actions.add(action);
                         }
                     });
-            actions.addAll(led);
-            return led;
+            allActions.addAll(actions);
+            return actions;
         }
 
-        Offer offer(Event event) {
+        /** Sends one event; returns the offer that follows from it, null if there is none. */
+        Offer sendForOffer(Event event) {
             return send(event).stream()
                     .filter(Offer.class::isInstance)
                     .map(Offer.class::cast)
@@ -222,22 +268,23 @@
                     .orElse(null);
         }
 
-        /** Lets time pass, firing timers as they fall due. */
-        List<Action> pass(long time) {
-            List<Action> led = new ArrayList<>();
-            long end = now + time;
+        /** Lets time pass and fires timers when they are due; returns the actions. */
+        List<Action> advance(long durationMicros) {
+            List<Action> actions = new ArrayList<>();
+            long endMicros = nowMicros + durationMicros;
             while (true) {
-                long due = timers.stream().mapToLong(Long::longValue).min().orElse(Long.MAX_VALUE);
-                if (due > end) {
+                long dueMicros =
+                        dueTimers.stream().mapToLong(Long::longValue).min().orElse(Long.MAX_VALUE);
+                if (dueMicros > endMicros) {
                     break;
                 }
-                timers.remove(due);
-                now = due;
-                fired++;
-                led.addAll(send(new TimerFired(0)));
+                dueTimers.remove(dueMicros);
+                nowMicros = dueMicros;
+                firedTimers++;
+                actions.addAll(send(new TimerFired(0)));
             }
-            now = end;
-            return led;
+            nowMicros = endMicros;
+            return actions;
         }
     }
 }
--- a/decisions/src/test/java/thornferry/decisions/placement/RuleChecker.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/RuleChecker.java
@@ -25,29 +25,36 @@
 import thornferry.decisions.placement.Placement.TopologyScope;
 
 /**
- * Watches events and actions of one instance and notes every broken rule; knows nothing of how it
- * decides.
+ * Checks the actions of one policy against the rules, knowing nothing of how it decides.
+ *
+ * <ol>
+ *   <li>Each request gets one final answer in time.
+ *   <li>No task runs twice that must not, and none is rejected that may have run.
+ *   <li>Draining and gone machines get no offers.
+ *   <li>Machines in slow start get no more than this placer's share of their budget.
+ *   <li>No scope runs more tasks of a service than the class allows.
+ * </ol>
  */
 final class RuleChecker {
-    final List<String> broken = new ArrayList<>();
-    int offers;
+    final List<String> violations = new ArrayList<>();
+    int offerCount;
     private final Settings settings;
-    private final Map<String, Owed> tasks = new LinkedHashMap<>();
+    private final Map<String, TaskRecord> tasks = new LinkedHashMap<>();
     private final Map<String, MachineEntry> machines = new LinkedHashMap<>();
-    private final Map<String, Long> stopped = new LinkedHashMap<>();
-    private final Map<String, List<Long>> sends = new LinkedHashMap<>();
+    private final Map<String, Long> notReadySinceMicros = new LinkedHashMap<>();
+    private final Map<String, List<Long>> offerMicrosByMachine = new LinkedHashMap<>();
 
-    private static final class Owed {
-        PlacementRequest ask;
-        TaskClass cls;
-        long asked;
+    private static final class TaskRecord {
+        PlacementRequest request;
+        TaskClass taskClass;
+        long requestedMicros;
         boolean answered;
-        boolean out;
+        boolean attemptInFlight;
         int attempts;
-        String at;
-        long sent;
-        String mayHaveRunAt;
-        long mayHaveRunFrom;
+        String machine;
+        long sentMicros;
+        String mayHaveRunOn;
+        long mayHaveRunSinceMicros;
     }
 
     RuleChecker(Settings settings) {
@@ -58,169 +65,190 @@
         return tasks.get(id).attempts;
     }
 
-    boolean known(String machine) {
+    boolean isKnown(String machine) {
         return machines.containsKey(machine);
     }
 
-    private void breaks(int rule, long now, String what) {
-        broken.add("rule " + rule + " at " + now + ": " + what);
+    private void recordViolation(int rule, long nowMicros, String violation) {
+        violations.add("rule " + rule + " at " + nowMicros + ": " + violation);
     }
 
-    void event(long now, Event event) {
-        late(now);
+    void recordEvent(long nowMicros, Event event) {
+        checkDeadlines(nowMicros);
         if (event instanceof MachineListUpdated list && list.kind() != ListUpdateKind.FAILED) {
             if (list.kind() != ListUpdateKind.DELTA) {
-                machines.keySet().forEach(id -> stopped.putIfAbsent(id, now));
+                machines.keySet().forEach(id -> notReadySinceMicros.putIfAbsent(id, nowMicros));
             }
-            for (MachineEntry e : list.entries()) {
-                machines.put(e.machine(), e);
-                if (e.state() == MachineState.READY) {
-                    stopped.remove(e.machine());
+            for (MachineEntry listed : list.entries()) {
+                machines.put(listed.machine(), listed);
+                if (listed.state() == MachineState.READY) {
+                    notReadySinceMicros.remove(listed.machine());
                 } else {
-                    stopped.putIfAbsent(e.machine(), now);
+                    notReadySinceMicros.putIfAbsent(listed.machine(), nowMicros);
                 }
             }
-        } else if (event instanceof PlacementRequested asked) {
-            take(now, asked.request());
-        } else if (event instanceof TaskAdopted running) {
-            Owed t = take(now, running.request());
-            t.answered = true;
-            t.out = true;
-            t.at = running.machine();
-            t.attempts = 1;
-        } else if (event instanceof AttemptAccepted placed) {
-            tasks.get(placed.requestId()).answered = true;
+        } else if (event instanceof PlacementRequested requested) {
+            addTask(nowMicros, requested.request());
+        } else if (event instanceof TaskAdopted adopted) {
+            TaskRecord task = addTask(nowMicros, adopted.request());
+            task.answered = true;
+            task.attemptInFlight = true;
+            task.machine = adopted.machine();
+            task.attempts = 1;
+        } else if (event instanceof AttemptAccepted accepted) {
+            tasks.get(accepted.requestId()).answered = true;
         } else if (event instanceof AttemptEnded ended) {
-            Owed t = tasks.get(ended.requestId());
-            t.out = false;
-            t.answered |= ended.settled();
-            if (!ended.outcome().neverRan && t.mayHaveRunAt == null) {
-                t.mayHaveRunAt = t.at;
-                t.mayHaveRunFrom = t.sent;
+            TaskRecord task = tasks.get(ended.requestId());
+            task.attemptInFlight = false;
+            task.answered |= ended.settled();
+            if (!ended.outcome().neverRan && task.mayHaveRunOn == null) {
+                task.mayHaveRunOn = task.machine;
+                task.mayHaveRunSinceMicros = task.sentMicros;
             }
-        } else if (event instanceof ClientDisconnected left
-                && tasks.containsKey(left.requestId())) {
-            tasks.get(left.requestId()).answered = true;
+        } else if (event instanceof ClientDisconnected disconnected
+                && tasks.containsKey(disconnected.requestId())) {
+            tasks.get(disconnected.requestId()).answered = true;
         }
     }
 
-    private Owed take(long now, PlacementRequest ask) {
-        Owed t = new Owed();
-        t.ask = ask;
-        t.asked = now;
-        t.cls =
+    private TaskRecord addTask(long nowMicros, PlacementRequest request) {
+        TaskRecord task = new TaskRecord();
+        task.request = request;
+        task.requestedMicros = nowMicros;
+        task.taskClass =
                 settings.classes().stream()
-                        .filter(c -> c.name().equals(ask.taskClass()))
+                        .filter(candidate -> candidate.name().equals(request.taskClass()))
                         .findFirst()
                         .orElseThrow();
-        tasks.put(ask.id(), t);
-        return t;
+        tasks.put(request.id(), task);
+        return task;
     }
 
-    private void late(long now) {
-        for (Owed t : tasks.values()) {
-            if (!t.answered
-                    && now
-                            > t.asked
-                                    + t.ask.maxWaitMicros()
+    private void checkDeadlines(long nowMicros) {
+        for (TaskRecord task : tasks.values()) {
+            if (!task.answered
+                    && nowMicros
+                            > task.requestedMicros
+                                    + task.request.maxWaitMicros()
                                     + settings.rules().answerGraceMicros()) {
-                t.answered = true;
-                breaks(1, now, t.ask.id() + " has no final answer in time");
+                task.answered = true;
+                recordViolation(1, nowMicros, task.request.id() + " has no final answer in time");
             }
         }
     }
 
-    void end(long now) {
-        late(now);
+    void finish(long nowMicros) {
+        checkDeadlines(nowMicros);
     }
 
-    void action(long now, Action action) {
-        late(now);
+    void recordAction(long nowMicros, Action action) {
+        checkDeadlines(nowMicros);
         if (action instanceof Offer offer) {
-            offers++;
-            offered(now, offer, tasks.get(offer.requestId()));
-        } else if (action instanceof Reject refuse) {
-            Owed t = tasks.get(refuse.requestId());
-            boolean harmless =
-                    t.cls.idempotency() == Idempotency.IDEMPOTENT
-                            || t.mayHaveRunAt == null && !t.out
-                            || t.cls.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                                    && t.cls.keyScope() == TopologyScope.ALL;
-            if (!harmless) {
-                breaks(2, now, t.ask.id() + " is refused though it may have run");
+            offerCount++;
+            checkOffer(nowMicros, offer, tasks.get(offer.requestId()));
+        } else if (action instanceof Reject reject) {
+            TaskRecord task = tasks.get(reject.requestId());
+            boolean safeToRetry =
+                    task.taskClass.idempotency() == Idempotency.IDEMPOTENT
+                            || task.mayHaveRunOn == null && !task.attemptInFlight
+                            || task.taskClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                                    && task.taskClass.keyScope() == TopologyScope.ALL;
+            if (!safeToRetry) {
+                recordViolation(
+                        2, nowMicros, task.request.id() + " is rejected though it may have run");
             }
-            answer(now, t);
+            recordFinalAnswer(nowMicros, task);
         } else if (action instanceof Fail fail) {
-            answer(now, tasks.get(fail.requestId()));
+            recordFinalAnswer(nowMicros, tasks.get(fail.requestId()));
         }
     }
 
-    private void answer(long now, Owed t) {
-        if (t.answered) {
-            breaks(1, now, t.ask.id() + " is answered twice");
+    private void recordFinalAnswer(long nowMicros, TaskRecord task) {
+        if (task.answered) {
+            recordViolation(1, nowMicros, task.request.id() + " is answered twice");
         }
-        t.answered = true;
+        task.answered = true;
     }
 
-    private void offered(long now, Offer offer, Owed t) {
-        if (t.answered) {
-            breaks(1, now, offer.requestId() + " is sent after its final answer");
+    private void checkOffer(long nowMicros, Offer offer, TaskRecord task) {
+        if (task.answered) {
+            recordViolation(1, nowMicros, offer.requestId() + " is offered after its final answer");
         }
-        if (t.out) {
-            breaks(2, now, offer.requestId() + " has two attempts out");
+        if (task.attemptInFlight) {
+            recordViolation(2, nowMicros, offer.requestId() + " has two attempts in flight");
         }
-        if (t.mayHaveRunAt != null && t.cls.idempotency() == Idempotency.NON_IDEMPOTENT) {
-            breaks(2, now, offer.requestId() + " may have run and is unsafe");
+        if (task.mayHaveRunOn != null
+                && task.taskClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
+            recordViolation(
+                    2, nowMicros, offer.requestId() + " may have run and is not idempotent");
         }
-        MachineEntry m = machines.get(offer.machine());
-        if (t.mayHaveRunAt != null && t.cls.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY) {
-            boolean inside =
-                    t.cls.keyScope() == TopologyScope.ALL
-                            || machines.get(t.mayHaveRunAt).zone().equals(m.zone());
-            if (!inside || now > t.mayHaveRunFrom + t.cls.keyWindowMicros()) {
-                breaks(2, now, offer.requestId() + " is sent again outside its group or window");
+        MachineEntry entry = machines.get(offer.machine());
+        if (task.mayHaveRunOn != null
+                && task.taskClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY) {
+            boolean withinKeyScope =
+                    task.taskClass.keyScope() == TopologyScope.ALL
+                            || machines.get(task.mayHaveRunOn).zone().equals(entry.zone());
+            if (!withinKeyScope
+                    || nowMicros > task.mayHaveRunSinceMicros + task.taskClass.keyWindowMicros()) {
+                recordViolation(
+                        2,
+                        nowMicros,
+                        offer.requestId() + " is offered again outside its key scope or window");
             }
         }
-        Long since = stopped.get(offer.machine());
-        if (since != null && now > since + settings.rules().drainGraceMicros()) {
-            breaks(3, now, offer.machine() + " drains or is gone");
+        Long notReadySince = notReadySinceMicros.get(offer.machine());
+        if (notReadySince != null
+                && nowMicros > notReadySince + settings.rules().drainGraceMicros()) {
+            recordViolation(3, nowMicros, offer.machine() + " is draining or gone");
         }
-        cold(now, m);
-        t.attempts++;
-        t.out = true;
-        t.at = offer.machine();
-        t.sent = now;
-        spread(now, t, m);
+        checkSlowStart(nowMicros, entry);
+        task.attempts++;
+        task.attemptInFlight = true;
+        task.machine = offer.machine();
+        task.sentMicros = nowMicros;
+        checkSpread(nowMicros, task, entry);
     }
 
-    private void cold(long now, MachineEntry m) {
-        List<Long> to = sends.computeIfAbsent(m.machine(), id -> new ArrayList<>());
-        to.add(now);
-        long window = settings.rules().slowStartWindowMicros();
-        long recent = to.stream().filter(at -> at > now - window).count();
-        boolean cold =
-                m.startedAtMicros() > 0
-                        && now < m.startedAtMicros() + settings.rules().slowStartMicros();
-        if (cold && recent * settings.instanceCount() > settings.rules().slowStartOffers()) {
-            breaks(4, now, m.machine() + " gets more than this placer's share of its budget");
+    private void checkSlowStart(long nowMicros, MachineEntry entry) {
+        List<Long> offers =
+                offerMicrosByMachine.computeIfAbsent(entry.machine(), id -> new ArrayList<>());
+        offers.add(nowMicros);
+        long windowMicros = settings.rules().slowStartWindowMicros();
+        long recentOffers = offers.stream().filter(at -> at > nowMicros - windowMicros).count();
+        boolean warmingUp =
+                entry.startedAtMicros() > 0
+                        && nowMicros < entry.startedAtMicros() + settings.rules().slowStartMicros();
+        if (warmingUp
+                && recentOffers * settings.instanceCount() > settings.rules().slowStartOffers()) {
+            recordViolation(
+                    4,
+                    nowMicros,
+                    entry.machine() + " gets more than this placer's share of its budget");
         }
     }
 
-    private void spread(long now, Owed sent, MachineEntry m) {
-        if (sent.cls.spreadScope() != TopologyScope.ZONE) {
+    private void checkSpread(long nowMicros, TaskRecord offered, MachineEntry entry) {
+        if (offered.taskClass.spreadScope() != TopologyScope.ZONE) {
             return;
         }
-        long there =
+        long running =
                 tasks.values().stream()
                         .filter(
-                                t ->
-                                        t.out
-                                                && t.ask.service().equals(sent.ask.service())
-                                                && machines.containsKey(t.at)
-                                                && machines.get(t.at).zone().equals(m.zone()))
+                                task ->
+                                        task.attemptInFlight
+                                                && task.request
+                                                        .service()
+                                                        .equals(offered.request.service())
+                                                && machines.containsKey(task.machine)
+                                                && machines.get(task.machine)
+                                                        .zone()
+                                                        .equals(entry.zone()))
                         .count();
-        if (there > sent.cls.maxTasksPerScope()) {
-            breaks(5, now, sent.ask.service() + " has " + there + " in zone " + m.zone());
+        if (running > offered.taskClass.maxTasksPerScope()) {
+            recordViolation(
+                    5,
+                    nowMicros,
+                    offered.request.service() + " has " + running + " in zone " + entry.zone());
         }
     }
 }
--- a/decisions/src/test/java/thornferry/decisions/placement/SlowStartTest.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/SlowStartTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static thornferry.decisions.placement.PolicyFixtures.MS;
+import static thornferry.decisions.placement.PolicyFixtures.MILLISECOND;
 import static thornferry.decisions.placement.PolicyFixtures.SECOND;
 
 import java.util.ArrayList;
@@ -21,132 +21,133 @@
 import thornferry.decisions.placement.Placement.MachineState;
 import thornferry.decisions.placement.Placement.Offer;
 import thornferry.decisions.placement.Placement.OutcomeReason;
-import thornferry.decisions.placement.PolicyFixtures.Script;
+import thornferry.decisions.placement.PolicyFixtures.PolicyDriver;
 
 /**
- * Rule 4 is the fleet's: what reaches a cold machine from all placers together, over every window,
- * whatever bursts come, whoever has just restarted and remembers nothing, and whenever each was
- * told of the start. All other machines are lost, so that whatever is asked presses on the cold
- * ones.
+ * Slow start limits what reaches a machine from all placers together, in every window: whatever
+ * bursts of requests come, whichever placers have just restarted, and whenever each of them learns
+ * of the machine's start. There are no other machines, so that all load falls on these.
  */
 class SlowStartTest {
-    private static final long WINDOW = 3 * SECOND;
-    private static final long START = 1_000 * SECOND;
-    private static final long STEP = 100 * MS;
-    private static final int COLD = 4;
+    private static final long WINDOW_MICROS = 3 * SECOND;
+    private static final long START_MICROS = 1_000 * SECOND;
+    private static final long STEP_MICROS = 100 * MILLISECOND;
+    private static final int MACHINE_COUNT = 4;
 
-    private final Map<String, List<Long>> arrivals = new LinkedHashMap<>();
-    private final Map<String, Integer> attempts = new LinkedHashMap<>();
+    private final Map<String, List<Long>> arrivalsByMachine = new LinkedHashMap<>();
+    private final Map<String, Integer> attemptsByRequest = new LinkedHashMap<>();
     private final PolicyFixtures fixtures = new PolicyFixtures();
     private Random random;
-    private long ids;
+    private long requestCount;
 
     @ParameterizedTest
     @CsvSource({"3, 36", "3, 10", "16, 36", "16, 10", "30, 36", "30, 100", "30, 4"})
-    void noWindowOfAColdMachineHoldsMoreThanItsBudgetAndTwoRoots(int placers, int budget) {
+    void keepsEveryWindowWithinBudgetPlusTwoDeviations(int placers, int budget) {
         random = new Random(placers * 31L + budget);
-        fixtures.instances = placers;
-        fixtures.coldOffers = budget;
-        List<Script> fleet = new ArrayList<>();
+        fixtures.instanceCount = placers;
+        fixtures.slowStartOffers = budget;
+        List<PolicyDriver> drivers = new ArrayList<>();
         for (int i = 0; i < placers; i++) {
-            fleet.add(starts(i, START));
+            drivers.add(startPlacer(i, START_MICROS));
         }
-        for (long at = START; at < START + 40 * SECOND; at += STEP) {
+        for (long nowMicros = START_MICROS;
+                nowMicros < START_MICROS + 40 * SECOND;
+                nowMicros += STEP_MICROS) {
             for (int i = 0; i < placers; i++) {
-                // half of the time most restart again and again, some between two offers to the
+                // half of the time most placers restart repeatedly, some between two offers to the
                 // same machine
-                if (at % (20 * SECOND) >= 10 * SECOND
-                        && at % (1_500 * MS) < STEP
+                if (nowMicros % (20 * SECOND) >= 10 * SECOND
+                        && nowMicros % (1_500 * MILLISECOND) < STEP_MICROS
                         && random.nextInt(10) < 7) {
-                    fleet.set(i, starts(i, at));
+                    drivers.set(i, startPlacer(i, nowMicros));
                 }
-                lives(fleet.get(i), at);
+                runStep(drivers.get(i), nowMicros);
             }
         }
-        assertEquals(COLD, arrivals.size(), "all are used");
-        double most = budget + 2 * Math.sqrt(budget) + 2;
-        arrivals.forEach(
-                (machine, all) -> {
-                    all.sort(null);
-                    for (int i = 0, from = 0; i < all.size(); i++) {
-                        while (all.get(from) <= all.get(i) - WINDOW) {
-                            from++;
+        assertEquals(MACHINE_COUNT, arrivalsByMachine.size(), "all are used");
+        double maxOffers = budget + 2 * Math.sqrt(budget) + 2;
+        arrivalsByMachine.forEach(
+                (machine, arrivals) -> {
+                    arrivals.sort(null);
+                    for (int i = 0, windowStart = 0; i < arrivals.size(); i++) {
+                        while (arrivals.get(windowStart) <= arrivals.get(i) - WINDOW_MICROS) {
+                            windowStart++;
                         }
                         assertTrue(
-                                i - from + 1 <= most,
-                                (i - from + 1) + " in a window of " + machine);
+                                i - windowStart + 1 <= maxOffers,
+                                (i - windowStart + 1) + " in a window of " + machine);
                     }
                 });
     }
 
-    /**
-     * A placer that starts knows the list as it stands, and nothing of what an earlier one of its
-     * name sent.
-     */
-    private Script starts(int number, long at) {
-        fixtures.number = number;
+    /** A placer that starts knows the current list and nothing of what its predecessor sent. */
+    private PolicyDriver startPlacer(int instanceIndex, long nowMicros) {
+        fixtures.instanceIndex = instanceIndex;
         fixtures.seed = random.nextLong();
-        Script s = new Script(fixtures);
-        s.now = at;
-        List<MachineEntry> list = new ArrayList<>();
-        for (int m = 0; m < COLD; m++) {
-            if (started(m) <= at) {
-                list.add(cold(m));
+        PolicyDriver driver = new PolicyDriver(fixtures);
+        driver.nowMicros = nowMicros;
+        List<MachineEntry> entries = new ArrayList<>();
+        for (int machineIndex = 0; machineIndex < MACHINE_COUNT; machineIndex++) {
+            if (startedAtMicros(machineIndex) <= nowMicros) {
+                entries.add(machine(machineIndex));
             }
         }
-        s.send(new MachineListUpdated(1, ListUpdateKind.CACHED, list));
-        return s;
+        driver.send(new MachineListUpdated(1, ListUpdateKind.CACHED, entries));
+        return driver;
     }
 
-    private static long started(int m) {
-        return START + (1 + 7 * m) * SECOND;
+    private static long startedAtMicros(int machineIndex) {
+        return START_MICROS + (1 + 7 * machineIndex) * SECOND;
     }
 
-    private static MachineEntry cold(int m) {
-        return PolicyFixtures.machine("cold" + m, "a", MachineState.READY, 20, started(m));
+    private static MachineEntry machine(int machineIndex) {
+        return PolicyFixtures.machine(
+                "cold" + machineIndex, "a", MachineState.READY, 20, startedAtMicros(machineIndex));
     }
 
-    private boolean isCold(String machine, long at) {
+    private boolean isWarmingUp(String machine, long nowMicros) {
         return machine.startsWith("cold")
-                && at
-                        < started(machine.charAt(4) - '0')
+                && nowMicros
+                        < startedAtMicros(machine.charAt(4) - '0')
                                 + fixtures.settings().rules().slowStartMicros();
     }
 
-    private void lives(Script s, long at) {
-        List<Action> led = new ArrayList<>(s.pass(at + STEP - s.now));
-        for (int m = 0; m < COLD; m++) {
-            if (at >= started(m)
-                    && random.nextInt(10) == 0) { // lists tell at different times, and again
-                led.addAll(s.send(PolicyFixtures.delta(cold(m))));
+    private void runStep(PolicyDriver driver, long nowMicros) {
+        List<Action> actions =
+                new ArrayList<>(driver.advance(nowMicros + STEP_MICROS - driver.nowMicros));
+        for (int machineIndex = 0; machineIndex < MACHINE_COUNT; machineIndex++) {
+            if (nowMicros >= startedAtMicros(machineIndex)
+                    && random.nextInt(10)
+                            == 0) { // placers learn of a start at different times, and again
+                actions.addAll(driver.send(PolicyFixtures.deltaList(machine(machineIndex))));
             }
         }
         for (int burst = random.nextInt(4) == 0 ? random.nextInt(12) : 0; burst > 0; burst--) {
-            led.addAll(s.send(PolicyFixtures.ask("r" + ids++, "safe", 0.1)));
+            actions.addAll(driver.send(PolicyFixtures.request("r" + requestCount++, "safe", 0.1)));
         }
-        while (!led.isEmpty()) {
-            Action action = led.remove(0);
+        while (!actions.isEmpty()) {
+            Action action = actions.remove(0);
             if (action instanceof Offer offer) {
-                if (isCold(offer.machine(), s.now)) {
-                    arrivals.computeIfAbsent(offer.machine(), m -> new ArrayList<>())
-                            .add(s.now + random.nextInt((int) (250 * MS))); // as late as a
-                    // connection may come
-                    // up
+                if (isWarmingUp(offer.machine(), driver.nowMicros)) {
+                    // a new connection may take up to 250 ms
+                    arrivalsByMachine
+                            .computeIfAbsent(offer.machine(), machine -> new ArrayList<>())
+                            .add(driver.nowMicros + random.nextInt((int) (250 * MILLISECOND)));
                 }
-                int attempt = attempts.merge(offer.requestId(), 1, Integer::sum) - 1;
+                int attempt = attemptsByRequest.merge(offer.requestId(), 1, Integer::sum) - 1;
                 AttemptOutcome outcome =
                         AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
-                led.addAll(
+                actions.addAll(
                         random.nextInt(3) == 0
-                                ? s.send(
-                                        PolicyFixtures.ended(
+                                ? driver.send(
+                                        PolicyFixtures.attemptEnded(
                                                 offer, attempt, outcome, OutcomeReason.NONE))
-                                : s.send(
+                                : driver.send(
                                         new AttemptAccepted(
                                                 offer.requestId(),
                                                 attempt,
                                                 offer.machine(),
-                                                50 * MS)));
+                                                50 * MILLISECOND)));
             }
         }
     }
