--- a/decisions/src/main/java/thornferry/decisions/requests/InvalidRequestException.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/InvalidRequestException.java
@@ -1,6 +1,9 @@
 package thornferry.decisions.requests;
 
-/** A wish that cannot be taken; nothing has changed. */
+/**
+ * A client's request that cannot be accepted, with a message for the client; nothing has changed.
+ * It carries no stack trace, as it is an ordinary answer.
+ */
 public final class InvalidRequestException extends Exception {
     private static final long serialVersionUID = 1;
 
--- /dev/null
+++ b/decisions/src/main/java/thornferry/decisions/requests/OwnedTask.java
@@ -0,0 +1,12 @@
+package thornferry.decisions.requests;
+
+/**
+ * A task and whom it belongs to.
+ *
+ * @param tenant the owner's tenant, empty for none
+ */
+public record OwnedTask(String owner, String tenant, TaskSpec spec) {
+    String key() {
+        return TaskKey.of(owner, spec.id());
+    }
+}
--- a/decisions/src/main/java/thornferry/decisions/requests/Uncertainty.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/Uncertainty.java
@@ -1,11 +1,11 @@
 package thornferry.decisions.requests;
 
-/** What is known of a task that is asked for. */
+/** Whether a requested task may have run in an earlier incarnation of the placer. */
 public enum Uncertainty {
-    /** No attempt of a former life can have run. */
+    /** It cannot have run. */
     NONE,
-    /** One may have, and proof may come: hold the ask. */
+    /** It may have run, and machines may still prove that it did or did not: the request waits. */
     PENDING_PROOF,
-    /** One may have, and no proof can come any more. */
+    /** It may have run, and nothing can prove any more that it did not: the request fails. */
     MAY_HAVE_RUN
 }
--- a/decisions/src/test/java/thornferry/decisions/requests/RequestTrackerTest.java
+++ b/decisions/src/test/java/thornferry/decisions/requests/RequestTrackerTest.java
@@ -17,334 +17,374 @@
 class RequestTrackerTest {
     private static final long MS = 1_000;
     private static final long SECOND = 1_000_000;
+    private static final long TICK_MICROS = 100 * MS;
+    private static final long SEED = 7;
+    private static final RequestTracker.Limits LIMITS =
+            new RequestTracker.Limits(
+                    3, 5, 60 * SECOND, 20 * SECOND, 3 * SECOND, SECOND, 8 * SECOND);
 
     private final List<Action> actions = new ArrayList<>();
     private long now = 1_000 * SECOND;
-    private RequestTracker intake =
-            intake(
-                    new RequestTracker.Limits(
-                            3, 5, 60 * SECOND, 20 * SECOND, 3 * SECOND, SECOND, 8 * SECOND));
-
-    private RequestTracker intake(RequestTracker.Limits limits) {
-        RequestTracker made = new RequestTracker(limits, new PolicyFixtures().classes, 7, now);
-        now += 10 * SECOND; // well after the start, when nothing settles any more
-        for (long at = now - 10 * SECOND; at <= now; at += 100_000) {
-            made.tick(at, action -> {});
+    private RequestTracker requests = settledTracker();
+
+    private RequestTracker newTracker() {
+        return new RequestTracker(LIMITS, new PolicyFixtures().classes, SEED, now);
+    }
+
+    /** A tracker well after its start, when nothing settles any more. */
+    private RequestTracker settledTracker() {
+        RequestTracker tracker = newTracker();
+        now += 10 * SECOND;
+        for (long at = now - 10 * SECOND; at <= now; at += TICK_MICROS) {
+            tracker.tick(at, action -> {});
         }
-        return made;
+        return tracker;
     }
 
-    private static TaskSpec wish(String id, String cls) {
-        return new TaskSpec(
-                id, cls, "service", cls.startsWith("keyed") ? "key" : "", 1, 2, null, 0);
+    private static TaskSpec spec(String id, String taskClass) {
+        String key = taskClass.startsWith("keyed") ? "key" : "";
+        return new TaskSpec(id, taskClass, "service", key, 1, 2, null, 0);
     }
 
-    private List<Action> asks(String owner, TaskSpec wish) throws InvalidRequestException {
+    private List<Action> submit(String owner, TaskSpec spec) throws InvalidRequestException {
         actions.clear();
-        intake.submit(now, owner, "", wish, actions::add);
+        requests.submit(now, owner, "", spec, actions::add);
         return List.copyOf(actions);
     }
 
-    private List<Action> did(Runnable what) {
+    private List<Action> actionsOf(Runnable call) {
         actions.clear();
-        what.run();
+        call.run();
         return List.copyOf(actions);
     }
 
-    private static String handed(List<Action> led) {
-        return led.stream()
+    private static String dispatchedId(List<Action> taken) {
+        return taken.stream()
                 .filter(Dispatch.class::isInstance)
-                .map(a -> ((Dispatch) a).request().id())
+                .map(action -> ((Dispatch) action).request().id())
                 .findFirst()
                 .orElse(null);
     }
 
-    private static Dispatch hand(List<Action> led) {
-        return led.stream()
+    private static Dispatch dispatch(List<Action> taken) {
+        return taken.stream()
                 .filter(Dispatch.class::isInstance)
                 .map(Dispatch.class::cast)
                 .findFirst()
                 .orElseThrow();
     }
 
-    private static List<ResultNotification> told(List<Action> led) {
-        return led.stream()
+    private static List<ResultNotification> notifications(List<Action> taken) {
+        return taken.stream()
                 .filter(Notify.class::isInstance)
-                .map(a -> ((Notify) a).notification())
+                .map(action -> ((Notify) action).notification())
                 .toList();
     }
 
-    private static ResultNotification only(List<Action> led) {
-        assertThat(told(led)).hasSize(1);
-        return told(led).get(0);
+    private static ResultNotification onlyNotification(List<Action> taken) {
+        assertThat(notifications(taken)).hasSize(1);
+        return notifications(taken).get(0);
     }
 
     @Test
-    void askedAgainWhileInHandNothingMoreHappens() throws InvalidRequestException {
-        String q = handed(asks("o", wish("t", "safe")));
-        assertThat(asks("o", wish("t", "safe"))).isEmpty();
-        ResultNotification news = only(did(() -> intake.placed(now, q, "n", actions::add)));
-        assertThat(news.result()).isEqualTo(RequestResult.PLACED);
-        assertThat(news.machine()).isEqualTo("n");
+    void repeatedRequestHasNoEffectWhilePending() throws InvalidRequestException {
+        String requestId = dispatchedId(submit("o", spec("t", "safe")));
+        assertThat(submit("o", spec("t", "safe"))).isEmpty();
+        ResultNotification notification =
+                onlyNotification(
+                        actionsOf(() -> requests.placed(now, requestId, "n", actions::add)));
+        assertThat(notification.result()).isEqualTo(RequestResult.PLACED);
+        assertThat(notification.machine()).isEqualTo("n");
     }
 
     @Test
-    void askedAgainAfterItWasPlacedTheKeptResultIsRepeated() throws InvalidRequestException {
-        String q = handed(asks("o", wish("t", "unsafe")));
-        intake.placed(now, q, "n", actions::add);
-        List<Action> led = asks("o", wish("t", "unsafe"));
-        assertThat(handed(led)).isNull();
-        assertThat(only(led).repeated()).isTrue();
-        assertThat(only(led).result()).isEqualTo(RequestResult.PLACED);
+    void repeatedRequestAfterPlacementGetsRetainedResult() throws InvalidRequestException {
+        String requestId = dispatchedId(submit("o", spec("t", "unsafe")));
+        requests.placed(now, requestId, "n", actions::add);
+        List<Action> taken = submit("o", spec("t", "unsafe"));
+        assertThat(dispatchedId(taken)).isNull();
+        assertThat(onlyNotification(taken).repeated()).isTrue();
+        assertThat(onlyNotification(taken).result()).isEqualTo(RequestResult.PLACED);
     }
 
     @Test
-    void askedAgainAfterARefusalItIsAskedAnewAndWaitsLonger() throws InvalidRequestException {
-        long before = 0;
+    void retryAfterRejectionIsDispatchedAgainWithGrowingBackoff() throws InvalidRequestException {
+        long formerMicros = 0;
         for (int i = 0; i < 4; i++) {
-            String q = handed(asks("o", wish("t", "safe")));
-            assertThat(q).isNotNull();
-            ResultNotification no = only(did(() -> intake.rejected(now, q, 0, "", actions::add)));
-            long base = Math.min(8 * SECOND, SECOND << i);
-            assertThat(no.retryAfterMicros()).isBetween(base / 2, base).isGreaterThan(before / 2);
-            before = no.retryAfterMicros();
+            String requestId = dispatchedId(submit("o", spec("t", "safe")));
+            assertThat(requestId).isNotNull();
+            ResultNotification rejection =
+                    onlyNotification(
+                            actionsOf(
+                                    () -> requests.rejected(now, requestId, 0, "", actions::add)));
+            long backoffMicros = Math.min(8 * SECOND, SECOND << i);
+            assertThat(rejection.retryAfterMicros())
+                    .isBetween(backoffMicros / 2, backoffMicros)
+                    .isGreaterThan(formerMicros / 2);
+            formerMicros = rejection.retryAfterMicros();
         }
     }
 
     @Test
-    void anotherShapeUnderTheSameNameIsAnError() throws InvalidRequestException {
-        asks("o", wish("t", "safe"));
-        assertThatThrownBy(() -> asks("o", new TaskSpec("t", "safe", "service", "", 9, 2, null, 0)))
+    void rejectsDifferentShapeUnderSameId() throws InvalidRequestException {
+        submit("o", spec("t", "safe"));
+        assertThatThrownBy(
+                        () -> submit("o", new TaskSpec("t", "safe", "service", "", 9, 2, null, 0)))
                 .isInstanceOf(InvalidRequestException.class)
                 .hasMessageContaining("another shape");
-        assertThat(asks("o", new TaskSpec("t", "safe", "service", "", 1, 2, 5 * SECOND, 3)))
+        assertThat(submit("o", new TaskSpec("t", "safe", "service", "", 1, 2, 5 * SECOND, 3)))
                 .isEmpty();
     }
 
     @Test
-    void twoOwnersMayUseOneNameAndNeverMeet() throws InvalidRequestException {
-        String mine = handed(asks("o", wish("t", "safe")));
-        String theirs = handed(asks("p", wish("t", "safe")));
-        assertThat(mine).isNotNull().isNotEqualTo(theirs);
-        assertThat(only(did(() -> intake.placed(now, theirs, "n", actions::add))).owner())
+    void ownersMayUseTheSameTaskIdIndependently() throws InvalidRequestException {
+        String firstId = dispatchedId(submit("o", spec("t", "safe")));
+        String otherId = dispatchedId(submit("p", spec("t", "safe")));
+        assertThat(firstId).isNotNull().isNotEqualTo(otherId);
+        assertThat(
+                        onlyNotification(
+                                        actionsOf(
+                                                () ->
+                                                        requests.placed(
+                                                                now, otherId, "n", actions::add)))
+                                .owner())
                 .isEqualTo("p");
-        assertThatThrownBy(() -> intake.stop(now, "q", "t", actions::add))
+        assertThatThrownBy(() -> requests.stop(now, "q", "t", actions::add))
                 .isInstanceOf(InvalidRequestException.class);
     }
 
     @Test
-    void whatWasNotDeliveredWaitsForItsOwner() throws InvalidRequestException {
-        String q = handed(asks("o", wish("t", "safe")));
-        ResultNotification news = only(did(() -> intake.placed(now, q, "n", actions::add)));
-        assertThat(intake.undelivered("o")).containsExactly(news);
-        intake.delivered("o", news.sequence());
-        assertThat(intake.undelivered("o")).isEmpty();
+    void undeliveredNotificationIsRetainedForItsOwner() throws InvalidRequestException {
+        String requestId = dispatchedId(submit("o", spec("t", "safe")));
+        ResultNotification notification =
+                onlyNotification(
+                        actionsOf(() -> requests.placed(now, requestId, "n", actions::add)));
+        assertThat(requests.undelivered("o")).containsExactly(notification);
+        requests.delivered("o", notification.sequence());
+        assertThat(requests.undelivered("o")).isEmpty();
     }
 
     @Test
-    void anUndeliveredRefusalIsNotTakenForTheAnswerToALaterAsk() throws InvalidRequestException {
-        String q = handed(asks("o", wish("t", "safe")));
-        intake.rejected(now, q, 0, "", actions::add); // its connection broke: nobody was told
-        String r = handed(asks("o", wish("t", "safe")));
-        assertThat(intake.undelivered("o")).isEmpty();
-        intake.placed(now, r, "n", actions::add);
-        intake.finished(now, r, "n", TerminationCause.LOST, actions::add);
-        assertThat(intake.undelivered("o")).hasSize(2);
-        assertThat(handed(asks("o", wish("t", "safe")))).isNotNull();
-        assertThat(intake.undelivered("o")).isEmpty();
+    void resubmissionDiscardsUndeliveredNotificationsOfFormerRequest()
+            throws InvalidRequestException {
+        String requestId = dispatchedId(submit("o", spec("t", "safe")));
+        requests.rejected(
+                now, requestId, 0, "", actions::add); // its connection broke: not delivered
+        String secondId = dispatchedId(submit("o", spec("t", "safe")));
+        assertThat(requests.undelivered("o")).isEmpty();
+        requests.placed(now, secondId, "n", actions::add);
+        requests.finished(now, secondId, "n", TerminationCause.LOST, actions::add);
+        assertThat(requests.undelivered("o")).hasSize(2);
+        assertThat(dispatchedId(submit("o", spec("t", "safe")))).isNotNull();
+        assertThat(requests.undelivered("o")).isEmpty();
     }
 
     @Test
-    void whatNobodyHeardIsNotKeptForEver() throws InvalidRequestException {
-        String q = handed(asks("o", wish("t", "safe")));
-        intake.placed(now, q, "n", actions::add);
-        intake.finished(now, q, "n", TerminationCause.COMPLETED, actions::add);
+    void undeliveredNotificationsExpireWithTheResult() throws InvalidRequestException {
+        String requestId = dispatchedId(submit("o", spec("t", "safe")));
+        requests.placed(now, requestId, "n", actions::add);
+        requests.finished(now, requestId, "n", TerminationCause.COMPLETED, actions::add);
         for (int i = 0; i < 5; i++) {
-            asks("o", wish("t", "safe")); // told again each time, in the place of the last
+            submit("o", spec("t", "safe")); // repeated each time, in place of the last
         }
-        assertThat(intake.undelivered("o")).hasSize(2).allMatch(ResultNotification::repeated);
+        assertThat(requests.undelivered("o")).hasSize(2).allMatch(ResultNotification::repeated);
         now += 61 * SECOND;
-        intake.tick(now, actions::add);
-        assertThat(intake.undelivered("o")).isEmpty();
+        requests.tick(now, actions::add);
+        assertThat(requests.undelivered("o")).isEmpty();
     }
 
     @Test
-    void aModuleThatSaysNothingIsAnsweredForAndTheRequestAbandoned()
+    void failsAndAbandonsRequestThatThePolicyDoesNotCompleteInTime()
             throws InvalidRequestException {
-        String q = handed(asks("o", wish("t", "safe")));
-        now += 8 * SECOND + 2 * MS; // the class's deadline and the backstop
-        List<Action> led = did(() -> intake.tick(now, actions::add));
-        assertThat(led.get(0)).isEqualTo(new Abandon(q, TerminationCause.STOPPED));
-        assertThat(only(led).result()).isEqualTo(RequestResult.FAILED);
-        assertThat(did(() -> intake.placed(now, q, "n", actions::add)))
+        String requestId = dispatchedId(submit("o", spec("t", "safe")));
+        now += 8 * SECOND + 2 * MS; // the class's deadline and the grace
+        List<Action> taken = actionsOf(() -> requests.tick(now, actions::add));
+        assertThat(taken.get(0)).isEqualTo(new Abandon(requestId, TerminationCause.STOPPED));
+        assertThat(onlyNotification(taken).result()).isEqualTo(RequestResult.FAILED);
+        assertThat(actionsOf(() -> requests.placed(now, requestId, "n", actions::add)))
                 .isEmpty(); // too late: one result only
-        assertThat(intake.pendingCount()).isZero();
+        assertThat(requests.pendingCount()).isZero();
     }
 
     @Test
-    void patienceMayBeNoughtOrAbsurdOrMissing() throws InvalidRequestException {
-        Dispatch none = hand(asks("o", new TaskSpec("a", "safe", "s", "", 1, 1, 0L, 0)));
-        assertThat(none.request().maxWaitMicros()).isZero();
-        Dispatch absurd =
-                hand(asks("o", new TaskSpec("b", "safe", "s", "", 1, 1, Long.MAX_VALUE / 2, 0)));
-        assertThat(absurd.request().maxWaitMicros()).isEqualTo(20 * SECOND);
-        Dispatch missing = hand(asks("o", wish("c", "safe")));
+    void boundsMaxWaitAndDefaultsToTheClassDeadline() throws InvalidRequestException {
+        Dispatch zero = dispatch(submit("o", new TaskSpec("a", "safe", "s", "", 1, 1, 0L, 0)));
+        assertThat(zero.request().maxWaitMicros()).isZero();
+        Dispatch excessive =
+                dispatch(
+                        submit(
+                                "o",
+                                new TaskSpec("b", "safe", "s", "", 1, 1, Long.MAX_VALUE / 2, 0)));
+        assertThat(excessive.request().maxWaitMicros()).isEqualTo(20 * SECOND);
+        Dispatch missing = dispatch(submit("o", spec("c", "safe")));
         assertThat(missing.request().maxWaitMicros()).isEqualTo(8 * SECOND);
-        assertThatThrownBy(() -> asks("o", new TaskSpec("d", "safe", "s", "", 1, 1, -1L, 0)))
+        assertThatThrownBy(() -> submit("o", new TaskSpec("d", "safe", "s", "", 1, 1, -1L, 0)))
                 .isInstanceOf(InvalidRequestException.class)
                 .hasMessageContaining("patienceMs");
     }
 
     @Test
-    void wishesThatMakeNoSenseAreNamed() {
-        assertThatThrownBy(() -> asks("o", wish("t", "odd"))).hasMessageContaining("taskClass odd");
-        assertThatThrownBy(() -> asks("o", wish("", "safe"))).hasMessageContaining("id");
+    void validationErrorNamesTheInvalidField() {
+        assertThatThrownBy(() -> submit("o", spec("t", "odd")))
+                .hasMessageContaining("taskClass odd");
+        assertThatThrownBy(() -> submit("o", spec("", "safe"))).hasMessageContaining("id");
         assertThatThrownBy(
-                        () -> asks("o", new TaskSpec("t", "safe", "s", "", Double.NaN, 1, null, 0)))
+                        () ->
+                                submit(
+                                        "o",
+                                        new TaskSpec("t", "safe", "s", "", Double.NaN, 1, null, 0)))
                 .hasMessageContaining("cores");
-        assertThatThrownBy(() -> asks("o", new TaskSpec("t", "keyed", "s", "", 1, 1, null, 0)))
+        assertThatThrownBy(() -> submit("o", new TaskSpec("t", "keyed", "s", "", 1, 1, null, 0)))
                 .hasMessageContaining("needs a key");
-        assertThat(intake.known()).isZero();
+        assertThat(requests.known()).isZero();
     }
 
     @Test
-    void beyondTheBoundAnAskIsRefusedAndMayBeTriedAgain() throws InvalidRequestException {
+    void rejectsWithRetryAfterWhenTooManyRequestsArePending() throws InvalidRequestException {
         for (int i = 0; i < 3; i++) {
-            asks("o", wish("t" + i, "safe"));
+            submit("o", spec("t" + i, "safe"));
         }
-        ResultNotification no = only(asks("o", wish("more", "safe")));
-        assertThat(no.result()).isEqualTo(RequestResult.REJECTED);
-        assertThat(no.retryAfterMicros()).isPositive();
-        intake.stop(now, "o", "t0", actions::add);
-        assertThat(handed(asks("o", wish("more", "safe")))).isNotNull();
+        ResultNotification rejection = onlyNotification(submit("o", spec("more", "safe")));
+        assertThat(rejection.result()).isEqualTo(RequestResult.REJECTED);
+        assertThat(rejection.retryAfterMicros()).isPositive();
+        requests.stop(now, "o", "t0", actions::add);
+        assertThat(dispatchedId(submit("o", spec("more", "safe")))).isNotNull();
     }
 
     @Test
-    void stoppedInHandItFailsAndPlacedItIsWithdrawn() throws InvalidRequestException {
-        String q = handed(asks("o", wish("t", "safe")));
+    void stopFailsPendingRequestAndCancelsPlacedTask() throws InvalidRequestException {
+        String requestId = dispatchedId(submit("o", spec("t", "safe")));
         actions.clear();
-        intake.stop(now, "o", "t", actions::add);
-        assertThat(actions.get(0)).isEqualTo(new Abandon(q, TerminationCause.STOPPED));
-        assertThat(only(actions).result()).isEqualTo(RequestResult.FAILED);
-        String r = handed(asks("o", wish("u", "safe")));
-        intake.placed(now, r, "n", actions::add);
+        requests.stop(now, "o", "t", actions::add);
+        assertThat(actions.get(0)).isEqualTo(new Abandon(requestId, TerminationCause.STOPPED));
+        assertThat(onlyNotification(actions).result()).isEqualTo(RequestResult.FAILED);
+        String secondId = dispatchedId(submit("o", spec("u", "safe")));
+        requests.placed(now, secondId, "n", actions::add);
         actions.clear();
-        intake.stop(now, "o", "u", actions::add);
-        assertThat(actions).containsExactly(new Abandon(r, TerminationCause.STOPPED));
+        requests.stop(now, "o", "u", actions::add);
+        assertThat(actions).containsExactly(new Abandon(secondId, TerminationCause.STOPPED));
         assertThat(
-                        only(did(
-                                        () ->
-                                                intake.finished(
-                                                        now,
-                                                        r,
-                                                        "n",
-                                                        TerminationCause.STOPPED,
-                                                        actions::add)))
+                        onlyNotification(
+                                        actionsOf(
+                                                () ->
+                                                        requests.finished(
+                                                                now,
+                                                                secondId,
+                                                                "n",
+                                                                TerminationCause.STOPPED,
+                                                                actions::add)))
                                 .terminationCause())
                 .isEqualTo(TerminationCause.STOPPED);
     }
 
     @Test
-    void afterALossItMayBeAskedForAgainButNeverWhereASecondStartDoesHarm()
-            throws InvalidRequestException {
-        for (String cls : List.of("safe", "unsafe")) {
-            String q = handed(asks("o", wish(cls, cls)));
-            intake.placed(now, q, "n", actions::add);
-            intake.finished(now, q, "n", TerminationCause.LOST, actions::add);
-            List<Action> led = asks("o", wish(cls, cls));
-            assertThat(handed(led) != null).as(cls).isEqualTo(cls.equals("safe"));
+    void lostTaskMayBeResubmittedUnlessNonIdempotent() throws InvalidRequestException {
+        for (String taskClass : List.of("safe", "unsafe")) {
+            String requestId = dispatchedId(submit("o", spec(taskClass, taskClass)));
+            requests.placed(now, requestId, "n", actions::add);
+            requests.finished(now, requestId, "n", TerminationCause.LOST, actions::add);
+            List<Action> taken = submit("o", spec(taskClass, taskClass));
+            assertThat(dispatchedId(taken) != null)
+                    .as(taskClass)
+                    .isEqualTo(taskClass.equals("safe"));
         }
-        assertThat(told(actions))
+        assertThat(notifications(actions))
                 .extracting(ResultNotification::repeated)
                 .containsExactly(true, true); // placed, and then lost
     }
 
     @Test
-    void keptResultsAreBoundedAndADroppedOneIsAnsweredNotStartedAgain()
-            throws InvalidRequestException {
+    void retainedResultsAreBoundedAndDroppedTaskIsNotStartedAgain() throws InvalidRequestException {
         for (int i = 0; i < 8; i++) {
-            String q = handed(asks("o", wish("t" + i, "unsafe")));
-            intake.placed(now, q, "n", actions::add);
-            intake.finished(now, q, "n", TerminationCause.COMPLETED, actions::add);
+            String requestId = dispatchedId(submit("o", spec("t" + i, "unsafe")));
+            requests.placed(now, requestId, "n", actions::add);
+            requests.finished(now, requestId, "n", TerminationCause.COMPLETED, actions::add);
             now += MS;
         }
-        intake.tick(now, actions::add);
-        assertThat(intake.known()).isEqualTo(5);
-        List<Action> led = asks("o", wish("t0", "unsafe"));
-        assertThat(handed(led)).isNull();
-        assertThat(only(led).result()).isEqualTo(RequestResult.FAILED);
-        assertThat(only(led).reason()).contains("no longer kept");
+        requests.tick(now, actions::add);
+        assertThat(requests.known()).isEqualTo(5);
+        List<Action> taken = submit("o", spec("t0", "unsafe"));
+        assertThat(dispatchedId(taken)).isNull();
+        assertThat(onlyNotification(taken).result()).isEqualTo(RequestResult.FAILED);
+        assertThat(onlyNotification(taken).reason()).contains("no longer kept");
         now += 61 * SECOND;
-        intake.tick(now, actions::add);
-        assertThat(intake.known()).isZero();
-        assertThat(handed(asks("o", wish("t0", "unsafe"))))
+        requests.tick(now, actions::add);
+        assertThat(requests.known()).isZero();
+        assertThat(dispatchedId(submit("o", spec("t0", "unsafe"))))
                 .isNotNull(); // its time is over: a new task
     }
 
     @Test
-    void afterAStartUnsafeAsksWaitAndWhatRunsAlreadyIsTheirResult() throws InvalidRequestException {
-        RequestTracker fresh =
-                new RequestTracker(
-                        new RequestTracker.Limits(
-                                3, 5, 60 * SECOND, 20 * SECOND, 3 * SECOND, SECOND, 8 * SECOND),
-                        new PolicyFixtures().classes,
-                        7,
-                        now);
-        intake = fresh;
-        assertThat(handed(asks("o", wish("t", "unsafe")))).isNull();
-        assertThat(handed(asks("o", wish("u", "unsafe")))).isNull();
-        assertThat(handed(asks("o", wish("v", "safe")))).isNotNull();
+    void nonIdempotentRequestsSettleAfterStartAndRunningTaskIsTheirResult()
+            throws InvalidRequestException {
+        requests = newTracker();
+        assertThat(dispatchedId(submit("o", spec("t", "unsafe")))).isNull();
+        assertThat(dispatchedId(submit("o", spec("u", "unsafe")))).isNull();
+        assertThat(dispatchedId(submit("o", spec("v", "safe")))).isNotNull();
         actions.clear();
-        assertThat(fresh.adopt(now, "o", "", wish("t", "unsafe"), "n", actions::add)).isNotNull();
-        assertThat(only(actions).result()).isEqualTo(RequestResult.PLACED);
+        assertThat(requests.adopt(now, "o", "", spec("t", "unsafe"), "n", actions::add))
+                .isNotNull();
+        assertThat(onlyNotification(actions).result()).isEqualTo(RequestResult.PLACED);
         actions.clear();
         now += SECOND;
-        fresh.tick(now, actions::add); // it stood still for a second, and heard nobody meanwhile
+        requests.tick(now, actions::add); // a gap of a second: the settling is prolonged by it
         for (int i = 0; i < 30; i++) {
             assertThat(actions).as("after %d ms", 1_000 + i * 100).isEmpty();
-            now += 100_000;
-            fresh.tick(now, actions::add);
+            now += TICK_MICROS;
+            requests.tick(now, actions::add);
         }
         assertThat(actions).hasSize(1);
         assertThat(((Dispatch) actions.get(0)).request().task()).contains("u");
-        assertThat(fresh.pendingCount()).isEqualTo(2);
+        assertThat(requests.pendingCount()).isEqualTo(2);
     }
 
     @Test
-    void aSecondCopyFoundOnAnotherNodeIsNotTakenOver() throws InvalidRequestException {
-        String q = handed(asks("o", wish("t", "keyed")));
-        intake.placed(now, q, "n", actions::add);
-        assertThat(intake.adopt(now, "o", "", wish("t", "keyed"), "m", actions::add)).isNull();
+    void doesNotAdoptSecondCopyOfPlacedTask() throws InvalidRequestException {
+        String requestId = dispatchedId(submit("o", spec("t", "keyed")));
+        requests.placed(now, requestId, "n", actions::add);
+        assertThat(requests.adopt(now, "o", "", spec("t", "keyed"), "m", actions::add)).isNull();
     }
 
     @Test
-    void whatRunsAlreadyEndsARequestThatIsOut() throws InvalidRequestException {
-        String q = handed(asks("o", wish("t", "safe")));
+    void adoptedTaskCompletesPendingRequest() throws InvalidRequestException {
+        String requestId = dispatchedId(submit("o", spec("t", "safe")));
         actions.clear();
-        Placement.PlacementRequest ask =
-                intake.adopt(now, "o", "", wish("t", "safe"), "m", actions::add);
-        assertThat(actions.get(0)).isEqualTo(new Abandon(q, TerminationCause.STOPPED));
-        assertThat(only(actions).machine()).isEqualTo("m");
-        assertThat(intake.pendingCount()).isZero();
-        assertThat(did(() -> intake.rejected(now, q, 0, "", actions::add))).isEmpty();
+        Placement.PlacementRequest adopted =
+                requests.adopt(now, "o", "", spec("t", "safe"), "m", actions::add);
+        assertThat(actions.get(0)).isEqualTo(new Abandon(requestId, TerminationCause.STOPPED));
+        assertThat(onlyNotification(actions).machine()).isEqualTo("m");
+        assertThat(requests.pendingCount()).isZero();
+        assertThat(actionsOf(() -> requests.rejected(now, requestId, 0, "", actions::add)))
+                .isEmpty();
         assertThat(
-                        only(did(
-                                        () ->
-                                                intake.finished(
-                                                        now,
-                                                        ask.id(),
-                                                        "m",
-                                                        TerminationCause.COMPLETED,
-                                                        actions::add)))
+                        onlyNotification(
+                                        actionsOf(
+                                                () ->
+                                                        requests.finished(
+                                                                now,
+                                                                adopted.id(),
+                                                                "m",
+                                                                TerminationCause.COMPLETED,
+                                                                actions::add)))
                                 .terminationCause())
                 .isEqualTo(TerminationCause.COMPLETED);
     }
 
     @Test
-    void theReasonOfARefusalNamesTheLastNodeThatTurnedItDown() throws InvalidRequestException {
-        String q = handed(asks("o", wish("t", "safe")));
-        intake.offerRejected(q, "n", Placement.OutcomeReason.INSUFFICIENT_MEMORY);
-        assertThat(only(did(() -> intake.rejected(now, q, 0, "", actions::add))).reason())
+    void rejectionReasonNamesTheMachineThatRejectedLast() throws InvalidRequestException {
+        String requestId = dispatchedId(submit("o", spec("t", "safe")));
+        requests.offerRejected(requestId, "n", Placement.OutcomeReason.INSUFFICIENT_MEMORY);
+        assertThat(
+                        onlyNotification(
+                                        actionsOf(
+                                                () ->
+                                                        requests.rejected(
+                                                                now,
+                                                                requestId,
+                                                                0,
+                                                                "",
+                                                                actions::add)))
+                                .reason())
                 .isEqualTo("node n refused last: not enough memory");
     }
 }
