--- a/decisions/src/main/java/thornferry/decisions/diagnosis/ReasonFormatter.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/ReasonFormatter.java
@@ -3,19 +3,23 @@
 import java.util.List;
 import thornferry.decisions.admission.Amounts;
 import thornferry.decisions.diagnosis.PendingReasons.Evidence;
+import thornferry.decisions.diagnosis.PendingReasons.Kind;
 import thornferry.decisions.diagnosis.PendingReasons.Reason;
 
-/** Reasons in plain sentences, for people. */
+/**
+ * Formats a reason as one plain sentence: the kind, the evidence and what would end it. Part of the
+ * wire protocol: clients match on these texts.
+ */
 final class ReasonFormatter {
     private ReasonFormatter() {}
 
-    static String sentence(Reason r) {
-        String end = r.endsWhen().isEmpty() ? "" : ". It ends when " + r.endsWhen();
-        return opening(r) + details(r.evidence()) + end + ".";
+    static String sentence(Reason reason) {
+        String end = reason.endsWhen().isEmpty() ? "" : ". It ends when " + reason.endsWhen();
+        return opening(reason.kind()) + details(reason.evidence()) + end + ".";
     }
 
-    private static String opening(Reason r) {
-        return switch (r.kind()) {
+    private static String opening(Kind kind) {
+        return switch (kind) {
             case UNSATISFIABLE -> "No node is large enough, or of the kind it needs";
             case NO_CAPACITY -> "No node has room for it now";
             case REJECTED -> "Nodes turned it down";
@@ -38,24 +42,34 @@
 
     private static String details(List<Evidence> evidence) {
         StringBuilder text = new StringBuilder();
-        for (Evidence e : evidence) {
-            text.append(text.length() == 0 ? ": " : "; ").append(e.description());
-            if (!e.name().isEmpty()) {
-                text.append(' ').append(e.name());
-            }
-            if (e.machines() > 1 || e.machines() == 1 && e.name().isEmpty()) {
-                text.append(" (")
-                        .append(e.machines())
-                        .append(e.machines() == 1 ? " node)" : " nodes)");
-            }
-            if (!Double.isNaN(e.needed())) {
-                text.append(' ').append(Amounts.format(e.needed()));
-            }
-            if (!Double.isNaN(e.available())) {
-                text.append(Double.isNaN(e.needed()) ? " " : ", has ")
-                        .append(Amounts.format(e.available()));
+        for (Evidence item : evidence) {
+            text.append(text.length() == 0 ? ": " : "; ").append(item.description());
+            if (!item.name().isEmpty()) {
+                text.append(' ').append(item.name());
             }
+            text.append(machines(item)).append(amounts(item));
         }
         return text.toString();
     }
+
+    /** The number of machines, unless that is one and it is named. */
+    private static String machines(Evidence item) {
+        if (item.machines() > 1) {
+            return " (" + item.machines() + " nodes)";
+        }
+        return item.machines() == 1 && item.name().isEmpty() ? " (1 node)" : "";
+    }
+
+    private static String amounts(Evidence item) {
+        if (item.hasNeeded() && item.hasAvailable()) {
+            return " "
+                    + Amounts.format(item.needed())
+                    + ", has "
+                    + Amounts.format(item.available());
+        }
+        if (item.hasNeeded()) {
+            return " " + Amounts.format(item.needed());
+        }
+        return item.hasAvailable() ? " " + Amounts.format(item.available()) : "";
+    }
 }
--- /dev/null
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/UnavailableMachines.java
@@ -0,0 +1,46 @@
+package thornferry.decisions.diagnosis;
+
+import java.util.ArrayList;
+import java.util.List;
+import thornferry.decisions.diagnosis.PendingReasons.Kind;
+import thornferry.decisions.membership.ClusterView;
+import thornferry.decisions.membership.MachineStatus;
+import thornferry.decisions.placement.Placement.MachineState;
+
+/**
+ * Machines that could run a request but are not listed as ready.
+ *
+ * @param draining names of those that drain
+ * @param disconnected names of those that have no connection, or are quarantined
+ * @param knownMachines how many machines are known, whatever they could run
+ */
+record UnavailableMachines(List<String> draining, List<String> disconnected, int knownMachines) {
+    static UnavailableMachines find(
+            ClusterView cluster, MachineMatcher matcher, RequestShape shape) {
+        List<MachineStatus> machines = cluster.allMachines();
+        List<String> draining = new ArrayList<>();
+        List<String> disconnected = new ArrayList<>();
+        for (MachineStatus machine : machines) {
+            if (!matcher.couldRun(machine, shape)) {
+                continue;
+            }
+            if (machine.state() == MachineState.DRAINING) {
+                draining.add(machine.name());
+            } else if (machine.state() == MachineState.GONE) {
+                disconnected.add(machine.name());
+            }
+        }
+        return new UnavailableMachines(draining, disconnected, machines.size());
+    }
+
+    /** The kind of reason where no ready machine could ever take the request. */
+    Kind kind() {
+        if (!draining.isEmpty() && draining.size() >= disconnected.size()) {
+            return Kind.DRAINING;
+        }
+        if (!disconnected.isEmpty()) {
+            return Kind.MACHINES_EJECTED;
+        }
+        return knownMachines == 0 ? Kind.NO_MACHINES : Kind.UNSATISFIABLE;
+    }
+}
