--- a/placer/src/test/java/thornferry/placer/PolicyExecutorTest.java
+++ b/placer/src/test/java/thornferry/placer/PolicyExecutorTest.java
@@ -3,11 +3,12 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.netty.channel.DefaultEventLoop;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicLong;
+import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.AfterEach;
@@ -16,98 +17,98 @@
 import thornferry.decisions.placement.Placement;
 
 class PolicyExecutorTest {
+    private static final long TIMER_DELAY_MICROS = 30_000;
+
     private final DefaultEventLoop loop = new DefaultEventLoop();
-    private final List<String> seen = new CopyOnWriteArrayList<>();
-    private final List<Placement.Action> actions = new ArrayList<>();
+    private final List<String> observed = new CopyOnWriteArrayList<>();
 
     @AfterEach
-    void end() {
+    void shutDownLoop() {
         loop.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private PolicyExecutor host(
-            BiConsumer<Placement.Event, Consumer<Placement.Action>> module,
-            Consumer<Placement.Action> also) {
-        Placement placement = (now, event, sink) -> module.accept(event, sink);
+    private PolicyExecutor executor(
+            BiConsumer<Placement.Event, Consumer<Placement.Action>> policy,
+            Consumer<Placement.Action> actions) {
+        return executor(Clock.system(), (now, event, sink) -> policy.accept(event, sink), actions);
+    }
+
+    private PolicyExecutor executor(
+            Clock clock, Placement policy, Consumer<Placement.Action> actions) {
         return new PolicyExecutor(
-                placement,
+                policy,
                 loop,
-                Clock.system(),
-                action -> {
-                    actions.add(action);
-                    also.accept(action);
-                },
-                id -> seen.add("failed " + id),
+                clock,
+                actions,
+                requestId -> observed.add("failed " + requestId),
                 NOPLogger.NOP_LOGGER,
                 "p");
     }
 
-    private static Placement.ClientDisconnected left(String id) {
-        return new Placement.ClientDisconnected(id);
+    private static Placement.ClientDisconnected disconnected(String requestId) {
+        return new Placement.ClientDisconnected(requestId);
     }
 
     @Test
-    void anEventRaisedByAnActionWaitsUntilTheModuleHasReturned() {
-        PolicyExecutor[] host = new PolicyExecutor[1];
-        host[0] =
-                host(
-                        (event, sink) -> {
-                            seen.add("in " + event);
-                            if (event.equals(left("a"))) {
-                                sink.accept(new Placement.Fail("a"));
+    void queuesEventsThatActionsRaiseUntilPolicyReturns() {
+        AtomicReference<PolicyExecutor> executor = new AtomicReference<>();
+        executor.set(
+                executor(
+                        (event, actions) -> {
+                            observed.add("enter " + event);
+                            if (event.equals(disconnected("a"))) {
+                                actions.accept(new Placement.Fail("a"));
                             }
-                            seen.add("out " + event);
+                            observed.add("exit " + event);
                         },
-                        action -> host[0].accept(left("b")));
-        host[0].accept(left("a"));
-        assertThat(seen)
+                        action -> executor.get().accept(disconnected("b"))));
+        executor.get().accept(disconnected("a"));
+        assertThat(observed)
                 .containsExactly(
-                        "in " + left("a"),
-                        "out " + left("a"),
-                        "in " + left("b"),
-                        "out " + left("b"));
+                        "enter " + disconnected("a"),
+                        "exit " + disconnected("a"),
+                        "enter " + disconnected("b"),
+                        "exit " + disconnected("b"));
     }
 
     @Test
-    void aModuleThatThrowsLosesOnlyTheTaskInHand() {
-        PolicyExecutor host =
-                host(
-                        (event, sink) -> {
+    void failsOnlyTheRequestOnWhichPolicyThrows() {
+        PolicyExecutor executor =
+                executor(
+                        (event, actions) -> {
                             if (event instanceof Placement.PlacementRequested) {
                                 throw new IllegalStateException("broken");
                             }
-                            seen.add("took " + event);
+                            observed.add("processed " + event);
                         },
                         action -> {});
-        host.accept(
+        executor.accept(
                 new Placement.PlacementRequested(
                         new Placement.PlacementRequest(
                                 "q1", "c", "", "t", 1, 0, "s", 1, 1, false)));
-        host.accept(left("q2"));
-        assertThat(seen).containsExactly("failed q1", "took " + left("q2"));
-        assertThat(host.failures()).isEqualTo(1);
+        executor.accept(disconnected("q2"));
+        assertThat(observed).containsExactly("failed q1", "processed " + disconnected("q2"));
+        assertThat(executor.failures()).isEqualTo(1);
     }
 
     @Test
-    void timersComeNoEarlierThanAsked() throws InterruptedException {
+    void firesTimersNoEarlierThanSet() throws InterruptedException {
         Clock clock = Clock.system();
-        long at = clock.now() + 30_000;
+        long timerMicros = clock.now() + TIMER_DELAY_MICROS;
         CountDownLatch fired = new CountDownLatch(1);
-        long[] when = new long[1];
-        Placement placement =
-                (now, event, sink) -> {
+        AtomicLong firedAtMicros = new AtomicLong();
+        Placement policy =
+                (now, event, actions) -> {
                     if (event instanceof Placement.TimerFired) {
-                        when[0] = now;
+                        firedAtMicros.set(now);
                         fired.countDown();
                     } else {
-                        sink.accept(new Placement.SetTimer(at, 3));
+                        actions.accept(new Placement.SetTimer(timerMicros, 3));
                     }
                 };
-        PolicyExecutor host =
-                new PolicyExecutor(
-                        placement, loop, clock, actions::add, id -> {}, NOPLogger.NOP_LOGGER, "p");
-        loop.execute(() -> host.accept(left("x")));
+        PolicyExecutor executor = executor(clock, policy, action -> {});
+        loop.execute(() -> executor.accept(disconnected("x")));
         assertThat(fired.await(10, TimeUnit.SECONDS)).isTrue();
-        assertThat(when[0]).isGreaterThanOrEqualTo(at);
+        assertThat(firedAtMicros.get()).isGreaterThanOrEqualTo(timerMicros);
     }
 }
--- a/placer/src/test/java/thornferry/placer/SiteFixtures.java
+++ b/placer/src/test/java/thornferry/placer/SiteFixtures.java
@@ -8,18 +8,30 @@
 import thornferry.protocol.FrameLimits;
 import thornferry.protocol.Heartbeat;
 
-/** Sites of one kind of machine, for tests of the decision modules together. */
+/** Sites with one kind of machine, for tests of all decision modules together. */
 final class SiteFixtures {
-    static final long MS = 1_000;
+    /** A millisecond in microseconds. */
+    static final long MILLISECOND = 1_000;
+
+    /** A second in microseconds. */
     static final long SECOND = 1_000_000;
 
+    static final String MACHINE_KIND = "std";
+    static final String ZONE = "a";
+    private static final int NO_REQUIRED_KIND = -1;
+
     private SiteFixtures() {}
 
-    static Placement.TaskClass cls(
-            String name, Placement.Idempotency effect, Placement.TopologyScope spread) {
+    /** A task class whose tasks may run on the same machine. */
+    static Placement.TaskClass taskClass(String name, Placement.Idempotency idempotency) {
+        return taskClass(name, idempotency, Placement.TopologyScope.NONE);
+    }
+
+    static Placement.TaskClass taskClass(
+            String name, Placement.Idempotency idempotency, Placement.TopologyScope spread) {
         return new Placement.TaskClass(
                 name,
-                effect,
+                idempotency,
                 Placement.TopologyScope.ZONE,
                 5 * SECOND,
                 SECOND,
@@ -30,54 +42,30 @@
                 1,
                 1,
                 0,
-                -1,
+                NO_REQUIRED_KIND,
                 spread,
                 1);
     }
 
     /**
-     * @param size of each machine, in cores and memory alike
+     * A site.
+     *
+     * @param machineSize the cores of each machine, and also its memory
      */
-    static Site of(
+    static Site site(
             long seed,
-            double size,
+            double machineSize,
             List<Placement.TaskClass> classes,
-            RequestTracker.Limits intake,
-            AdmissionSettings line) {
-        Placement.Settings settings =
-                new Placement.Settings(
-                        seed,
-                        0,
-                        1,
-                        "a",
-                        classes,
-                        List.of(new Placement.MachineKind("std", size, size)),
-                        List.of(),
-                        Placement.LoadReportMode.WITH_RESPONSES,
-                        false,
-                        true,
-                        false,
-                        false,
-                        true,
-                        false,
-                        false,
-                        1,
-                        1,
-                        1,
-                        1,
-                        1,
-                        3 * SECOND,
-                        new Placement.CostWeights(0, 0.08, 0.03, 0, 0.004, 0.004, 0.02, 2),
-                        new Placement.Rules(8 * MS, 500 * MS, 0, 0.25, 0, 2, 3 * SECOND, 48),
-                        new Placement.Limits(true, true, true, false, 4, 30 * SECOND));
+            RequestTracker.Limits requestLimits,
+            AdmissionSettings admission) {
         return new Site(
                 "p",
-                settings,
+                placement(seed, machineSize, classes),
                 seed,
                 List.of(),
                 new Membership.Limits(4 * SECOND, 1_000, 30 * SECOND, 5 * SECOND, 100),
-                intake,
-                line,
+                requestLimits,
+                admission,
                 null,
                 FrameLimits.USUAL,
                 Heartbeat.NONE,
@@ -85,4 +73,55 @@
                 100,
                 Site.State.NONE);
     }
+
+    /** The registration of a machine that has been up for an hour and carries no load. */
+    static Membership.Registration idleMachine(String name, long incarnation, double size) {
+        return machine(name, incarnation, size, size, size);
+    }
+
+    /** The registration of a machine that has been up for an hour. */
+    static Membership.Registration machine(
+            String name, long incarnation, double size, double freeCores, double freeMemory) {
+        return new Membership.Registration(
+                name,
+                incarnation,
+                MACHINE_KIND,
+                ZONE,
+                1,
+                size,
+                size,
+                3_600 * SECOND,
+                freeCores,
+                freeMemory);
+    }
+
+    private static Placement.Settings placement(
+            long seed, double machineSize, List<Placement.TaskClass> classes) {
+        return new Placement.Settings(
+                seed,
+                0,
+                1,
+                ZONE,
+                classes,
+                List.of(new Placement.MachineKind(MACHINE_KIND, machineSize, machineSize)),
+                List.of(),
+                Placement.LoadReportMode.WITH_RESPONSES,
+                false,
+                true,
+                false,
+                false,
+                true,
+                false,
+                false,
+                1,
+                1,
+                1,
+                1,
+                1,
+                3 * SECOND,
+                new Placement.CostWeights(0, 0.08, 0.03, 0, 0.004, 0.004, 0.02, 2),
+                new Placement.Rules(
+                        8 * MILLISECOND, 500 * MILLISECOND, 0, 0.25, 0, 2, 3 * SECOND, 48),
+                new Placement.Limits(true, true, true, false, 4, 30 * SECOND));
+    }
 }
--- /dev/null
+++ b/placer/src/test/java/thornferry/placer/VirtualTime.java
@@ -0,0 +1,71 @@
+package thornferry.placer;
+
+import java.util.Comparator;
+import java.util.Optional;
+import java.util.PriorityQueue;
+import java.util.SplittableRandom;
+
+/** The time, the scheduled events and the random numbers of a simulation. */
+final class VirtualTime {
+    private static final long START = 1_000 * SiteFixtures.SECOND;
+
+    /**
+     * Something that happens.
+     *
+     * @param order of events of the same time
+     */
+    record Event(long atMicros, long order, Runnable task) {}
+
+    private final SplittableRandom random;
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>(
+                    Comparator.comparingLong(Event::atMicros).thenComparingLong(Event::order));
+    private long nowMicros = START;
+    private long lastOrder;
+
+    VirtualTime(long seed) {
+        random = new SplittableRandom(seed);
+    }
+
+    long now() {
+        return nowMicros;
+    }
+
+    void advanceTo(long toMicros) {
+        nowMicros = toMicros;
+    }
+
+    void scheduleIn(long delayMicros, Runnable task) {
+        scheduleAt(nowMicros + delayMicros, task);
+    }
+
+    void scheduleAt(long atMicros, Runnable task) {
+        events.add(new Event(atMicros, ++lastOrder, task));
+    }
+
+    /** Removes and returns the next event that is due at or before a time. */
+    Optional<Event> pollUntil(long untilMicros) {
+        return !events.isEmpty() && events.peek().atMicros() <= untilMicros
+                ? Optional.of(events.poll())
+                : Optional.empty();
+    }
+
+    /** A random number from {@code min} to {@code max}, both included. */
+    long between(long min, long max) {
+        return min + random.nextLong(max - min + 1);
+    }
+
+    /** A random number from 0 to {@code bound - 1}. */
+    int randomInt(int bound) {
+        return random.nextInt(bound);
+    }
+
+    /** True in one of {@code times} cases. */
+    boolean oneIn(int times) {
+        return random.nextInt(times) == 0;
+    }
+
+    boolean randomBoolean() {
+        return random.nextBoolean();
+    }
+}
--- a/placer/src/test/java/thornferry/placer/WriteAheadTest.java
+++ b/placer/src/test/java/thornferry/placer/WriteAheadTest.java
@@ -1,10 +1,11 @@
 package thornferry.placer;
 
 import static org.assertj.core.api.Assertions.assertThat;
+import static thornferry.placer.SiteFixtures.MILLISECOND;
+import static thornferry.placer.SiteFixtures.SECOND;
 
 import io.netty.channel.embedded.EmbeddedChannel;
 import java.util.ArrayList;
-import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
@@ -15,9 +16,7 @@
 import thornferry.decisions.admission.AdmissionSettings;
 import thornferry.decisions.attempts.AttemptStatus;
 import thornferry.decisions.diagnosis.PendingReasons;
-import thornferry.decisions.membership.Membership;
 import thornferry.decisions.membership.RejectionReason;
-import thornferry.decisions.placement.Placement;
 import thornferry.decisions.placement.Placement.Idempotency;
 import thornferry.decisions.placement.Policy;
 import thornferry.decisions.recovery.JournalRecord;
@@ -30,29 +29,33 @@
 import thornferry.state.Journal;
 
 /**
- * An offer of what must not start twice leaves only when its promise is durable, and only if it
- * still should.
+ * An offer of a non-idempotent task is sent only once its record is durable, and only if it should
+ * still be sent then.
  */
 class WriteAheadTest implements PlacerOutput {
-    private static final long MS = 1_000;
-    private static final long SECOND = 1_000_000;
+    private static final String NODE = "n";
+    private static final String OWNER = "o";
+    private static final String UNSAFE = "levy-run";
+    private static final String SAFE = "safe";
+    private static final long TICK_MILLIS = 20;
 
     private final EmbeddedChannel channel = new EmbeddedChannel();
-    private final List<JournalRecord> written = new ArrayList<>();
+    private final List<JournalRecord> records = new ArrayList<>();
     private final List<Consumer<String>> unacknowledged = new ArrayList<>();
-    private final List<String> offers = new ArrayList<>(); // attempts
-    private final List<ResultNotification> news = new ArrayList<>();
-    private final List<String> withdrawn = new ArrayList<>();
-    private String trouble = "";
-    private long now = 1_000 * SECOND;
+    private final List<String> offeredAttempts = new ArrayList<>();
+    private final List<ResultNotification> notifications = new ArrayList<>();
+    private final List<String> cancelledAttempts = new ArrayList<>();
+    private String writeFailure = "";
+    private long nowMicros = 1_000 * SECOND;
     private PlacerCore core;
 
-    private final Journal slow =
+    /** Acknowledges records only when the test says so. */
+    private final Journal slowJournal =
             new Journal() {
                 @Override
-                public void append(JournalRecord promise, Consumer<String> done) {
-                    written.add(promise);
-                    unacknowledged.add(done);
+                public void append(JournalRecord journalRecord, Consumer<String> completed) {
+                    records.add(journalRecord);
+                    unacknowledged.add(completed);
                 }
 
                 @Override
@@ -62,7 +65,7 @@
 
                 @Override
                 public String writeFailure() {
-                    return trouble;
+                    return writeFailure;
                 }
 
                 @Override
@@ -72,21 +75,15 @@
             };
 
     @BeforeEach
-    void start() {
+    void startPlacerWithOneNode() {
         channel.freezeTime();
         Site site =
-                SiteFixtures.of(
+                SiteFixtures.site(
                         1,
                         16,
                         List.of(
-                                SiteFixtures.cls(
-                                        "levy-run",
-                                        Idempotency.NON_IDEMPOTENT,
-                                        Placement.TopologyScope.NONE),
-                                SiteFixtures.cls(
-                                        "safe",
-                                        Idempotency.IDEMPOTENT,
-                                        Placement.TopologyScope.NONE)),
+                                SiteFixtures.taskClass(UNSAFE, Idempotency.NON_IDEMPOTENT),
+                                SiteFixtures.taskClass(SAFE, Idempotency.IDEMPOTENT)),
                         new RequestTracker.Limits(
                                 1_000,
                                 10_000,
@@ -98,155 +95,166 @@
                         AdmissionSettings.defaults());
         core =
                 new PlacerCore(
-                        new PlacerInstance(site, 0, channel.eventLoop(), () -> now),
+                        new PlacerInstance(site, 0, channel.eventLoop(), () -> nowMicros),
                         Policy::new,
                         owner -> "",
-                        new RecoveredState(slow, List.of(), true),
+                        new RecoveredState(slowJournal, List.of(), true),
                         this);
         channel.runPendingTasks();
+        registerNode(1);
+        advance(100 * MILLISECOND);
+    }
+
+    private void registerNode(long connection) {
         core.registered(
                 new NodeRegistration(
-                        1,
-                        new Membership.Registration(
-                                "n", 5, "std", "a", 1, 16, 16, 3_600 * SECOND, 16, 16),
+                        connection,
+                        SiteFixtures.idleMachine(NODE, 5, 16),
                         List.of(),
                         List.of(),
                         List.of(),
-                        new EnumMap<>(
-                                Map.of(
-                                        Idempotency.NON_IDEMPOTENT,
-                                        MachineInventory.WHOLE_INCARNATION))));
-        pass(100 * MS);
+                        Map.of(Idempotency.NON_IDEMPOTENT, MachineInventory.WHOLE_INCARNATION)));
     }
 
-    private void pass(long time) {
-        for (long end = now + time; now < end; ) {
-            now += 20 * MS;
-            channel.advanceTimeBy(20, TimeUnit.MILLISECONDS);
+    private void advance(long durationMicros) {
+        long endMicros = nowMicros + durationMicros;
+        while (nowMicros < endMicros) {
+            nowMicros += TICK_MILLIS * MILLISECOND;
+            channel.advanceTimeBy(TICK_MILLIS, TimeUnit.MILLISECONDS);
             channel.runPendingTasks();
             core.tick();
             channel.runPendingTasks();
         }
     }
 
-    private void ask(String cls) throws InvalidRequestException {
-        core.submit("o", new TaskSpec("t", cls, "s", "", 1, 1, 2 * SECOND, 0));
+    private void submit(String id, String taskClass) throws InvalidRequestException {
+        core.submit(OWNER, new TaskSpec(id, taskClass, "s", "", 1, 1, 2 * SECOND, 0));
+    }
+
+    private void submitAndAdvance(String taskClass) throws InvalidRequestException {
+        submit("t", taskClass);
         channel.runPendingTasks();
-        pass(60 * MS);
+        advance(60 * MILLISECOND);
+    }
+
+    private void acknowledgeRecords() {
+        completeRecords(null);
     }
 
-    private void acknowledge(String wrong) {
-        List<Consumer<String>> all = List.copyOf(unacknowledged);
+    /**
+     * @param failure null if the records are durable
+     */
+    private void completeRecords(String failure) {
+        List<Consumer<String>> callbacks = List.copyOf(unacknowledged);
         unacknowledged.clear();
-        all.forEach(d -> d.accept(wrong));
+        callbacks.forEach(callback -> callback.accept(failure));
         channel.runPendingTasks();
     }
 
     @Test
-    void anUnsafeOfferWaitsForItsPromiseAndAResultForItsOwn() throws Exception {
-        ask("levy-run");
-        assertThat(written).singleElement().isInstanceOf(JournalRecord.Offered.class);
-        assertThat(offers).isEmpty();
-        acknowledge(null);
-        assertThat(offers).hasSize(1);
+    void sendsUnsafeOfferAndResultOnlyOnceTheirRecordsAreDurable() throws Exception {
+        submitAndAdvance(UNSAFE);
+        assertThat(records).singleElement().isInstanceOf(JournalRecord.Offered.class);
+        assertThat(offeredAttempts).isEmpty();
+        acknowledgeRecords();
+        assertThat(offeredAttempts).hasSize(1);
         core.attemptReported(
-                "n",
+                NODE,
                 new AttemptReport(
-                        offers.get(0), AttemptStatus.ACCEPTED, RejectionReason.NONE, false, null));
-        assertThat(written.get(1)).isInstanceOf(JournalRecord.Completed.class);
-        assertThat(news).isEmpty();
-        acknowledge(null);
-        assertThat(news).singleElement().returns(RequestResult.PLACED, ResultNotification::result);
+                        offeredAttempts.get(0),
+                        AttemptStatus.ACCEPTED,
+                        RejectionReason.NONE,
+                        false,
+                        null));
+        assertThat(records.get(1)).isInstanceOf(JournalRecord.Completed.class);
+        assertThat(notifications).isEmpty();
+        acknowledgeRecords();
+        assertThat(notifications)
+                .singleElement()
+                .returns(RequestResult.PLACED, ResultNotification::result);
     }
 
     @Test
-    void aSafeOfferWaitsForNothing() throws Exception {
-        ask("safe");
-        assertThat(offers).hasSize(1);
-        assertThat(written).isEmpty();
+    void sendsSafeOfferWithoutRecord() throws Exception {
+        submitAndAdvance(SAFE);
+        assertThat(offeredAttempts).hasSize(1);
+        assertThat(records).isEmpty();
     }
 
     @Test
-    void anOfferWhoseOwnerStoppedItMeanwhileIsNeverSent() throws Exception {
-        ask("levy-run");
-        core.stop("o", "t");
-        acknowledge(null);
-        pass(100 * MS);
-        assertThat(offers).isEmpty();
-        assertThat(withdrawn).isEmpty(); // the node never heard of it
-        assertThat(written).anyMatch(p -> p instanceof JournalRecord.NeverRan);
+    void neverSendsOfferOfTaskStoppedMeanwhile() throws Exception {
+        submitAndAdvance(UNSAFE);
+        core.stop(OWNER, "t");
+        acknowledgeRecords();
+        advance(100 * MILLISECOND);
+        assertThat(offeredAttempts).isEmpty();
+        assertThat(cancelledAttempts).isEmpty(); // the node does not know the attempt
+        assertThat(records).anyMatch(JournalRecord.NeverRan.class::isInstance);
     }
 
     @Test
-    void anOfferToANodeThatBeganToDrainMeanwhileIsNeverSent() throws Exception {
-        ask("levy-run");
-        core.drain("n", true);
-        acknowledge(null);
-        pass(3 * SECOND);
-        acknowledge(null);
-        assertThat(offers).isEmpty();
-        assertThat(news)
+    void neverSendsOfferToNodeThatBeganToDrainMeanwhile() throws Exception {
+        submitAndAdvance(UNSAFE);
+        core.drain(NODE, true);
+        acknowledgeRecords();
+        advance(3 * SECOND);
+        acknowledgeRecords();
+        assertThat(offeredAttempts).isEmpty();
+        // rejected and not failed, since it provably never ran
+        assertThat(notifications)
                 .last()
-                .returns(
-                        RequestResult.REJECTED,
-                        ResultNotification::result); // it never ran: that is harmless
+                .returns(RequestResult.REJECTED, ResultNotification::result);
     }
 
     @Test
-    void anOfferWhoseNodeReconnectedMeanwhileIsNotSentUnderItsOldName() throws Exception {
-        ask("levy-run");
+    void neverSendsEarlierAttemptToNodeThatReconnectedMeanwhile() throws Exception {
+        submitAndAdvance(UNSAFE);
         core.connectionClosed(1);
-        core.registered(
-                new NodeRegistration(
-                        2,
-                        new Membership.Registration(
-                                "n", 5, "std", "a", 1, 16, 16, 3_600 * SECOND, 16, 16),
-                        List.of(),
-                        List.of(),
-                        List.of(),
-                        Map.of(Idempotency.NON_IDEMPOTENT, MachineInventory.WHOLE_INCARNATION)));
-        String first = ((JournalRecord.Offered) written.get(0)).attempt();
-        acknowledge(null);
-        pass(500 * MS);
-        acknowledge(null);
-        assertThat(offers).doesNotContain(first);
+        registerNode(2);
+        String earlierAttempt = ((JournalRecord.Offered) records.get(0)).attempt();
+        acknowledgeRecords();
+        advance(500 * MILLISECOND);
+        acknowledgeRecords();
+        assertThat(offeredAttempts).doesNotContain(earlierAttempt);
     }
 
     @Test
-    void withoutAJournalThatWritesUnsafeAsksAreRefusedWithTheReasonAndSafeOnesGoOn()
-            throws Exception {
-        ask("levy-run");
-        trouble = "the journal cannot be written: No space left on device";
-        acknowledge(trouble);
-        pass(3 * SECOND);
-        assertThat(offers).isEmpty();
-        assertThat(news).last().returns(RequestResult.REJECTED, ResultNotification::result);
-        core.submit("o", new TaskSpec("u", "levy-run", "s", "", 1, 1, 2 * SECOND, 0));
-        assertThat(news)
+    void rejectsUnsafeRequestsWithReasonAndServesSafeOnesWhileJournalFails() throws Exception {
+        submitAndAdvance(UNSAFE);
+        writeFailure = "the journal cannot be written: No space left on device";
+        completeRecords(writeFailure);
+        advance(3 * SECOND);
+        assertThat(offeredAttempts).isEmpty();
+        assertThat(notifications)
+                .last()
+                .returns(RequestResult.REJECTED, ResultNotification::result);
+        submit("u", UNSAFE);
+        assertThat(notifications)
                 .last()
                 .returns("u", ResultNotification::task)
-                .returns(trouble, ResultNotification::reason);
-        core.submit("o", new TaskSpec("v", "safe", "s", "", 1, 1, 2 * SECOND, 0));
-        pass(500 * MS);
-        assertThat(offers).hasSize(1);
-        trouble = "";
-        pass(200 * MS);
-        core.submit("o", new TaskSpec("w", "levy-run", "s", "", 1, 1, 2 * SECOND, 0));
-        pass(500 * MS);
-        acknowledge(null);
-        assertThat(offers).hasSize(2);
+                .returns(writeFailure, ResultNotification::reason);
+        submit("v", SAFE);
+        advance(500 * MILLISECOND);
+        assertThat(offeredAttempts).hasSize(1);
+        writeFailure = "";
+        advance(200 * MILLISECOND);
+        submit("w", UNSAFE);
+        advance(500 * MILLISECOND);
+        acknowledgeRecords();
+        assertThat(offeredAttempts).hasSize(2);
     }
 
-    // ---- what comes out ----
+    // ---- what the placer sends ----
+
     @Override
-    public boolean offer(String machine, String attempt, RequestTracker.OfferDetails of) {
-        offers.add(attempt);
+    public boolean offer(String machine, String attempt, RequestTracker.OfferDetails details) {
+        offeredAttempts.add(attempt);
         return true;
     }
 
     @Override
     public void cancelAttempt(String machine, String attempt) {
-        withdrawn.add(attempt);
+        cancelledAttempts.add(attempt);
     }
 
     @Override
@@ -255,27 +263,27 @@
     }
 
     @Override
-    public void notifyDrain(String machine, boolean on) {
-        // not looked at here
+    public void notifyDrain(String machine, boolean draining) {
+        // not checked here
     }
 
     @Override
-    public void welcome(String machine, long remember) {
-        // not looked at here
+    public void welcome(String machine, long retentionMicros) {
+        // not checked here
     }
 
     @Override
-    public void notifyResult(ResultNotification n) {
-        news.add(n);
+    public void notifyResult(ResultNotification notification) {
+        notifications.add(notification);
     }
 
     @Override
-    public void closeConnection(long link, String why) {
-        throw new AssertionError(why);
+    public void closeConnection(long connection, String reason) {
+        throw new AssertionError(reason);
     }
 
     @Override
     public void reasonChanged(PendingReasons.ReasonChanged changed) {
-        // nobody watches
+        // nobody subscribes to reasons here
     }
 }
