--- a/decisions/src/main/java/thornferry/decisions/placement/AttemptTimeoutEstimator.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/AttemptTimeoutEstimator.java
@@ -17,9 +17,16 @@
     /** The smoothed waits for answers of one sort of start. */
     private static final class WaitEstimate {
         private static final double SMOOTHING = 0.05;
+        private static final double MEAN_FACTOR = 3;
+        private static final double DEVIATION_FACTOR = 4;
 
-        private double meanMicros = 100 * Micros.MILLISECOND;
-        private double deviationMicros = 50 * Micros.MILLISECOND;
+        /** Assumed until waits are known. */
+        private static final double INITIAL_MEAN_MICROS = 100 * Micros.MILLISECOND;
+
+        private static final double INITIAL_DEVIATION_MICROS = 50 * Micros.MILLISECOND;
+
+        private double meanMicros = INITIAL_MEAN_MICROS;
+        private double deviationMicros = INITIAL_DEVIATION_MICROS;
 
         void add(long waitMicros) {
             deviationMicros += SMOOTHING * (Math.abs(waitMicros - meanMicros) - deviationMicros);
@@ -27,7 +34,7 @@
         }
 
         double timeoutMicros() {
-            return 3 * meanMicros + 4 * deviationMicros;
+            return MEAN_FACTOR * meanMicros + DEVIATION_FACTOR * deviationMicros;
         }
     }
 
--- a/decisions/src/main/java/thornferry/decisions/placement/Policy.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/Policy.java
@@ -24,6 +24,10 @@
     private static final long IDLE_TICK_MICROS = 1 * Micros.SECOND;
 
     private static final long NO_TIMER = Long.MAX_VALUE;
+
+    /** All timers are for the next tick, so that one reference does for all. */
+    private static final long TICK_TIMER_REF = 0;
+
     private static final long NEVER_PRUNED_MICROS = 0;
 
     private final Settings settings;
@@ -122,7 +126,7 @@
         long dueMicros = Math.max(context.nowMicros() + 1, lastTickMicros + tickIntervalMicros());
         if (dueMicros < nextTimerMicros) {
             nextTimerMicros = dueMicros;
-            context.emit(new SetTimer(dueMicros, 0));
+            context.emit(new SetTimer(dueMicros, TICK_TIMER_REF));
         }
     }
 
--- a/decisions/src/main/java/thornferry/decisions/placement/RejectOrFail.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/RejectOrFail.java
@@ -9,6 +9,9 @@
 
 /** The negative final answer of a task: when no retry is left, and which of the two it is. */
 final class RejectOrFail {
+    /** No hint when to retry: nothing shows when capacity will be free. */
+    private static final long NO_RETRY_AFTER_MICROS = 0;
+
     private final Settings settings;
     private final EventContext context;
 
@@ -34,7 +37,10 @@
     /** Sends a rejection where the client may safely retry, else a failure. */
     void send(TrackedTask task) {
         task.finish();
-        context.emit(isSafeToRetry(task) ? new Reject(task.id(), 0) : new Fail(task.id()));
+        context.emit(
+                isSafeToRetry(task)
+                        ? new Reject(task.id(), NO_RETRY_AFTER_MICROS)
+                        : new Fail(task.id()));
     }
 
     private static boolean isSafeToRetry(TrackedTask task) {
