--- a/decisions/src/main/java/thornferry/decisions/admission/AdmissionSettings.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/AdmissionSettings.java
@@ -1,40 +1,46 @@
 package thornferry.decisions.admission;
 
+import static thornferry.decisions.admission.SettingOutOfRangeException.requireAtLeast;
+import static thornferry.decisions.admission.SettingOutOfRangeException.requirePositive;
+
 import java.util.Map;
 import java.util.Set;
 
 /**
- * What the waiting line goes by. All of it may change at a reload. Times are microseconds.
+ * Settings of admission control. All of them may change at a reload.
  *
- * @param enabled whether there is a line at all; without one every task is asked for at once and no
- *     reasons are kept
- * @param maxQueued tasks that may wait; beyond, the one that comes last in order is refused
- * @param maxDispatched tasks that the module may hold, without an offer out, at once; the rest wait
- *     in line
- * @param recallAfterMicros a task that the module holds for so long, while others wait, goes back
- *     into the line
- * @param backoffMicros it is asked for again after so long, or when room comes; doubles up to 16
- *     times that
- * @param targetWaitFraction overload begins where for a whole {@code intervalMicros} every task
- *     asked for had waited longer than this part of its patience
- * @param intervalMicros see {@code targetWaitFraction}; also the time between the first two tasks
- *     that overload sheds
- * @param oldestEvery every so-manieth task asked for is the one that waits longest, whatever its
- *     worth and tenant
- * @param largeTaskFraction a task of this part of the largest machine, in cores or memory, is a
- *     large one; 1 or more for none
- * @param reserveAfterMicros a large task that waits so long for room has smaller ones of less worth
- *     held back for it
- * @param reserveForMicros for so long at the most; and then not again for three times that
- * @param retryRatio asks again that an owner, or a machine, may cause for each first one
- * @param retryPerSecond asks again that are always borne
- * @param minRetryAfterMicros least retry-after of a task refused early, {@code maxRetryAfterMicros}
- *     the most
- * @param ownerQuota what each owner may, where {@code ownerQuotas} does not say
- * @param tenantQuota what each tenant may, where {@code tenantQuotas} does not say
- * @param siteQuota what all may together
- * @param tenantShares weights of the tenants; 1 where not told
- * @param shedClasses classes whose tasks are refused where a limit is reached; others wait
+ * @param enabled whether requests queue at all; if not, each is dispatched at once and no reasons
+ *     for waiting are recorded
+ * @param maxQueued maximum number of waiting tasks; beyond, the last by priority is rejected
+ * @param maxDispatched maximum number of tasks that the policy holds without an attempt in flight;
+ *     the rest wait in the queue
+ * @param recallAfterMicros time after which a task that the policy holds is recalled if others
+ *     wait, in microseconds
+ * @param backoffMicros backoff of a recalled task, in microseconds; doubles up to 16 times that,
+ *     and ends early when capacity is seen
+ * @param targetWaitFraction overload begins when every task dispatched within an interval had
+ *     waited longer than this fraction of its maximum wait
+ * @param intervalMicros length of that interval, in microseconds; also the time between the first
+ *     two tasks shed
+ * @param oldestEvery every so-many-th dispatch is that of the longest waiting task, whatever its
+ *     priority weight and tenant; at least 2
+ * @param largeTaskFraction a task that needs this fraction of the largest machine's cores or memory
+ *     is large; 1 or more for none
+ * @param reserveAfterMicros wait for capacity after which a large task gets a reservation, in
+ *     microseconds
+ * @param reserveForMicros maximum length of a reservation, in microseconds; none follows for three
+ *     times as long; 0 for no reservations
+ * @param retryRatio retries that an owner, or a machine, may cause for each new request
+ * @param retryPerSecond retries per second that are allowed in any case
+ * @param minRetryAfterMicros minimum Retry-After of a rejected task, in microseconds
+ * @param maxRetryAfterMicros maximum Retry-After of a rejected task, in microseconds
+ * @param ownerQuota quota of each owner that {@code ownerQuotas} does not name
+ * @param tenantQuota quota of each tenant that {@code tenantQuotas} does not name
+ * @param siteQuota quota of all tenants together
+ * @param ownerQuotas quotas by owner
+ * @param tenantQuotas quotas by tenant
+ * @param tenantShares fair-share weights by tenant, above 0; 1 for tenants not named
+ * @param shedClasses classes whose tasks are rejected when a quota is reached; others wait
  */
 public record AdmissionSettings(
         boolean enabled,
@@ -59,37 +65,32 @@
         Map<String, Quota> tenantQuotas,
         Map<String, Double> tenantShares,
         Set<String> shedClasses) {
+    private static final double DEFAULT_SHARE = 1;
+
+    /** Checks the range of each setting and copies the collections. */
     public AdmissionSettings {
-        if (maxQueued < 1
-                || maxDispatched < 1
-                || recallAfterMicros <= 0
-                || backoffMicros <= 0
-                || !(targetWaitFraction > 0)
-                || intervalMicros <= 0
-                || oldestEvery < 2
-                || !(largeTaskFraction > 0)
-                || reserveAfterMicros <= 0
-                || reserveForMicros < 0
-                || !(retryRatio >= 0)
-                || !(retryPerSecond >= 0)
-                || minRetryAfterMicros <= 0
-                || maxRetryAfterMicros < minRetryAfterMicros) {
-            throw new IllegalArgumentException("the line's settings are out of range");
-        }
-        tenantShares.forEach(
-                (name, shareOf) -> {
-                    if (!(shareOf > 0)) {
-                        throw new IllegalArgumentException(
-                                "the share of tenant " + name + " must be above 0");
-                    }
-                });
+        requireAtLeast("maxQueued", maxQueued, 1);
+        requireAtLeast("maxDispatched", maxDispatched, 1);
+        requireAtLeast("recallAfterMicros", recallAfterMicros, 1);
+        requireAtLeast("backoffMicros", backoffMicros, 1);
+        requirePositive("targetWaitFraction", targetWaitFraction);
+        requireAtLeast("intervalMicros", intervalMicros, 1);
+        requireAtLeast("oldestEvery", oldestEvery, 2);
+        requirePositive("largeTaskFraction", largeTaskFraction);
+        requireAtLeast("reserveAfterMicros", reserveAfterMicros, 1);
+        requireAtLeast("reserveForMicros", reserveForMicros, 0);
+        requireAtLeast("retryRatio", retryRatio, 0);
+        requireAtLeast("retryPerSecond", retryPerSecond, 0);
+        requireAtLeast("minRetryAfterMicros", minRetryAfterMicros, 1);
+        requireAtLeast("maxRetryAfterMicros", maxRetryAfterMicros, minRetryAfterMicros);
+        tenantShares.forEach((tenant, share) -> requirePositive("share of " + tenant, share));
         ownerQuotas = Map.copyOf(ownerQuotas);
         tenantQuotas = Map.copyOf(tenantQuotas);
         tenantShares = Map.copyOf(tenantShares);
         shedClasses = Set.copyOf(shedClasses);
     }
 
-    /** A line that limits nothing but its own length. */
+    /** Default settings: no limits but that of the queue's length. */
     public static AdmissionSettings defaults() {
         return new AdmissionSettings(
                 true,
@@ -117,66 +118,43 @@
     }
 
     /**
-     * The same with other limits for all owners, for one, or for all together; null keeps what is.
+     * A copy with other quotas.
+     *
+     * @param eachOwner new {@link #ownerQuota}; null to leave it
+     * @param eachTenant new {@link #tenantQuota}; null to leave it
+     * @param together new {@link #siteQuota}; null to leave it
+     * @param weights new {@link #tenantShares}; null to leave them
      */
     public AdmissionSettings withQuotas(
             Quota eachOwner, Quota eachTenant, Quota together, Map<String, Double> weights) {
-        return new AdmissionSettings(
+        return copy(
                 enabled,
-                maxQueued,
-                maxDispatched,
-                recallAfterMicros,
-                backoffMicros,
-                targetWaitFraction,
-                intervalMicros,
-                oldestEvery,
-                largeTaskFraction,
-                reserveAfterMicros,
                 reserveForMicros,
-                retryRatio,
-                retryPerSecond,
-                minRetryAfterMicros,
-                maxRetryAfterMicros,
                 eachOwner == null ? ownerQuota : eachOwner,
                 eachTenant == null ? tenantQuota : eachTenant,
                 together == null ? siteQuota : together,
-                ownerQuotas,
-                tenantQuotas,
-                weights == null ? tenantShares : weights,
-                shedClasses);
+                weights == null ? tenantShares : weights);
     }
 
-    /** The same without a line. */
+    /** A copy with queueing disabled. */
     public AdmissionSettings disabled() {
-        return new AdmissionSettings(
-                false,
-                maxQueued,
-                maxDispatched,
-                recallAfterMicros,
-                backoffMicros,
-                targetWaitFraction,
-                intervalMicros,
-                oldestEvery,
-                largeTaskFraction,
-                reserveAfterMicros,
-                reserveForMicros,
-                retryRatio,
-                retryPerSecond,
-                minRetryAfterMicros,
-                maxRetryAfterMicros,
-                ownerQuota,
-                tenantQuota,
-                siteQuota,
-                ownerQuotas,
-                tenantQuotas,
-                tenantShares,
-                shedClasses);
+        return copy(false, reserveForMicros, ownerQuota, tenantQuota, siteQuota, tenantShares);
     }
 
-    /** The same without room being kept for large tasks. */
+    /** A copy without capacity reservations for large tasks. */
     public AdmissionSettings withoutReservations() {
+        return copy(enabled, 0, ownerQuota, tenantQuota, siteQuota, tenantShares);
+    }
+
+    private AdmissionSettings copy(
+            boolean newEnabled,
+            long newReserveForMicros,
+            Quota newOwnerQuota,
+            Quota newTenantQuota,
+            Quota newSiteQuota,
+            Map<String, Double> newTenantShares) {
         return new AdmissionSettings(
-                enabled,
+                newEnabled,
                 maxQueued,
                 maxDispatched,
                 recallAfterMicros,
@@ -186,17 +164,17 @@
                 oldestEvery,
                 largeTaskFraction,
                 reserveAfterMicros,
-                0,
+                newReserveForMicros,
                 retryRatio,
                 retryPerSecond,
                 minRetryAfterMicros,
                 maxRetryAfterMicros,
-                ownerQuota,
-                tenantQuota,
-                siteQuota,
+                newOwnerQuota,
+                newTenantQuota,
+                newSiteQuota,
                 ownerQuotas,
                 tenantQuotas,
-                tenantShares,
+                newTenantShares,
                 shedClasses);
     }
 
@@ -209,6 +187,6 @@
     }
 
     double shareOf(String name) {
-        return tenantShares.getOrDefault(name, 1.0);
+        return tenantShares.getOrDefault(name, DEFAULT_SHARE);
     }
 }
--- /dev/null
+++ b/decisions/src/main/java/thornferry/decisions/admission/LoadShedder.java
@@ -0,0 +1,143 @@
+package thornferry.decisions.admission;
+
+import java.util.Optional;
+import java.util.function.BiConsumer;
+import java.util.function.Supplier;
+
+/** Chooses which requests to reject early while the site is overloaded or the queue is full. */
+final class LoadShedder {
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    /** Lower bound of the assumed placement rate, so that an estimated wait stays finite. */
+    private static final double MIN_PLACEMENTS_PER_SECOND = 0.1;
+
+    private final Supplier<AdmissionSettings> settings;
+    private final OverloadController overload;
+    private final QuotaChecker quotas;
+    private final QueueIndex index;
+    private final FairShare fairShare;
+    private final BackoffQueue backoff;
+    private long shedCount;
+
+    LoadShedder(
+            Supplier<AdmissionSettings> settings,
+            OverloadController overload,
+            QuotaChecker quotas,
+            QueueIndex index,
+            FairShare fairShare,
+            BackoffQueue backoff) {
+        this.settings = settings;
+        this.overload = overload;
+        this.quotas = quotas;
+        this.index = index;
+        this.fairShare = fairShare;
+        this.backoff = backoff;
+    }
+
+    /** Requests shed so far; rejections on arrival and at the deadline are not among them. */
+    long shedCount() {
+        return shedCount;
+    }
+
+    /**
+     * Why to reject a request that has just arrived, because it would wait beyond its deadline;
+     * empty if it may wait.
+     */
+    Optional<String> rejectionOnArrival(long nowMicros, QueueEntry entry) {
+        if (!overload.shouldRejectEarly(nowMicros)) {
+            return Optional.empty();
+        }
+        double waitMicros = estimatedWaitMicros(entry);
+        return waitMicros > entry.request().remainingMicros(nowMicros)
+                ? Optional.of(RejectionText.estimatedWaitTooLong(waitMicros))
+                : Optional.empty();
+    }
+
+    /**
+     * Records a rejection at the deadline as a sign of overload if the request could have been
+     * placed: it had a reasonable maximum wait, and neither its size nor a quota prevented it.
+     */
+    void recordRejectionAtDeadline(long nowMicros, QueueEntry entry) {
+        boolean shortLived = entry.maxWaitMicros() < settings.get().intervalMicros() / 2;
+        boolean blockedByOwnerQuota =
+                entry.stage() == AdmissionQueue.Stage.QUEUED && entry.owner().block() != null;
+        if (entry.fitsSomeMachine()
+                && !shortLived
+                && !entry.exceedsRetryBudget()
+                && !blockedByOwnerQuota) {
+            overload.recordLateRejection(nowMicros);
+        }
+    }
+
+    /**
+     * Sheds what overload requires at this time.
+     *
+     * @param reject removes an entry and rejects it with the given reason
+     */
+    void tick(long nowMicros, BiConsumer<QueueEntry, String> reject) {
+        sampleWait(nowMicros);
+        overload.tick(nowMicros);
+        while (index.site().waitingTasks() > 0 && overload.takeShed(nowMicros)) {
+            shedLast(RejectionText.LOWER_PRIORITY_SHED, reject);
+        }
+        for (int i = 0; i < QueueIndex.MAX_SCANNED && overload.shouldRejectEarly(nowMicros); i++) {
+            Optional<QueueEntry> last = last();
+            if (last.isEmpty() || isReachedInTime(nowMicros, last.get())) {
+                break;
+            }
+            shed(last.get(), RejectionText.WAIT_TOO_LONG, reject);
+        }
+    }
+
+    /** Sheds the waiting request that comes last, if any. */
+    void shedLast(String reason, BiConsumer<QueueEntry, String> reject) {
+        last().ifPresent(entry -> shed(entry, reason, reject));
+    }
+
+    private void shed(QueueEntry entry, String reason, BiConsumer<QueueEntry, String> reject) {
+        shedCount++;
+        reject.accept(entry, reason);
+    }
+
+    private Optional<QueueEntry> last() {
+        return fairShare.lastOfLargestTenant().or(backoff::lowestPriority);
+    }
+
+    /** Where nothing was dispatched in the interval, the wait of what comes next is the sample. */
+    private void sampleWait(long nowMicros) {
+        if (index.site().waitingTasks() == 0) {
+            overload.recordWait(0);
+        } else if (!overload.hasSample()) {
+            double waited =
+                    nextInAge(nowMicros).map(entry -> entry.waitedFraction(nowMicros)).orElse(0.0);
+            if (waited < settings.get().targetWaitFraction()
+                    || overload.intervalHasEnded(nowMicros)) {
+                overload.recordWait(waited);
+            }
+        }
+    }
+
+    private Optional<QueueEntry> nextInAge(long nowMicros) {
+        return index.oldestUnblocked().stream()
+                .limit(QueueIndex.MAX_SCANNED)
+                .filter(entry -> quotas.sharedBlock(nowMicros, entry) == null)
+                .findFirst()
+                .or(backoff::highestPriority);
+    }
+
+    private boolean isReachedInTime(long nowMicros, QueueEntry entry) {
+        return estimatedWaitMicros(entry) <= entry.request().remainingMicros(nowMicros);
+    }
+
+    /**
+     * Estimated wait behind all requests of the same tenant with at least the same priority weight,
+     * at the present placement rate.
+     */
+    private double estimatedWaitMicros(QueueEntry entry) {
+        TenantQueue tenant = entry.tenant();
+        int ahead = tenant.countWaitingFrom(entry.request().priorityWeight());
+        double placementsPerSecond =
+                overload.placementsPerSecond() * fairShare.fractionOfWaiting(tenant);
+        return ahead * MICROS_PER_SECOND / Math.max(MIN_PLACEMENTS_PER_SECOND, placementsPerSecond);
+    }
+}
--- a/decisions/src/main/java/thornferry/decisions/admission/OverloadController.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/OverloadController.java
@@ -1,146 +1,169 @@
 package thornferry.decisions.admission;
 
 import java.util.SplittableRandom;
+import java.util.function.Supplier;
 
 /**
- * Whether more is asked for than can be placed, when to shed the next task, and when those turned
- * away are to come back.
+ * Detects overload, decides when to shed the next task, and when rejected clients should retry.
  *
- * <p>After CoDel (K. Nichols, V. Jacobson, "Controlling Queue Delay"): not the mean wait but the
- * least one within an interval tells a standing line from a burst that drains by itself; and waits
- * are taken as parts of each task's patience, since patience here differs by orders of magnitude.
- * Times are microseconds.
+ * <p>After CoDel (K. Nichols and V. Jacobson, "Controlling Queue Delay", ACM Queue 2012): the
+ * minimum wait within an interval, not the mean, distinguishes a standing queue from a burst that
+ * drains by itself. Waits are measured as fractions of each request's maximum wait, because these
+ * differ by orders of magnitude.
  */
 final class OverloadController {
-    private static final long RATED_EVERY = 200_000;
+    private static final long RATE_PERIOD_MICROS = 200_000;
+    private static final double MICROS_PER_SECOND = 1e6;
 
+    /** A time before all others that a current time can be subtracted from without overflow. */
+    private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
+
+    /** Minimum of no samples. */
+    private static final double NO_SAMPLE = Double.POSITIVE_INFINITY;
+
+    /** Intervals for which a late rejection counts as a sign of overload. */
+    private static final int LATE_REJECTION_INTERVALS = 2;
+
+    /** Part of the placement rate that retries get at least. */
+    private static final double MIN_RETRY_FRACTION = 1.0 / 4;
+
+    /** Distinguishes the random sequence from others drawn from the same seed. */
+    private static final long SEED_SALT = 0x11e;
+
+    private final Supplier<AdmissionSettings> settings;
     private final SplittableRandom random;
-    private AdmissionSettings settings;
-    private double leastWaited = Double.POSITIVE_INFINITY;
-    private long intervalEnd = Long.MIN_VALUE;
-    private boolean on;
-    private int sheds;
-    private long nextShed;
-    private double placedPerSecond = 1;
-    private int placedSince;
-    private double firstPerSecond;
-    private int firstSince;
-    private long ratedAt = Long.MIN_VALUE;
-    private long nextSlot;
-    private long lateAt = Long.MIN_VALUE / 2;
-
-    OverloadController(AdmissionSettings settings, long seed) {
-        this.settings = settings;
-        this.random = new SplittableRandom(seed ^ 0x11e);
-    }
+    private final RateEstimate placements = new RateEstimate(1);
+    private final RateEstimate newRequests = new RateEstimate(0);
+    private double minWaitedFraction = NO_SAMPLE;
+    private long intervalEndMicros = NEVER_MICROS;
+    private boolean overloaded;
+    private int shedCount;
+    private long nextShedMicros;
+    private long ratePeriodStartMicros = NEVER_MICROS;
+    private long nextRetrySlotMicros;
+    private long lastLateRejectionMicros = NEVER_MICROS;
 
-    void use(AdmissionSettings s) {
-        settings = s;
+    /**
+     * @param seed of the random spread of retry delays
+     */
+    OverloadController(Supplier<AdmissionSettings> settings, long seed) {
+        this.settings = settings;
+        this.random = new SplittableRandom(seed ^ SEED_SALT);
     }
 
-    /** A task was asked for, or would be next, after this part of its patience. */
-    void waited(double part) {
-        leastWaited = Math.min(leastWaited, part);
+    /** A request was dispatched, or would be next, after this fraction of its maximum wait. */
+    void recordWait(double waitedFraction) {
+        minWaitedFraction = Math.min(minWaitedFraction, waitedFraction);
     }
 
-    /** Whether nothing was released since the interval began, so that what waits must tell. */
-    boolean untold() {
-        return leastWaited == Double.POSITIVE_INFINITY;
+    /** Whether the current interval has a sample. */
+    boolean hasSample() {
+        return minWaitedFraction != NO_SAMPLE;
     }
 
-    boolean intervalOver(long now) {
-        return now >= intervalEnd;
+    boolean intervalHasEnded(long nowMicros) {
+        return nowMicros >= intervalEndMicros;
     }
 
-    void tick(long now) {
-        if (leastWaited < settings.targetWaitFraction()) {
-            on = false;
-            begin(now);
-        } else if (now >= intervalEnd) {
-            if (!on && leastWaited < Double.POSITIVE_INFINITY) {
-                on = true;
-                sheds = 0;
-                nextShed = now;
+    void tick(long nowMicros) {
+        if (minWaitedFraction < settings.get().targetWaitFraction()) {
+            overloaded = false;
+            beginInterval(nowMicros);
+        } else if (intervalHasEnded(nowMicros)) {
+            if (!overloaded && hasSample()) {
+                overloaded = true;
+                shedCount = 0;
+                nextShedMicros = nowMicros;
             }
-            begin(now);
+            beginInterval(nowMicros);
         }
-        rate(now);
+        updateRates(nowMicros);
     }
 
-    /** Guards against calling a pause of our own an overload: the interval begins anew. */
-    void begin(long now) {
-        leastWaited = Double.POSITIVE_INFINITY;
-        intervalEnd = now + settings.intervalMicros();
+    /**
+     * Discards the samples and begins a new interval. Called after a pause of this process, whose
+     * effect on waits would otherwise count as overload.
+     */
+    void beginInterval(long nowMicros) {
+        minWaitedFraction = NO_SAMPLE;
+        intervalEndMicros = nowMicros + settings.get().intervalMicros();
     }
 
-    /** Whether a task is to be shed now; each time sooner after the last. */
-    boolean sheds(long now) {
-        if (!on || now < nextShed) {
+    /** Whether to shed a task now; the time to the next shrinks while overload lasts. */
+    boolean takeShed(long nowMicros) {
+        if (!overloaded || nowMicros < nextShedMicros) {
             return false;
         }
-        nextShed += (long) (settings.intervalMicros() / Math.sqrt(++sheds));
+        shedCount++;
+        nextShedMicros += (long) (settings.get().intervalMicros() / Math.sqrt(shedCount));
         return true;
     }
 
-    boolean on() {
-        return on;
+    boolean isOverloaded() {
+        return overloaded;
     }
 
-    /** A task was refused only at the end of its patience, though a machine could have taken it. */
-    void late(long now) {
-        lateAt = now;
+    /** A task was rejected only at its deadline, though some machine is large enough for it. */
+    void recordLateRejection(long nowMicros) {
+        lastLateRejectionMicros = nowMicros;
     }
 
     /**
-     * Whether to turn away what would not be reached in time. Tasks of much worth are asked for at
-     * once also while those of little worth wait in vain, so the least wait alone does not tell;
-     * refusals that came late do.
+     * Whether to reject early what would not be placed in time. The minimum wait does not suffice
+     * to decide this: requests of high priority weight are dispatched at once while those of low
+     * weight wait in vain. Late rejections reveal that.
      */
-    boolean pressed(long now) {
-        return on || now - lateAt < 2 * settings.intervalMicros();
+    boolean shouldRejectEarly(long nowMicros) {
+        return overloaded
+                || nowMicros - lastLateRejectionMicros
+                        < LATE_REJECTION_INTERVALS * settings.get().intervalMicros();
     }
 
-    void placed() {
-        placedSince++;
+    void recordPlacement() {
+        placements.count();
     }
 
-    void firstAsk() {
-        firstSince++;
+    void recordNewRequest() {
+        newRequests.count();
     }
 
-    private void rate(long now) {
-        if (ratedAt == Long.MIN_VALUE) {
-            ratedAt = now;
-        } else if (now - ratedAt >= RATED_EVERY) {
-            placedPerSecond += 0.2 * (placedSince * 1e6 / (now - ratedAt) - placedPerSecond);
-            firstPerSecond += 0.2 * (firstSince * 1e6 / (now - ratedAt) - firstPerSecond);
-            placedSince = 0;
-            firstSince = 0;
-            ratedAt = now;
-        }
+    double placementsPerSecond() {
+        return placements.perSecond();
     }
 
-    double placedPerSecond() {
-        return placedPerSecond;
+    private void updateRates(long nowMicros) {
+        if (ratePeriodStartMicros == NEVER_MICROS) {
+            ratePeriodStartMicros = nowMicros;
+            return;
+        }
+        long periodMicros = nowMicros - ratePeriodStartMicros;
+        if (periodMicros >= RATE_PERIOD_MICROS) {
+            placements.endPeriod(periodMicros);
+            newRequests.endPeriod(periodMicros);
+            ratePeriodStartMicros = nowMicros;
+        }
     }
 
     /**
-     * After how long to ask again. Guards against a second storm: those turned away together are
-     * given turns one after the other, each spread by chance, at the rate of placing that first
-     * asks leave over; a quarter of it at the least.
+     * Delay after which a client rejected now should retry, in microseconds. Clients rejected
+     * together get successive slots, each spread at random, at the placement rate that new requests
+     * leave; without this they would return together.
      */
-    long retryAfter(long now) {
-        double spare = Math.max(placedPerSecond / 4, placedPerSecond - firstPerSecond);
-        nextSlot = Math.max(nextSlot, now) + (long) (1e6 / Math.max(1, spare));
-        long wait = nextSlot - now;
-        long most = settings.maxRetryAfterMicros();
-        long least = settings.minRetryAfterMicros();
-        if (wait > most) {
-            // more than can be promised turns: spread over the whole time, for any crowd within it
-            // is a second storm
-            nextSlot = now + most;
-            return least / 2 + random.nextLong(Math.max(1, most - least / 2));
+    long nextRetryAfterMicros(long nowMicros) {
+        double placed = placements.perSecond();
+        double spare = Math.max(placed * MIN_RETRY_FRACTION, placed - newRequests.perSecond());
+        long slotMicros = (long) (MICROS_PER_SECOND / Math.max(1, spare));
+        nextRetrySlotMicros = Math.max(nextRetrySlotMicros, nowMicros) + slotMicros;
+        long waitMicros = nextRetrySlotMicros - nowMicros;
+        long maxMicros = settings.get().maxRetryAfterMicros();
+        long minMicros = settings.get().minRetryAfterMicros();
+        if (waitMicros > maxMicros) {
+            // More clients than there are slots: spread over all of it, as any concentration
+            // within it would be another wave.
+            nextRetrySlotMicros = nowMicros + maxMicros;
+            return minMicros / 2 + random.nextLong(Math.max(1, maxMicros - minMicros / 2));
         }
-        return Math.max(least, wait) / 2 + random.nextLong(Math.max(least, wait) / 2 + 1);
+        long delayMicros = Math.max(minMicros, waitMicros);
+        return delayMicros / 2 + random.nextLong(delayMicros / 2 + 1);
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/admission/QuotaScope.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/QuotaScope.java
@@ -1,7 +1,11 @@
 package thornferry.decisions.admission;
 
+/** Whose usage a quota limits. */
 public enum QuotaScope {
+    /** One owner. */
     OWNER,
+    /** All owners of one tenant together. */
     TENANT,
+    /** All tenants together. */
     SITE
 }
--- /dev/null
+++ b/decisions/src/main/java/thornferry/decisions/admission/RateEstimate.java
@@ -0,0 +1,30 @@
+package thornferry.decisions.admission;
+
+/** Exponentially weighted moving average of a rate of events. */
+final class RateEstimate {
+    /** Weight of the latest period. */
+    private static final double SMOOTHING = 0.2;
+
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    private double perSecond;
+    private int eventsInPeriod;
+
+    RateEstimate(double initialPerSecond) {
+        perSecond = initialPerSecond;
+    }
+
+    void count() {
+        eventsInPeriod++;
+    }
+
+    /** Ends a period and takes its events into the average. */
+    void endPeriod(long periodMicros) {
+        perSecond += SMOOTHING * (eventsInPeriod * MICROS_PER_SECOND / periodMicros - perSecond);
+        eventsInPeriod = 0;
+    }
+
+    double perSecond() {
+        return perSecond;
+    }
+}
--- a/decisions/src/main/java/thornferry/decisions/admission/TokenBuckets.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/TokenBuckets.java
@@ -1,93 +1,110 @@
 package thornferry.decisions.admission;
 
 import java.util.HashMap;
-import java.util.Iterator;
 import java.util.Map;
 
 /**
- * Token buckets by name, filled by time, by deed, or by both. Bounded: a bucket that is full again
- * is forgotten, for it would begin full. Times are microseconds.
+ * Token buckets by name. They are refilled by time, by {@link #add}, or by both. Memory is bounded:
+ * a full bucket is discarded, because a new bucket begins full.
  */
 final class TokenBuckets {
+    private static final int MIN_SWEEP_SIZE = 4_096;
+    private static final double MICROS_PER_SECOND = 1e6;
+
     private static final class Bucket {
-        double tokens;
-        long at;
-    }
+        private double tokens;
+        private long updatedAtMicros;
 
-    private static final int SWEEP_ABOVE = 4_096;
+        private Bucket(double tokens, long updatedAtMicros) {
+            this.tokens = tokens;
+            this.updatedAtMicros = updatedAtMicros;
+        }
+    }
 
     private final Map<String, Bucket> buckets = new HashMap<>();
-    private double perSecond;
-    private double most;
-    private int sweepAt = SWEEP_ABOVE;
+    private double tokensPerSecond;
+    private double capacity;
+    private int nextSweepSize = MIN_SWEEP_SIZE;
 
     /**
-     * @param most what a bucket holds at the most, and at first
+     * @param tokensPerSecond refill rate of each bucket
+     * @param capacity maximum number of tokens in a bucket, and the number in a new one; infinite
+     *     for no limit
      */
-    TokenBuckets(double perSecond, double most) {
-        set(perSecond, most);
+    TokenBuckets(double tokensPerSecond, double capacity) {
+        configure(tokensPerSecond, capacity);
     }
 
-    /** Other rates from now on; what is in the buckets stays, up to the new most. */
-    void set(double rate, double capacity) {
-        perSecond = rate;
-        most = capacity;
+    /** Changes rate and capacity; tokens in the buckets remain, up to the new capacity. */
+    void configure(double newTokensPerSecond, double newCapacity) {
+        tokensPerSecond = newTokensPerSecond;
+        capacity = newCapacity;
     }
 
-    private Bucket filled(long now, String name) {
-        Bucket b = buckets.get(name);
-        if (b == null) {
-            sweep(now);
-            b = new Bucket();
-            b.tokens = most;
-            b.at = now;
-            buckets.put(name, b);
-        }
-        b.tokens = Math.min(most, b.tokens + Math.max(0, now - b.at) * perSecond / 1e6);
-        b.at = Math.max(b.at, now);
-        return b;
+    /** Whether the named bucket holds a token. */
+    boolean hasToken(long nowMicros, String name) {
+        return isUnlimited() || refilled(nowMicros, name).tokens >= 1;
     }
 
-    private void sweep(long now) {
-        if (buckets.size() < sweepAt) {
-            return;
+    /** Takes a token, also from an empty bucket, which then owes it. */
+    void take(long nowMicros, String name) {
+        if (!isUnlimited()) {
+            refilled(nowMicros, name).tokens -= 1;
         }
-        for (Iterator<Bucket> i = buckets.values().iterator(); i.hasNext(); ) {
-            Bucket b = i.next();
-            if (b.tokens + (now - b.at) * perSecond / 1e6 >= most) {
-                i.remove();
-            }
-        }
-        sweepAt = Math.max(SWEEP_ABOVE, 2 * buckets.size());
     }
 
-    boolean has(long now, String name) {
-        return most == Double.POSITIVE_INFINITY || filled(now, name).tokens >= 1;
+    /** Adds tokens, up to the capacity. */
+    void add(long nowMicros, String name, double tokens) {
+        if (!isUnlimited()) {
+            Bucket bucket = refilled(nowMicros, name);
+            bucket.tokens = Math.min(capacity, bucket.tokens + tokens);
+        }
     }
 
-    void take(long now, String name) {
-        if (most < Double.POSITIVE_INFINITY) {
-            filled(now, name).tokens -= 1;
+    /**
+     * Time at which the bucket holds a token if none is added: {@code nowMicros} if it holds one,
+     * {@link QuotaBlock#NO_TIME_LIMIT_MICROS} if time does not refill it.
+     */
+    long nextTokenAtMicros(long nowMicros, String name) {
+        if (hasToken(nowMicros, name)) {
+            return nowMicros;
         }
+        double missing = 1 - refilled(nowMicros, name).tokens;
+        return tokensPerSecond <= 0
+                ? QuotaBlock.NO_TIME_LIMIT_MICROS
+                : nowMicros + 1 + (long) (missing * MICROS_PER_SECOND / tokensPerSecond);
     }
 
-    void add(long now, String name, double tokens) {
-        if (most < Double.POSITIVE_INFINITY) {
-            Bucket b = filled(now, name);
-            b.tokens = Math.min(most, b.tokens + tokens);
-        }
+    private boolean isUnlimited() {
+        return capacity == Double.POSITIVE_INFINITY;
     }
 
-    /** When there will be a token if none is added; {@code now} where there is one. */
-    long ready(long now, String name) {
-        if (has(now, name)) {
-            return now;
+    private Bucket refilled(long nowMicros, String name) {
+        Bucket bucket = buckets.get(name);
+        if (bucket == null) {
+            discardFullBuckets(nowMicros);
+            bucket = new Bucket(capacity, nowMicros);
+            buckets.put(name, bucket);
         }
-        double lacks = 1 - filled(now, name).tokens;
-        return perSecond <= 0 ? Long.MAX_VALUE / 4 : now + 1 + (long) (lacks * 1e6 / perSecond);
+        long elapsedMicros = Math.max(0, nowMicros - bucket.updatedAtMicros);
+        bucket.tokens = Math.min(capacity, bucket.tokens + refillOver(elapsedMicros));
+        bucket.updatedAtMicros = Math.max(bucket.updatedAtMicros, nowMicros);
+        return bucket;
     }
 
-    int size() {
-        return buckets.size();
+    private double refillOver(long elapsedMicros) {
+        return elapsedMicros * tokensPerSecond / MICROS_PER_SECOND;
+    }
+
+    private void discardFullBuckets(long nowMicros) {
+        if (buckets.size() < nextSweepSize) {
+            return;
+        }
+        buckets.values()
+                .removeIf(
+                        bucket ->
+                                bucket.tokens + refillOver(nowMicros - bucket.updatedAtMicros)
+                                        >= capacity);
+        nextSweepSize = Math.max(MIN_SWEEP_SIZE, 2 * buckets.size());
     }
 }
--- a/decisions/src/test/java/thornferry/decisions/admission/LoginRateLimiterTest.java
+++ b/decisions/src/test/java/thornferry/decisions/admission/LoginRateLimiterTest.java
@@ -66,6 +66,6 @@
         for (int i = 0; i < 1_000; i++) {
             fail("a", "l" + i, 1);
         }
-        assertThat(throttle.known()).isEqualTo(100);
+        assertThat(throttle.trackedCount()).isEqualTo(100);
     }
 }
