--- a/decisions/src/main/java/thornferry/decisions/recovery/JournalRecord.java
+++ b/decisions/src/main/java/thornferry/decisions/recovery/JournalRecord.java
@@ -6,14 +6,15 @@
 import thornferry.decisions.requests.TaskSpec;
 
 /**
- * One line of a placer's journal: what a later life of it must know so that no effect happens
- * twice. Written for tasks whose second start does harm (keyed and unsafe); {@code atMicros} is
- * microseconds since 1970.
+ * A record of a placer's write-ahead journal: what a later incarnation must know so that no effect
+ * happens twice. Written for tasks whose second start could do harm: non-idempotent ones, and those
+ * idempotent by a key.
  */
 public sealed interface JournalRecord {
+    /** When the record was written, in microseconds since 1970. */
     long atMicros();
 
-    /** An attempt is about to be offered: durable before the offer's first octet leaves. */
+    /** An attempt is about to be offered; durable before the first byte of the offer is sent. */
     record Offered(
             long atMicros,
             String attempt,
@@ -30,7 +31,8 @@
             implements JournalRecord {}
 
     /**
-     * The owner's result, {@code PLACED} or {@code FAILED}; a refusal leaves nothing to remember.
+     * The result of a request, {@code PLACED} or {@code FAILED}; a rejection is not recorded, as it
+     * has no consequences.
      */
     record Completed(
             long atMicros,
@@ -43,7 +45,7 @@
             String reason)
             implements JournalRecord {}
 
-    /** The placed task is over. */
+    /** A placed task has terminated. */
     record Finished(long atMicros, String owner, String task, TerminationCause terminationCause)
             implements JournalRecord {}
 }
--- a/decisions/src/main/java/thornferry/decisions/recovery/MachineInventory.java
+++ b/decisions/src/main/java/thornferry/decisions/recovery/MachineInventory.java
@@ -6,9 +6,12 @@
 import thornferry.decisions.placement.Placement.Idempotency;
 
 /**
- * What a machine says when it registers: what it holds, what it remembers, and since when it
- * remembers all that it accepted of an effect, {@link #WHOLE_INCARNATION} where it forgot nothing
- * in this life; absent where it does not say.
+ * What a machine reports about attempts when it registers.
+ *
+ * @param heldAttempts the attempts that it has: admitted, and not ended
+ * @param retainedAttempts the ended attempts that it remembers
+ * @param completeSinceMicros by idempotency: since when it remembers all attempts that it accepted,
+ *     in microseconds since 1970, or {@link #WHOLE_INCARNATION}; absent where it does not report it
  */
 public record MachineInventory(
         String machine,
@@ -16,5 +19,6 @@
         Set<String> heldAttempts,
         List<RetainedAttempt> retainedAttempts,
         Map<Idempotency, Long> completeSinceMicros) {
+    /** The machine has forgotten nothing in this incarnation. */
     public static final long WHOLE_INCARNATION = Long.MIN_VALUE;
 }
--- a/decisions/src/main/java/thornferry/decisions/recovery/RetainedAttempt.java
+++ b/decisions/src/main/java/thornferry/decisions/recovery/RetainedAttempt.java
@@ -4,7 +4,13 @@
 import thornferry.decisions.placement.Placement.Idempotency;
 import thornferry.decisions.requests.TaskSpec;
 
-/** What a machine remembers of an attempt that is over there since {@code endedAtMicros}. */
+/**
+ * An attempt that has ended on a machine, as the machine still remembers it.
+ *
+ * @param status the final status
+ * @param ran with {@code CANCELLED}: whether the task had started
+ * @param endedAtMicros when it ended, in microseconds since 1970
+ */
 public record RetainedAttempt(
         String attempt,
         String owner,
--- a/decisions/src/test/java/thornferry/decisions/recovery/RecoveryTest.java
+++ b/decisions/src/test/java/thornferry/decisions/recovery/RecoveryTest.java
@@ -22,7 +22,7 @@
 
 class RecoveryTest {
     private static final long SECOND = 1_000_000;
-    private static final TaskSpec WISH = new TaskSpec("t", "levy-run", "s", "", 1, 1, null, 0);
+    private static final TaskSpec SPEC = new TaskSpec("t", "levy-run", "s", "", 1, 1, null, 0);
 
     private final Recovery recovery =
             new Recovery(new Recovery.Limits(60 * SECOND, 600 * SECOND, 10 * SECOND, 100, false));
@@ -32,22 +32,23 @@
 
     private static JournalRecord offered(long at) {
         return new JournalRecord.Offered(
-                at, "old-1", "o", "x", WISH, Idempotency.NON_IDEMPOTENT, "n", 7);
+                at, "old-1", "o", "x", SPEC, Idempotency.NON_IDEMPOTENT, "n", 7);
     }
 
-    private static JournalRecord answered(long at, RequestResult result) {
+    private static JournalRecord completed(long at, RequestResult result) {
         return new JournalRecord.Completed(
-                at, "o", "x", WISH, Idempotency.NON_IDEMPOTENT, result, "n", "why");
+                at, "o", "x", SPEC, Idempotency.NON_IDEMPOTENT, result, "n", "why");
     }
 
     private void begin(JournalRecord... journal) {
-        for (JournalRecord p : journal) {
-            recovery.apply(p);
+        for (JournalRecord journalRecord : journal) {
+            recovery.apply(journalRecord);
         }
         recovery.begin(now, actions::add);
     }
 
-    private List<Action> registers(long incarnation, long since, RetainedAttempt... recalled) {
+    private List<Action> register(
+            long incarnation, long completeSince, RetainedAttempt... retained) {
         actions.clear();
         recovery.machineRegistered(
                 now,
@@ -55,164 +56,164 @@
                         "n",
                         incarnation,
                         Set.of(),
-                        List.of(recalled),
-                        Map.of(Idempotency.NON_IDEMPOTENT, since)),
+                        List.of(retained),
+                        Map.of(Idempotency.NON_IDEMPOTENT, completeSince)),
                 attempt -> attempt.startsWith("new"),
                 actions::add);
         return actions;
     }
 
-    private static RetainedAttempt recalled(AttemptStatus word, boolean ran) {
+    private static RetainedAttempt retained(AttemptStatus status, boolean ran) {
         return new RetainedAttempt(
-                "old-1", "o", WISH, Idempotency.NON_IDEMPOTENT, word, ran, NOW - SECOND);
+                "old-1", "o", SPEC, Idempotency.NON_IDEMPOTENT, status, ran, NOW - SECOND);
     }
 
     @Test
-    void anOfferWithoutAnOutcomeIsHeldUntilItsNodeSaysThatItNeverCame() {
+    void offerWithoutOutcomeAwaitsProofFromItsMachine() {
         begin(offered(now - SECOND));
         assertThat(recovery.uncertaintyOf("o", "t")).isEqualTo(Uncertainty.PENDING_PROOF);
         assertThat(recovery.uncertaintyOf("other", "t")).isEqualTo(Uncertainty.NONE);
         assertThat(recovery.machineAwaited("o", "t")).isEqualTo("n");
-        assertThat(registers(7, MachineInventory.WHOLE_INCARNATION))
+        assertThat(register(7, MachineInventory.WHOLE_INCARNATION))
                 .containsExactly(new ProvenNotRun("o", "t"));
         assertThat(recovery.uncertaintyOf("o", "t")).isEqualTo(Uncertainty.NONE);
     }
 
     @Test
-    void aNodeThatRemembersOnlyWhatEndedLaterProvesIt() {
+    void inventoryCompleteSinceBeforeTheOfferProvesItNeverRan() {
         begin(offered(now - SECOND));
-        assertThat(registers(7, now - 2 * SECOND)).containsExactly(new ProvenNotRun("o", "t"));
+        assertThat(register(7, now - 2 * SECOND)).containsExactly(new ProvenNotRun("o", "t"));
     }
 
     @Test
-    void aNodeThatForgotSinceOrDoesNotSayProvesNothing() {
+    void inventoryCompleteOnlySinceAfterTheOfferProvesNothing() {
         begin(offered(now - 2 * SECOND));
-        assertThat(registers(7, now - SECOND))
+        assertThat(register(7, now - SECOND))
                 .containsExactly(new BecameIndeterminate("o", "t", "n"));
         assertThat(recovery.uncertaintyOf("o", "t")).isEqualTo(Uncertainty.MAY_HAVE_RUN);
     }
 
     @Test
-    void anOfferThatSeemsToLieAheadCannotBeCompared() {
-        begin(offered(now + 5 * SECOND)); // the clock was set back between the lives
-        assertThat(registers(7, now - SECOND))
+    void offerInTheFutureIsIndeterminate() {
+        begin(offered(now + 5 * SECOND)); // the clock was set back between the incarnations
+        assertThat(register(7, now - SECOND))
                 .containsExactly(new BecameIndeterminate("o", "t", "n"));
     }
 
     @Test
-    void anotherLifeOfTheNodeProvesNothingHoweverMuchItRemembers() {
+    void otherMachineIncarnationProvesNothing() {
         begin(offered(now - SECOND));
-        assertThat(registers(8, MachineInventory.WHOLE_INCARNATION))
+        assertThat(register(8, MachineInventory.WHOLE_INCARNATION))
                 .containsExactly(new BecameIndeterminate("o", "t", "n"));
     }
 
     @Test
-    void anEndThatTheNodeRemembersIsTheTasksResult() {
+    void retainedTerminationIsTheResultOfTheTask() {
         begin(offered(now - SECOND));
         assertThat(
-                        registers(
+                        register(
                                 7,
                                 MachineInventory.WHOLE_INCARNATION,
-                                recalled(AttemptStatus.COMPLETED, true)))
+                                retained(AttemptStatus.COMPLETED, true)))
                 .contains(
-                        new FinishedEarlier("o", "x", WISH, "n", TerminationCause.COMPLETED, false))
+                        new FinishedEarlier("o", "x", SPEC, "n", TerminationCause.COMPLETED, false))
                 .doesNotHaveAnyElementsOfTypes(ProvenNotRun.class);
-        recovery.apply(answered(now, RequestResult.PLACED)); // as the placer does then
+        recovery.apply(completed(now, RequestResult.PLACED)); // as the placer does then
         recovery.apply(new JournalRecord.Finished(now, "o", "t", TerminationCause.COMPLETED));
         assertThat(
-                        registers(
+                        register(
                                 7,
                                 MachineInventory.WHOLE_INCARNATION,
-                                recalled(AttemptStatus.COMPLETED, true)))
-                .isEmpty(); // told once
+                                retained(AttemptStatus.COMPLETED, true)))
+                .isEmpty(); // notified once
     }
 
     @Test
-    void whatWasDroppedUnstartedNeverRanAndWhatWasDroppedLaterDidNotEnd() {
+    void cancelledBeforeStartNeverRanAndCancelledAfterStartFailed() {
         begin(offered(now - SECOND));
-        assertThat(registers(7, now, recalled(AttemptStatus.CANCELLED, false)))
+        assertThat(register(7, now, retained(AttemptStatus.CANCELLED, false)))
                 .containsExactly(new ProvenNotRun("o", "t"));
         recovery.apply(offered(now));
         begin();
-        assertThat(registers(7, now, recalled(AttemptStatus.CANCELLED, true)))
+        assertThat(register(7, now, retained(AttemptStatus.CANCELLED, true)))
                 .first()
                 .isInstanceOf(Failed.class);
     }
 
     @Test
-    void withoutAJournalTheNodesMemoryAloneTellsWhatRan() {
+    void withoutJournalRetainedAttemptsAloneShowWhatRan() {
         begin();
         assertThat(
-                        registers(
+                        register(
                                 7,
                                 MachineInventory.WHOLE_INCARNATION,
-                                recalled(AttemptStatus.EVICTED, true)))
+                                retained(AttemptStatus.EVICTED, true)))
                 .containsExactly(
-                        new FinishedEarlier("o", "", WISH, "n", TerminationCause.EVICTED, false));
+                        new FinishedEarlier("o", "", SPEC, "n", TerminationCause.EVICTED, false));
         assertThat(
-                        registers(
+                        register(
                                 7,
                                 MachineInventory.WHOLE_INCARNATION,
                                 new RetainedAttempt(
                                         "new-1",
                                         "o",
-                                        WISH,
+                                        SPEC,
                                         Idempotency.NON_IDEMPOTENT,
                                         AttemptStatus.COMPLETED,
                                         true,
                                         now)))
-                .isEmpty(); // of this life: that is known otherwise
+                .isEmpty(); // of this incarnation: AttemptTracker follows it
     }
 
     @Test
-    void whatEndedLongAgoIsKeptForOneWhoAsksAndToldToNobodyElse() {
+    void terminationOlderThanRetentionIsNotNotifiedAgain() {
         begin();
         assertThat(
-                        registers(
+                        register(
                                 7,
                                 MachineInventory.WHOLE_INCARNATION,
                                 new RetainedAttempt(
                                         "old-1",
                                         "o",
-                                        WISH,
+                                        SPEC,
                                         Idempotency.NON_IDEMPOTENT,
                                         AttemptStatus.COMPLETED,
                                         true,
                                         now - 61 * SECOND)))
                 .containsExactly(
-                        new FinishedEarlier("o", "", WISH, "n", TerminationCause.COMPLETED, true));
+                        new FinishedEarlier("o", "", SPEC, "n", TerminationCause.COMPLETED, true));
     }
 
     @Test
-    void resultsOfAFormerLifeAreRestoredAndAPlacedTaskThatIsNowhereIsLost() {
-        begin(offered(now - SECOND), answered(now - SECOND, RequestResult.PLACED));
+    void restoresResultAndLosesPlacedTaskMissingOnItsMachine() {
+        begin(offered(now - SECOND), completed(now - SECOND, RequestResult.PLACED));
         assertThat(actions)
                 .containsExactly(
-                        new Restored("o", "x", WISH, RequestResult.PLACED, "n", "why", null));
+                        new Restored("o", "x", SPEC, RequestResult.PLACED, "n", "why", null));
         assertThat(recovery.uncertaintyOf("o", "t")).isEqualTo(Uncertainty.NONE);
-        assertThat(registers(7, MachineInventory.WHOLE_INCARNATION))
+        assertThat(register(7, MachineInventory.WHOLE_INCARNATION))
                 .containsExactly(
-                        new FinishedEarlier("o", "x", WISH, "n", TerminationCause.LOST, false));
+                        new FinishedEarlier("o", "x", SPEC, "n", TerminationCause.LOST, false));
     }
 
     @Test
-    void aPlacedTaskWhoseNodeNeverComesIsLostAfterAWhile() {
-        begin(offered(now - SECOND), answered(now - SECOND, RequestResult.PLACED));
+    void placedTaskIsLostWhenItsMachineDoesNotRegisterInTime() {
+        begin(offered(now - SECOND), completed(now - SECOND, RequestResult.PLACED));
         actions.clear();
         recovery.tick(now + 9 * SECOND, actions::add);
         assertThat(actions).isEmpty();
         recovery.tick(now + 10 * SECOND, actions::add);
         assertThat(actions)
                 .containsExactly(
-                        new FinishedEarlier("o", "x", WISH, "n", TerminationCause.LOST, false));
+                        new FinishedEarlier("o", "x", SPEC, "n", TerminationCause.LOST, false));
     }
 
     @Test
-    void aFailureIsRestoredAndWhatIsKeptLongEnoughIsForgotten() {
-        begin(offered(now - 30 * SECOND), answered(now - 20 * SECOND, RequestResult.FAILED));
+    void restoresFailureAndDropsItAfterRetention() {
+        begin(offered(now - 30 * SECOND), completed(now - 20 * SECOND, RequestResult.FAILED));
         assertThat(actions)
                 .containsExactly(
-                        new Restored("o", "x", WISH, RequestResult.FAILED, "n", "why", null));
+                        new Restored("o", "x", SPEC, RequestResult.FAILED, "n", "why", null));
         recovery.tick(now + 39 * SECOND, actions::add);
         assertThat(recovery.size()).isOne();
         recovery.tick(now + 40 * SECOND, actions::add);
@@ -220,7 +221,7 @@
     }
 
     @Test
-    void whatIsOlderThanAnyPatienceIsNotReadAndAJournalFromAheadIsAsOldAsNow() {
+    void dropsExpiredOffersAndTreatsFutureOffersAsOfNow() {
         begin(offered(now - 661 * SECOND));
         assertThat(recovery.size()).isZero();
         begin(offered(now + 86_400 * SECOND));
@@ -231,10 +232,10 @@
     }
 
     @Test
-    void aSnapshotReadAgainSaysTheSame() {
+    void snapshotReadAgainIsEqual() {
         begin(
                 offered(now),
-                answered(now, RequestResult.PLACED),
+                completed(now, RequestResult.PLACED),
                 new JournalRecord.Offered(
                         now,
                         "old-2",
@@ -248,6 +249,6 @@
         recovery.snapshot().forEach(again::apply);
         assertThat(again.snapshot()).isEqualTo(recovery.snapshot()).hasSize(3);
         recovery.apply(new JournalRecord.NeverRan(now, "o", "u", "old-2"));
-        assertThat(recovery.snapshot()).hasSize(2); // nothing is left to remember of what never ran
+        assertThat(recovery.snapshot()).hasSize(2); // no record is needed of what never ran
     }
 }
