--- a/decisions/src/test/java/thornferry/decisions/admission/LoginRateLimiterTest.java
+++ b/decisions/src/test/java/thornferry/decisions/admission/LoginRateLimiterTest.java
@@ -6,66 +6,77 @@
 
 class LoginRateLimiterTest {
     private static final long SECOND = 1_000_000;
+    private static final int MAX_TRACKED = 100;
 
-    private final LoginRateLimiter throttle =
+    private final LoginRateLimiter limiter =
             new LoginRateLimiter(
-                    new LoginRateLimiter.Settings(3, SECOND / 5, 10 * SECOND, 600 * SECOND, 100));
-    private long now = 1_000 * SECOND;
+                    new LoginRateLimiter.Settings(
+                            3, SECOND / 5, 10 * SECOND, 600 * SECOND, MAX_TRACKED));
+    private long nowMicros = 1_000 * SECOND;
 
-    private void fail(String address, String login, int times) {
-        for (int i = 0; i < times; i++) {
-            now = Math.max(now, throttle.attemptStarted(now, address, login));
-            throttle.attemptEnded(now, address, login, false);
+    private long startAttempt(String address, String login) {
+        return limiter.attemptStarted(nowMicros, address, login);
+    }
+
+    private void endAttempt(String address, String login, boolean good) {
+        limiter.attemptEnded(nowMicros, address, login, good);
+    }
+
+    /** Failed attempts, each as soon as it is allowed. */
+    private void fail(String address, String login, int attempts) {
+        for (int i = 0; i < attempts; i++) {
+            nowMicros = Math.max(nowMicros, startAttempt(address, login));
+            endAttempt(address, login, false);
         }
     }
 
     @Test
-    void onlyTheGuiltyAddressWithTheGuiltyLoginWaits() {
+    void delaysOnlyFailedLoginFromSameAddress() {
         fail("10.0.0.1", "depot1", 20);
-        assertThat(throttle.attemptStarted(now, "10.0.0.1", "depot1")).isEqualTo(now + 10 * SECOND);
-        assertThat(throttle.attemptStarted(now, "10.0.0.2", "depot1"))
-                .as("the owner elsewhere")
-                .isEqualTo(now);
-        assertThat(throttle.attemptStarted(now, "10.0.0.1", "depot2"))
-                .as("another at the same address")
-                .isEqualTo(now);
+        assertThat(startAttempt("10.0.0.1", "depot1")).isEqualTo(nowMicros + 10 * SECOND);
+        assertThat(startAttempt("10.0.0.2", "depot1"))
+                .as("the owner at another address")
+                .isEqualTo(nowMicros);
+        assertThat(startAttempt("10.0.0.1", "depot2"))
+                .as("another login at the same address")
+                .isEqualTo(nowMicros);
     }
 
     @Test
-    void waitsDoubleAndTwentyGuessesTakeMinutes() {
-        long begin = now;
+    void doublesDelaySoThatThirtyGuessesTakeMinutes() {
+        long startMicros = nowMicros;
         fail("a", "l", 30);
-        assertThat(now - begin).isGreaterThan(120 * SECOND);
+        assertThat(nowMicros - startMicros).isGreaterThan(120 * SECOND);
     }
 
     @Test
-    void aFewMistakesCostNothingAndAGoodTryMakesUpForAll() {
-        long begin = now;
+    void allowsFreeFailuresAndForgetsThemAfterSuccess() {
+        long startMicros = nowMicros;
         fail("a", "l", 3);
-        assertThat(throttle.attemptStarted(now, "a", "l")).isEqualTo(begin);
-        throttle.attemptEnded(now, "a", "l", false);
-        throttle.attemptEnded(now, "a", "l", false);
-        assertThat(throttle.attemptStarted(now, "a", "l")).isGreaterThan(now);
-        throttle.attemptEnded(now, "a", "l", true);
-        assertThat(throttle.attemptStarted(now, "a", "l")).isEqualTo(now);
+        assertThat(startAttempt("a", "l")).isEqualTo(startMicros);
+        endAttempt("a", "l", false);
+        endAttempt("a", "l", false);
+        assertThat(startAttempt("a", "l")).isGreaterThan(nowMicros);
+        endAttempt("a", "l", true);
+        assertThat(startAttempt("a", "l")).isEqualTo(nowMicros);
     }
 
     @Test
-    void manyTriesAtOnceAreRefusedUnseenOnceThePairIsSlowed() {
+    void rejectsConcurrentAttemptsOfDelayedLogin() {
         fail("a", "l", 5);
-        assertThat(throttle.attemptStarted(now, "a", "l")).isPositive();
-        assertThat(throttle.attemptStarted(now, "a", "l")).isPositive();
-        assertThat(throttle.attemptStarted(now, "a", "l")).isEqualTo(-1);
+        assertThat(startAttempt("a", "l")).isPositive();
+        assertThat(startAttempt("a", "l")).isPositive();
+        assertThat(startAttempt("a", "l")).isEqualTo(-1);
     }
 
     @Test
-    void remembersABoundedNumberAndForgetsInTime() {
+    void boundsTrackedLoginsAndForgetsInTime() {
         fail("a", "l", 10);
-        now += 601 * SECOND;
-        assertThat(throttle.attemptStarted(now, "a", "l")).isEqualTo(now);
+        nowMicros += 601 * SECOND;
+        assertThat(startAttempt("a", "l")).isEqualTo(nowMicros);
         for (int i = 0; i < 1_000; i++) {
             fail("a", "l" + i, 1);
         }
-        assertThat(throttle.trackedCount()).isEqualTo(100);
+        assertThat(limiter.trackedCount()).isEqualTo(MAX_TRACKED);
     }
 }
