--- a/decisions/src/main/java/thornferry/decisions/diagnosis/CapacityEstimator.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/CapacityEstimator.java
@@ -1,6 +1,9 @@
 package thornferry.decisions.diagnosis;
 
 import java.util.Arrays;
+import java.util.EnumMap;
+import java.util.List;
+import java.util.Map;
 import thornferry.decisions.admission.QueuedRequest;
 import thornferry.decisions.membership.ClusterView;
 import thornferry.decisions.membership.MachineStatus;
@@ -56,19 +59,16 @@
     }
 
     private static final class Accumulator {
-        private final Integer[] machinesByReason = new Integer[FilterReason.values().length];
+        private final Map<FilterReason, Integer> machinesByReason =
+                new EnumMap<>(FilterReason.class);
         private int fittingMachines;
         private String closestMachine = "";
         private double smallestShortfall = Double.POSITIVE_INFINITY;
         private double missingCores;
         private double missingMemory;
 
-        Accumulator() {
-            Arrays.fill(machinesByReason, 0);
-        }
-
         void count(FilterReason reason) {
-            machinesByReason[reason.ordinal()]++;
+            machinesByReason.merge(reason, 1, Integer::sum);
         }
 
         void countShortfall(MachineStatus machine, double cores, double memory) {
@@ -83,14 +83,13 @@
         }
 
         Estimate toEstimate(String requestId) {
+            List<Integer> counts =
+                    Arrays.stream(FilterReason.values())
+                            .map(reason -> machinesByReason.getOrDefault(reason, 0))
+                            .toList();
             return new Estimate(
                     fittingMachines,
-                    new Pending(
-                            requestId,
-                            Arrays.asList(machinesByReason),
-                            closestMachine,
-                            missingCores,
-                            missingMemory));
+                    new Pending(requestId, counts, closestMachine, missingCores, missingMemory));
         }
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/diagnosis/ReasonClassifier.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/ReasonClassifier.java
@@ -77,6 +77,7 @@
                 kind, classification.evidence(), EndCondition.of(kind, pending, unavailable));
     }
 
+    /** Counts are listed in the order of the enum: that is the form of the policy's report. */
     private static int machines(Pending pending, FilterReason reason) {
         return pending.machinesByReason().get(reason.ordinal());
     }
@@ -182,8 +183,8 @@
 
     private static boolean wasRejectedForKey(TaskRecord task, PreviousAttempt previous) {
         return previous.rejection() == RejectionReason.KEY_HELD
-                || previous.rejection() == RejectionReason.UNAVAILABLE
-                        && task.isIdempotentWithKey();
+                || (previous.rejection() == RejectionReason.UNAVAILABLE
+                        && task.isIdempotentWithKey());
     }
 
     private Evidence keyEvidence(TaskRecord task) {
@@ -202,8 +203,8 @@
             return false;
         }
         return machine.state() == MachineState.DRAINING
-                || previous.rejection() == RejectionReason.DRAINING
-                        && machine.lastRejection() == RejectionReason.DRAINING;
+                || (previous.rejection() == RejectionReason.DRAINING
+                        && machine.lastRejection() == RejectionReason.DRAINING);
     }
 
     private static void addUnavailable(
--- a/decisions/src/main/java/thornferry/decisions/membership/ClusterView.java
+++ b/decisions/src/main/java/thornferry/decisions/membership/ClusterView.java
@@ -144,8 +144,8 @@
      */
     public boolean isLarge(double cores, double memory, double fraction) {
         return fraction < 1
-                && (cores >= fraction * largestCores && largestCores > 0
-                        || memory >= fraction * largestMemory && largestMemory > 0);
+                && ((cores >= fraction * largestCores && largestCores > 0)
+                        || (memory >= fraction * largestMemory && largestMemory > 0));
     }
 
     /**
--- a/decisions/src/main/java/thornferry/decisions/membership/Membership.java
+++ b/decisions/src/main/java/thornferry/decisions/membership/Membership.java
@@ -123,8 +123,9 @@
     /**
      * A machine as operators see it.
      *
-     * @param state {@code gone}, {@code draining}, {@code held-out} (quarantined) or {@code ready}
-     * @param note why the machine receives no offers; empty if it does, or drains
+     * @param state one of "gone", "draining", "held-out" (quarantined) and "ready"
+     * @param note why the machine receives no offers, if it is not connected or is quarantined;
+     *     else empty
      */
     public record MachineView(
             String machine,
