--- a/config/src/main/java/thornferry/config/PlacementTables.java
+++ b/config/src/main/java/thornferry/config/PlacementTables.java
@@ -43,7 +43,7 @@
                 /* acceptedWhenRunning= */ false,
                 /* observesTasks= */ true,
                 /* preempts= */ false,
-                /* singlePreferredMachine= */ false,
+                /* onePlacerPerService= */ false,
                 requests.number("accept-cores", 0.1, 100, 1),
                 requests.number("accept-memory", 0.1, 100, 1),
                 requests.number("mean-cores", 1e-6, 1e6, 1),
--- a/decisions/src/main/java/thornferry/decisions/placement/MachineScorer.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/MachineScorer.java
@@ -74,7 +74,7 @@
      */
     private double utilizationCost(double cores, double memory) {
         double utilizationPart = Math.max(cores, memory);
-        return settings.costWeights().fleet() > 0
+        return settings.costWeights().machineInUse() > 0
                 ? 1 - utilizationPart
                 : SPREAD_FACTOR * utilizationPart;
     }
--- a/decisions/src/main/java/thornferry/decisions/placement/Placement.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/Placement.java
@@ -217,11 +217,11 @@
     /**
      * What each thing that its component names costs, relative to the value of a request.
      *
-     * @param fleet a machine in use; 0 where load should be spread over all machines
+     * @param machineInUse a machine in use; 0 where load should be spread over all machines
      * @param evictionInMigrations an eviction, as a multiple of a migration
      */
     record CostWeights(
-            double fleet,
+            double machineInUse,
             double migration,
             double waste,
             double crossZone,
@@ -230,7 +230,7 @@
             double rejectedOffer,
             double evictionInMigrations) {
         public CostWeights {
-            Require.finite("cost fleet", fleet);
+            Require.finite("cost machineInUse", machineInUse);
             Require.finite("cost migration", migration);
             Require.finite("cost waste", waste);
             Require.finite("cost crossZone", crossZone);
@@ -278,14 +278,14 @@
      * What a placer may do.
      *
      * @param retryAfter whether a rejection may say when to retry
-     * @param retries whether a task may have a second attempt while the first is in flight
+     * @param hedgedRequests whether a task may have a second attempt while the first is in flight
      * @param maxRetryAfterMicros the longest time after which a rejection may say to retry
      */
     record Limits(
             boolean healthChecks,
             boolean cancellation,
             boolean retryAfter,
-            boolean retries,
+            boolean hedgedRequests,
             int maxAttempts,
             long maxRetryAfterMicros) {
         public Limits {
@@ -304,7 +304,7 @@
      * @param acceptedWhenRunning whether machines accept a task only when it runs
      * @param observesTasks whether there are {@link TaskObserved} events
      * @param preempts whether machines preempt tasks of lower priority
-     * @param singlePreferredMachine whether all tasks of a service come to the same placer
+     * @param onePlacerPerService whether all tasks of a service come to the same placer
      * @param coresOvercommit the requested cores that machines accept, as a multiple of their own
      * @param memoryOvercommit the same for memory
      * @param meanTaskCores the mean of requested cores; {@code meanTaskMemory} of memory
@@ -326,7 +326,7 @@
             boolean acceptedWhenRunning,
             boolean observesTasks,
             boolean preempts,
-            boolean singlePreferredMachine,
+            boolean onePlacerPerService,
             double coresOvercommit,
             double memoryOvercommit,
             double meanTaskCores,
--- a/decisions/src/main/java/thornferry/decisions/placement/Policy.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/Policy.java
@@ -176,7 +176,7 @@
             return;
         }
         TrackedTask task = track(request);
-        if (preferredMachines.areNeeded() && !settings.singlePreferredMachine()) {
+        if (preferredMachines.areNeeded() && !settings.onePlacerPerService()) {
             task.setPreferredMachines(preferredMachines.of(task.service()));
         }
         placeOrPend(task);
--- a/placer/src/main/java/thornferry/placer/Site.java
+++ b/placer/src/main/java/thornferry/placer/Site.java
@@ -166,7 +166,7 @@
                 placement.acceptedWhenRunning(),
                 placement.observesTasks(),
                 placement.preempts(),
-                placement.singlePreferredMachine(),
+                placement.onePlacerPerService(),
                 placement.coresOvercommit(),
                 placement.memoryOvercommit(),
                 placement.meanTaskCores(),
