--- a/decisions/src/main/java/thornferry/decisions/recovery/Recovery.java
+++ b/decisions/src/main/java/thornferry/decisions/recovery/Recovery.java
@@ -243,14 +243,7 @@
         }
         String tenant = task == null ? "" : task.tenant();
         switch (AttemptEvidence.of(attempt)) {
-            case TERMINATED -> {
-                if (task != null) {
-                    task.settleAttempt(attempt.attempt());
-                }
-                boolean alreadyNotified = task == null && wasNotified(now, attempt);
-                TerminationCause cause = terminationCause(attempt.status());
-                actions.accept(finished(attempt, tenant, machine, cause, alreadyNotified));
-            }
+            case TERMINATED -> terminatedEarlier(now, machine, attempt, task, actions);
             case CANCELLED_AFTER_START -> {
                 if (task != null && task.isPlaced()) {
                     TerminationCause cause = TerminationCause.STOPPED;
@@ -272,9 +265,24 @@
         }
     }
 
+    private void terminatedEarlier(
+            long now,
+            String machine,
+            RetainedAttempt attempt,
+            TaskState task,
+            Consumer<Action> actions) {
+        if (task != null) {
+            task.settleAttempt(attempt.attempt());
+        }
+        String tenant = task == null ? "" : task.tenant();
+        boolean alreadyNotified = task == null && wasNotified(now, attempt);
+        TerminationCause cause = terminationCause(attempt.status());
+        actions.accept(finished(attempt, tenant, machine, cause, alreadyNotified));
+    }
+
     /**
      * Whether the owner of a task that the journal does not know may have been notified of its end.
-     * Without a journal only the time since the end can tell.
+     * Without a journal only the time since its end is known.
      */
     private boolean wasNotified(long now, RetainedAttempt attempt) {
         return limits.journaled() || attempt.endedAtMicros() < now - limits.retentionMicros();
--- a/decisions/src/main/java/thornferry/decisions/requests/RecoveredTasks.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/RecoveredTasks.java
@@ -172,8 +172,8 @@
     }
 
     /**
-     * Whether this incarnation has given the task a result that stands against what machines report
-     * later. A rejection does not: after it, the owner may request the task again.
+     * Whether this incarnation has given the task a result that takes precedence over what machines
+     * report later. A rejection does not: after it, the owner may request the task again.
      */
     private static boolean hasOwnResult(RequestEntry entry) {
         return entry != null
--- a/decisions/src/test/java/thornferry/decisions/attempts/AttemptTrackerTest.java
+++ b/decisions/src/test/java/thornferry/decisions/attempts/AttemptTrackerTest.java
@@ -25,6 +25,8 @@
 /** What proves that an attempt never ran, and what does not. */
 class AttemptTrackerTest {
     private static final long SECOND = 1_000_000;
+    private static final List<Idempotency> IDEMPOTENCIES = List.of(Idempotency.values());
+    private static final List<AttemptStatus> STATUSES = List.of(AttemptStatus.values());
     private static final long OFFER_TIMEOUT_MICROS = 2 * SECOND;
 
     private final AttemptTracker attempts = new AttemptTracker("p.1");
@@ -203,11 +205,11 @@
         SplittableRandom random = new SplittableRandom(3);
         for (int run = 0; run < 2_000; run++) {
             AttemptTracker tracker = new AttemptTracker("r" + run);
-            Idempotency idempotency = Idempotency.values()[random.nextInt(3)];
+            Idempotency idempotency = IDEMPOTENCIES.get(random.nextInt(IDEMPOTENCIES.size()));
             String attempt = tracker.begin(0, "q", 0, "n", 5, idempotency, 1_000);
             List<Action> seen = new ArrayList<>();
             for (int step = 0; step < 8; step++) {
-                randomEvent(random, tracker, attempt, step * 200, seen);
+                randomEvent(random, tracker, attempt, step * 200L, seen);
             }
             tracker.incarnationEnded(5_000, "n", 5, seen::add);
             assertThat(seen.stream().filter(AttemptTrackerTest::isAttemptEnded).count())
@@ -247,8 +249,7 @@
     }
 
     private static Report randomReport(SplittableRandom random, String attempt) {
-        AttemptStatus status =
-                AttemptStatus.values()[random.nextInt(AttemptStatus.values().length)];
+        AttemptStatus status = STATUSES.get(random.nextInt(STATUSES.size()));
         return new Report(attempt, status, OutcomeReason.NONE, random.nextBoolean(), null);
     }
 }
