--- a/decisions/src/main/java/thornferry/decisions/attempts/AttemptTracker.java
+++ b/decisions/src/main/java/thornferry/decisions/attempts/AttemptTracker.java
@@ -182,19 +182,6 @@
     }
 
     // ---- reports ----
-    /** The same as {@link #reported(long, String, Report, Consumer)}; {@code load} may be null. */
-    public void reported(
-            long now,
-            String machine,
-            String attemptId,
-            AttemptStatus status,
-            OutcomeReason reason,
-            boolean ran,
-            LoadReport load,
-            Consumer<Action> actions) {
-        reported(now, machine, new Report(attemptId, status, reason, ran, load), actions);
-    }
-
     /** A machine reports the status of an attempt. */
     public void reported(long now, String machine, Report report, Consumer<Action> actions) {
         Attempt attempt = attempts.find(report.attempt());
--- a/decisions/src/main/java/thornferry/decisions/diagnosis/PendingReasons.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/PendingReasons.java
@@ -244,28 +244,6 @@
 
     // Events in a task's life.
 
-    /** A task is submitted; see {@link TaskSubmission} for the parameters. */
-    public void submitted(
-            long nowMicros,
-            String owner,
-            String tenant,
-            String task,
-            String idempotencyKey,
-            boolean idempotentWithKey,
-            boolean awaitingInventory,
-            String unreportedMachine) {
-        submitted(
-                nowMicros,
-                new TaskSubmission(
-                        owner,
-                        tenant,
-                        task,
-                        idempotencyKey,
-                        idempotentWithKey,
-                        awaitingInventory,
-                        unreportedMachine));
-    }
-
     /** A task is submitted, for the first time or again. */
     public void submitted(long nowMicros, TaskSubmission submission) {
         if (!limits.enabled()) {
--- a/decisions/src/main/java/thornferry/decisions/requests/RequestTracker.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/RequestTracker.java
@@ -338,22 +338,6 @@
     }
 
     // ---- tasks of earlier incarnations ----
-    /**
-     * The same as {@link #restore(long, OwnedTask, RequestResult, String, String,
-     * TerminationCause)}.
-     */
-    public void restore(
-            long now,
-            String owner,
-            String tenant,
-            TaskSpec spec,
-            RequestResult result,
-            String machine,
-            String reason,
-            TerminationCause cause) {
-        restore(now, new OwnedTask(owner, tenant, spec), result, machine, reason, cause);
-    }
-
     /**
      * Retains a result of an earlier incarnation as if it were of this one.
      *
@@ -374,23 +358,6 @@
         recoveredTasks.provenNotRun(now, TaskKey.of(owner, task), actions);
     }
 
-    /**
-     * The same as {@link #finishedEarlier(long, OwnedTask, String, TerminationCause, boolean,
-     * Consumer)}.
-     */
-    public void finishedEarlier(
-            long now,
-            String owner,
-            String tenant,
-            TaskSpec spec,
-            String machine,
-            TerminationCause cause,
-            boolean alreadyNotified,
-            Consumer<Action> actions) {
-        OwnedTask task = new OwnedTask(owner, tenant, spec);
-        finishedEarlier(now, task, machine, cause, alreadyNotified, actions);
-    }
-
     /**
      * An earlier incarnation placed the task on this machine, and it has terminated: this completes
      * a request that waits for it.
--- a/placer/src/main/java/thornferry/placer/AttemptActions.java
+++ b/placer/src/main/java/thornferry/placer/AttemptActions.java
@@ -31,11 +31,12 @@
         components.attempts.reported(
                 components.clock().now(),
                 machine,
-                report.attempt(),
-                report.status(),
-                outcomeReason(report.rejectionReason()),
-                report.ran(),
-                report.load(),
+                new AttemptTracker.Report(
+                        report.attempt(),
+                        report.status(),
+                        outcomeReason(report.rejectionReason()),
+                        report.ran(),
+                        report.load()),
                 action -> accept(action, report.rejectionReason()));
     }
 
--- a/placer/src/main/java/thornferry/placer/RecoveryActions.java
+++ b/placer/src/main/java/thornferry/placer/RecoveryActions.java
@@ -1,5 +1,6 @@
 package thornferry.placer;
 
+import thornferry.decisions.requests.OwnedTask;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -41,9 +42,7 @@
     private void restore(long now, Recovery.Restored restored) {
         components.requests.restore(
                 now,
-                restored.owner(),
-                restored.tenant(),
-                restored.spec(),
+                new OwnedTask(restored.owner(), restored.tenant(), restored.spec()),
                 restored.result(),
                 restored.machine(),
                 restored.reason(),
@@ -60,9 +59,8 @@
                         finished.terminationCause());
         components.requests.finishedEarlier(
                 now,
-                finished.owner(),
-                components.tenantOf(finished.owner()),
-                finished.spec(),
+                new OwnedTask(
+                        finished.owner(), components.tenantOf(finished.owner()), finished.spec()),
                 finished.machine(),
                 finished.terminationCause(),
                 finished.alreadyNotified(),
--- a/placer/src/main/java/thornferry/placer/RequestActions.java
+++ b/placer/src/main/java/thornferry/placer/RequestActions.java
@@ -1,5 +1,6 @@
 package thornferry.placer;
 
+import thornferry.decisions.diagnosis.TaskSubmission;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -49,15 +50,17 @@
     private void waiting(long now, RequestTracker.RequestWaiting waiting) {
         components.reasons.submitted(
                 now,
-                waiting.owner(),
-                waiting.tenant(),
-                waiting.spec().id(),
-                waiting.spec().idempotencyKey(),
-                waiting.keyed(),
-                waiting.settling(),
-                waiting.uncertain()
-                        ? components.recovery.machineAwaited(waiting.owner(), waiting.spec().id())
-                        : NO_MACHINE);
+                new TaskSubmission(
+                        waiting.owner(),
+                        waiting.tenant(),
+                        waiting.spec().id(),
+                        waiting.spec().idempotencyKey(),
+                        waiting.keyed(),
+                        waiting.settling(),
+                        waiting.uncertain()
+                                ? components.recovery.machineAwaited(
+                                        waiting.owner(), waiting.spec().id())
+                                : NO_MACHINE));
     }
 
     private void completed(long now, RequestTracker.RequestCompleted completed) {
