--- a/agent/src/main/java/thornferry/agent/AgentPool.java
+++ b/agent/src/main/java/thornferry/agent/AgentPool.java
@@ -3,26 +3,28 @@
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import io.netty.handler.ssl.SslContext;
-import java.net.SocketAddress;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import thornferry.protocol.FrameLimits;
-import thornferry.protocol.Heartbeat;
 
-/** Many nodes in one process, spread over a few event loops. */
+/** Many node agents in one process, spread over a few event loops. */
 public final class AgentPool implements AutoCloseable {
+    private static final long SHUTDOWN_TIMEOUT_SECONDS = 2;
+
     private final MultiThreadIoEventLoopGroup loops;
     private final List<NodeAgent> nodes = new ArrayList<>();
     private final ZoneIdempotencyKeys keys = new ZoneIdempotencyKeys();
-
     private final SslContext tls;
 
+    /** Creates a pool that connects in plain text. */
     public AgentPool(int threads) {
         this(threads, null);
     }
 
     /**
+     * Creates a pool.
+     *
+     * @param threads number of event loops
      * @param tls for connections to placers; null for plain text
      */
     public AgentPool(int threads, SslContext tls) {
@@ -30,62 +32,47 @@
         loops = new MultiThreadIoEventLoopGroup(threads, NioIoHandler.newFactory());
     }
 
-    /**
-     * Starts a node that dials every one of the placers; {@code passcode} null where its
-     * certificate tells who it is.
-     */
+    /** Starts a node that has been up for long, so that it has no slow start. */
     public NodeAgent add(
             NodeShape shape,
-            NodeBehavior behaviour,
-            List<SocketAddress> placers,
-            String login,
-            String passcode,
-            Heartbeat heartbeat,
+            NodeBehavior behavior,
+            PlacerLogin login,
             long seed,
             NodeAgent.Watcher watcher) {
-        return add(shape, behaviour, placers, login, passcode, heartbeat, seed, watcher, true);
+        return add(shape, behavior, login, seed, watcher, true);
     }
 
     /**
-     * @param warm the node has run for long; else it has just started and is cold
+     * Starts a node, which connects to each placer of {@code login}.
+     *
+     * @param seed of the random draws of the node
+     * @param watcher is notified of the node's messages
+     * @param warm the node has been up for long; else it begins with a slow start
      */
     public NodeAgent add(
             NodeShape shape,
-            NodeBehavior behaviour,
-            List<SocketAddress> placers,
-            String login,
-            String passcode,
-            Heartbeat heartbeat,
+            NodeBehavior behavior,
+            PlacerLogin login,
             long seed,
             NodeAgent.Watcher watcher,
             boolean warm) {
-        NodeAgent node =
-                new NodeAgent(
-                        shape,
-                        behaviour,
-                        keys,
-                        loops.next(),
-                        placers,
-                        login,
-                        passcode,
-                        heartbeat,
-                        FrameLimits.USUAL,
-                        seed,
-                        watcher,
-                        tls,
-                        warm);
+        NodeAgent.Environment environment = new NodeAgent.Environment(loops.next(), keys, tls);
+        NodeAgent node = new NodeAgent(shape, behavior, login, environment, seed, watcher, warm);
         nodes.add(node);
         node.start();
         return node;
     }
 
+    /** The nodes in the order in which they were added. */
     public List<NodeAgent> nodes() {
         return List.copyOf(nodes);
     }
 
+    /** Closes all nodes without notice to the placers, and stops the event loops. */
     @Override
     public void close() {
         nodes.forEach(NodeAgent::close);
-        loops.shutdownGracefully(0, 2, TimeUnit.SECONDS).syncUninterruptibly();
+        loops.shutdownGracefully(0, SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS)
+                .syncUninterruptibly();
     }
 }
--- a/agent/src/main/java/thornferry/agent/AttemptHistory.java
+++ b/agent/src/main/java/thornferry/agent/AttemptHistory.java
@@ -3,107 +3,153 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collections;
-import java.util.EnumMap;
 import java.util.Iterator;
 import java.util.List;
-import java.util.Map;
 import thornferry.protocol.v1.Answer;
 import thornferry.protocol.v1.Effect;
 import thornferry.protocol.v1.Register;
 
 /**
- * What a node remembers, for one placer, of attempts that are over there: so that a placer that was
- * killed learns what ran, and above all so that what the node does <i>not</i> name is known never
- * to have been accepted. Where it must forget, it says since when it remembers all. No I/O and no
- * clock; times are microseconds.
+ * The finished attempts of one placer that a node reports when it registers. A placer that was
+ * restarted learns from them which attempts ran, and concludes that an attempt which is <i>not</i>
+ * reported was never accepted. That conclusion is only sound for the period in which no attempt was
+ * dropped from the history, so the registration states for each effect how long ago the last
+ * dropped attempt ended. No I/O and no clock; times are microseconds.
  */
 final class AttemptHistory {
-    /** Final answers of every kind are said again for so long, since some may not have arrived. */
-    private static final long SAID_AGAIN = 30_000_000;
+    /** Final answers of any kind are repeated this long, since some may have been lost. */
+    private static final long REPEAT_MICROS = 30_000_000;
 
-    private static final int SAID_AGAIN_MOST = 2_000;
+    private static final int MAX_REPEATED = 2_000;
 
-    /** Attempts remembered of one effect; the oldest are forgotten first. */
-    static final int MOST = 20_000;
+    /** Attempts retained for one effect; the oldest are dropped first. */
+    static final int MAX_RETAINED_PER_EFFECT = 20_000;
 
-    /**
-     * Octets that a registration may hold of them: half of a usual frame, the rest is for the
-     * inventory.
-     */
-    static final int MOST_OCTETS = 512 << 10;
+    /** Size of the retained attempts in a registration: half of a frame; the inventory follows. */
+    static final int MAX_REGISTRATION_BYTES = 512 << 10;
+
+    /** Bytes of tag and length for each attempt in the registration. */
+    private static final int FIELD_OVERHEAD_BYTES = 4;
+
+    private static final long NOTHING_DROPPED = 0;
+    private static final long MICROS_PER_MILLI = 1_000;
 
-    private record Entry(long at, Answer answer) {
-        Answer told(long now) {
-            return answer.toBuilder().setEndedMsAgo((now - at) / 1_000).build();
+    private record Entry(long endedAtMicros, Answer answer) {
+        Answer withAge(long now) {
+            return answer.toBuilder()
+                    .setEndedMsAgo((now - endedAtMicros) / MICROS_PER_MILLI)
+                    .build();
         }
     }
 
-    private final ArrayDeque<Entry> passing = new ArrayDeque<>();
-    private final Map<Effect, ArrayDeque<Entry>> kept = new EnumMap<>(Effect.class);
-    private final Map<Effect, Long> forgot =
-            new EnumMap<>(Effect.class); // when the last one forgotten had ended
-    private long keepFor = SAID_AGAIN;
-
-    /** The placer's wish. */
-    void keepFor(long micros) {
-        keepFor = Math.max(SAID_AGAIN, micros);
+    /**
+     * The newest retained attempts that fit into a registration.
+     *
+     * @param answers oldest first
+     * @param droppedMicros end of the newest attempt that is missing, or {@link #NOTHING_DROPPED}
+     * @param remainingBytes space left in the registration; negative if an attempt didn't fit
+     */
+    private record Selection(List<Answer> answers, long droppedMicros, int remainingBytes) {
+        long droppedMillisAgo(long now) {
+            return droppedMicros == NOTHING_DROPPED
+                    ? 0
+                    : Math.max(1, (now - droppedMicros) / MICROS_PER_MILLI);
+        }
     }
 
-    /** An attempt is over; {@code answer} names owner, task and effect. */
-    void over(long now, Answer answer) {
-        Effect effect = answer.getEffect();
-        boolean harmful = effect == Effect.KEYED || effect == Effect.UNSAFE;
-        if (harmful && answer.getKind() != Answer.Kind.REFUSED) {
-            ArrayDeque<Entry> entries = kept.computeIfAbsent(effect, e -> new ArrayDeque<>());
-            entries.add(new Entry(now, answer));
-            if (entries.size() > MOST) {
-                forgot.put(effect, entries.removeFirst().at());
-            }
-        } else {
-            passing.add(new Entry(now, answer));
-            if (passing.size() > SAID_AGAIN_MOST) {
-                passing.removeFirst();
+    /** The attempts of one effect, in the order of their ends. */
+    private static final class RetainedAttempts {
+        private final ArrayDeque<Entry> entries = new ArrayDeque<>();
+        private long droppedMicros = NOTHING_DROPPED;
+
+        void add(Entry entry) {
+            entries.add(entry);
+            if (entries.size() > MAX_RETAINED_PER_EFFECT) {
+                dropOldest();
             }
         }
-    }
 
-    /** Tells it all, as far as it fits, newest before older. */
-    void tell(long now, Register.Builder register) {
-        passing.removeIf(e -> e.at() < now - SAID_AGAIN);
-        passing.forEach(e -> register.addRecent(e.told(now)));
-        int room = MOST_OCTETS;
-        for (Effect effect : List.of(Effect.UNSAFE, Effect.KEYED)) {
-            ArrayDeque<Entry> entries = kept.getOrDefault(effect, new ArrayDeque<>());
-            while (!entries.isEmpty() && entries.peekFirst().at() < now - keepFor) {
-                forgot.put(effect, entries.removeFirst().at());
+        void dropEndedBefore(long micros) {
+            while (!entries.isEmpty() && entries.peekFirst().endedAtMicros() < micros) {
+                dropOldest();
             }
-            long lacks = forgot.getOrDefault(effect, 0L);
-            List<Answer> fitting = new ArrayList<>();
-            for (Iterator<Entry> newest = entries.descendingIterator(); newest.hasNext(); ) {
-                Entry e = newest.next();
-                Answer told = e.told(now);
-                room -= told.getSerializedSize() + 4;
-                if (room < 0) {
-                    lacks = e.at();
+        }
+
+        private void dropOldest() {
+            droppedMicros = entries.removeFirst().endedAtMicros();
+        }
+
+        Selection select(long now, int maxBytes) {
+            List<Answer> answers = new ArrayList<>();
+            long missingMicros = droppedMicros;
+            int remainingBytes = maxBytes;
+            Iterator<Entry> newestFirst = entries.descendingIterator();
+            while (newestFirst.hasNext()) {
+                Entry entry = newestFirst.next();
+                Answer answer = entry.withAge(now);
+                remainingBytes -= answer.getSerializedSize() + FIELD_OVERHEAD_BYTES;
+                if (remainingBytes < 0) {
+                    missingMicros = entry.endedAtMicros();
                     break;
                 }
-                fitting.add(told);
+                answers.add(answer);
             }
-            Collections.reverse(fitting);
-            register.addAllRecent(fitting);
-            long ago = lacks == 0 ? 0 : Math.max(1, (now - lacks) / 1_000);
-            if (effect == Effect.UNSAFE) {
-                register.setForgotUnsafeMs(ago);
-            } else {
-                register.setForgotKeyedMs(ago);
+            Collections.reverse(answers);
+            return new Selection(answers, missingMicros, remainingBytes);
+        }
+
+        void clear() {
+            entries.clear();
+            droppedMicros = NOTHING_DROPPED;
+        }
+    }
+
+    private final ArrayDeque<Entry> repeated = new ArrayDeque<>();
+    private final RetainedAttempts nonIdempotent = new RetainedAttempts();
+    private final RetainedAttempts idempotentWithKey = new RetainedAttempts();
+    private long retentionMicros = REPEAT_MICROS;
+
+    /** Sets how long the placer wants attempts with harmful effects to be retained. */
+    void retainFor(long micros) {
+        retentionMicros = Math.max(REPEAT_MICROS, micros);
+    }
+
+    /** Adds a finished attempt; {@code answer} includes its owner, task and effect. */
+    void add(long now, Answer answer) {
+        Entry entry = new Entry(now, answer);
+        boolean rejected = answer.getKind() == Answer.Kind.REFUSED;
+        if (answer.getEffect() == Effect.UNSAFE && !rejected) {
+            nonIdempotent.add(entry);
+        } else if (answer.getEffect() == Effect.KEYED && !rejected) {
+            idempotentWithKey.add(entry);
+        } else {
+            repeated.add(entry);
+            if (repeated.size() > MAX_REPEATED) {
+                repeated.removeFirst();
             }
         }
     }
 
-    /** The node starts a new life: what it remembered was the former's. */
+    /** Adds the attempts that fit to a registration, the newest first if not all fit. */
+    void addTo(long now, Register.Builder register) {
+        repeated.removeIf(entry -> entry.endedAtMicros() < now - REPEAT_MICROS);
+        repeated.forEach(entry -> register.addRecent(entry.withAge(now)));
+
+        nonIdempotent.dropEndedBefore(now - retentionMicros);
+        Selection unsafe = nonIdempotent.select(now, MAX_REGISTRATION_BYTES);
+        register.addAllRecent(unsafe.answers());
+        register.setForgotUnsafeMs(unsafe.droppedMillisAgo(now));
+
+        idempotentWithKey.dropEndedBefore(now - retentionMicros);
+        Selection keyed = idempotentWithKey.select(now, unsafe.remainingBytes());
+        register.addAllRecent(keyed.answers());
+        register.setForgotKeyedMs(keyed.droppedMillisAgo(now));
+    }
+
+    /** Forgets everything: the attempts belonged to a former incarnation of the node. */
     void clear() {
-        passing.clear();
-        kept.clear();
-        forgot.clear();
+        repeated.clear();
+        nonIdempotent.clear();
+        idempotentWithKey.clear();
     }
 }
--- a/agent/src/main/java/thornferry/agent/NodeAgent.java
+++ b/agent/src/main/java/thornferry/agent/NodeAgent.java
@@ -2,7 +2,6 @@
 
 import io.netty.channel.EventLoop;
 import io.netty.handler.ssl.SslContext;
-import java.net.SocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -11,403 +10,357 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import thornferry.protocol.Bodies;
 import thornferry.protocol.ClientConnection;
-import thornferry.protocol.Destinations;
-import thornferry.protocol.Frame;
-import thornferry.protocol.FrameLimits;
-import thornferry.protocol.Heartbeat;
-import thornferry.protocol.ProtocolException;
 import thornferry.protocol.v1.Answer;
 import thornferry.protocol.v1.Drain;
 import thornferry.protocol.v1.Order;
 import thornferry.protocol.v1.ProbeReply;
 import thornferry.protocol.v1.Register;
-import thornferry.protocol.v1.Task;
 
 /**
- * One node: a connection to each placer of its list, kept up by dialling again, around a {@link
- * NodeEmulator}. The node needs no open port. All of it runs on one event loop; methods may be
- * called from any thread.
+ * One node: a connection to each of its placers, around a {@link NodeEmulator}. The node needs no
+ * open port. Everything runs on one event loop; public methods may be called from any thread and
+ * take effect asynchronously.
  */
 public final class NodeAgent {
-    /** Sees what passes, for measurements; called on the node's event loop. */
+    /** Observes the messages of a node, for measurements; called on the node's event loop. */
     public interface Watcher {
+        /** Ignores everything. */
         Watcher NONE = new Watcher() {};
 
+        /** The node has received an order from a placer. */
         default void offered(String node, Order order) {}
 
+        /** The node is about to send an answer, which fault injection or a disconnect may drop. */
         default void said(String node, Answer answer) {}
     }
 
-    private static final Logger LOG = LoggerFactory.getLogger(NodeAgent.class);
-    private static final long REDIAL_LEAST_MS = 50;
-    private static final long REDIAL_MOST_MS = 2_000;
-
-    private final class Dial implements ClientConnection.Listener {
-        final SocketAddress placer;
-        final AttemptHistory memory = new AttemptHistory();
-        String name = "";
-        ClientConnection connection;
-        long wait = REDIAL_LEAST_MS;
-
-        Dial(SocketAddress placer) {
-            this.placer = placer;
-        }
-
-        void open() {
-            if (!closed && !down) {
-                connection =
-                        ClientConnection.open(
-                                loop,
-                                new ClientConnection.Target(
-                                        placer, login, passcode, heartbeat, tls),
-                                limits,
-                                this);
-            }
-        }
-
-        @Override
-        public void connected(ClientConnection c) {
-            wait = REDIAL_LEAST_MS;
-            c.subscribe("offers", Destinations.offers(shape.node()), "auto");
-            register(c);
-        }
-
-        private void register(ClientConnection c) {
-            long now = now();
-            Register.Builder r =
-                    Register.newBuilder()
-                            .setNode(shape.node())
-                            .setIncarnation(model.incarnation())
-                            .setKind(shape.kind())
-                            .setZone(shape.zone())
-                            .setCell(shape.cell())
-                            .setCores(shape.cores())
-                            .setMemory(shape.memory())
-                            .setUptimeMs(model.uptime(now) / 1_000)
-                            .addAllHeld(model.inventory(name))
-                            .setLoad(model.load());
-            memory.tell(now, r);
-            c.sendBinary(Destinations.REGISTER, r.build());
-            if (model.draining()) {
-                c.sendBinary(
-                        Destinations.DRAIN,
-                        Drain.newBuilder().setNode(shape.node()).setOn(true).build());
-            }
-        }
-
-        @Override
-        public void message(ClientConnection c, Frame frame) {
-            if (c != connection) {
-                return; // of a connection given up: the inventory has been told without it
-            }
-            try {
-                Order order = Bodies.read(frame, Order.newBuilder());
-                if (pausedUntil > now()) {
-                    loop.schedule(
-                            () -> message(c, frame), pausedUntil - now(), TimeUnit.MICROSECONDS);
-                } else {
-                    take(this, order);
-                }
-            } catch (ProtocolException e) {
-                LOG.atWarn()
-                        .addKeyValue("node", shape.node())
-                        .log("an order is void: {}", e.getMessage());
-            }
-        }
-
-        @Override
-        public void closed(ClientConnection c, String why) {
-            if (c != connection) {
-                return;
-            }
-            LOG.atDebug()
-                    .addKeyValue("node", shape.node())
-                    .log("connection to {} over: {}", placer, why);
-            connection = null;
-            // spread, so that the nodes of a placer that restarts do not all dial in the same
-            // moment
-            long spread = wait / 2 + random.nextLong(wait / 2 + 1);
-            wait = Math.min(REDIAL_MOST_MS, wait * 2);
-            loop.schedule(this::open, spread, TimeUnit.MILLISECONDS);
-        }
+    /**
+     * What a node shares with the other nodes of its pool.
+     *
+     * @param loop the event loop of the node
+     * @param keys idempotency keys of all zones
+     * @param tls for connections to placers; null for plain text
+     */
+    record Environment(EventLoop loop, ZoneIdempotencyKeys keys, SslContext tls) {}
 
-        void say(Answer answer) {
-            if (connection != null && connection.open()) {
-                connection.sendBinary(Destinations.ANSWERS, answer);
-            }
-        }
-    }
+    private static final Logger LOG = LoggerFactory.getLogger(NodeAgent.class);
+    private static final long NEVER = Long.MAX_VALUE;
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final long NANOS_PER_MICRO = 1_000;
 
     private final NodeShape shape;
-    private final NodeBehavior behaviour;
+    private final NodeBehavior behavior;
     private final ZoneIdempotencyKeys keys;
     private final EventLoop loop;
-    private final String login;
-    private final String passcode;
-    private final Heartbeat heartbeat;
-    private final FrameLimits limits;
     private final Watcher watcher;
-    private final SslContext tls; // null for plain text
     private final long seed;
     private final SplittableRandom random;
-    private final List<Dial> dials = new ArrayList<>();
-    private final Map<String, Dial> byName = new HashMap<>();
-    private NodeEmulator model;
+    private final List<PlacerConnection> connections = new ArrayList<>();
+    private final Map<String, PlacerConnection> connectionByPlacer = new HashMap<>();
+    private NodeEmulator emulator;
     private boolean closed;
-    private boolean down;
-    private long pausedUntil;
-    private long wakeAt = Long.MAX_VALUE;
-    private double answersLost;
+    private boolean crashed;
+    private long pausedUntilMicros;
+    private long timerMicros = NEVER;
+    private double dropRate;
 
     NodeAgent(
             NodeShape shape,
-            NodeBehavior behaviour,
-            ZoneIdempotencyKeys keys,
-            EventLoop loop,
-            List<SocketAddress> placers,
-            String login,
-            String passcode,
-            Heartbeat heartbeat,
-            FrameLimits limits,
+            NodeBehavior behavior,
+            PlacerLogin login,
+            Environment environment,
             long seed,
             Watcher watcher,
-            SslContext tls,
             boolean warm) {
-        this.tls = tls;
         this.shape = shape;
-        this.behaviour = behaviour;
-        this.keys = keys;
-        this.loop = loop;
-        this.login = login;
-        this.passcode = passcode;
-        this.heartbeat = heartbeat;
-        this.limits = limits;
+        this.behavior = behavior;
+        this.keys = environment.keys();
+        this.loop = environment.loop();
         this.seed = seed;
         this.random = new SplittableRandom(seed);
         this.watcher = watcher;
-        this.model =
-                new NodeEmulator(
-                        shape, behaviour, keys, seed, now(), System.currentTimeMillis(), warm);
-        placers.forEach(p -> dials.add(new Dial(p)));
+        this.emulator = newEmulator(System.currentTimeMillis(), warm);
+        ConnectionView view = new ConnectionView();
+        login.placers()
+                .forEach(
+                        placer ->
+                                connections.add(
+                                        new PlacerConnection(
+                                                view,
+                                                new ClientConnection.Target(
+                                                        placer,
+                                                        login.login(),
+                                                        login.passcode(),
+                                                        login.heartbeat(),
+                                                        environment.tls()),
+                                                loop,
+                                                random)));
+    }
+
+    private NodeEmulator newEmulator(long incarnation, boolean warm) {
+        return new NodeEmulator(shape, behavior, keys, seed, nowMicros(), incarnation, warm);
     }
 
-    private static long now() {
-        return System.nanoTime() / 1_000;
+    private static long nowMicros() {
+        return System.nanoTime() / NANOS_PER_MICRO;
     }
 
+    /** Identity, location and size of the node. */
     public NodeShape shape() {
         return shape;
     }
 
     void start() {
-        loop.execute(() -> dials.forEach(Dial::open));
+        loop.execute(() -> connections.forEach(PlacerConnection::open));
+    }
+
+    void close() {
+        loop.execute(
+                () -> {
+                    closed = true;
+                    connections.forEach(PlacerConnection::abort);
+                });
+    }
+
+    /** Starts or ends a drain on the node's own initiative, and notifies its placers. */
+    public void drain(boolean on) {
+        loop.execute(
+                () -> {
+                    emulator.drain(nowMicros(), on, this::report);
+                    Drain drain = Drain.newBuilder().setNode(shape.name()).setOn(on).build();
+                    connections.forEach(connection -> connection.send(drain));
+                });
+    }
+
+    // ---- orders of placers ----
+
+    /** The part of this node that its connections use. */
+    private final class ConnectionView implements PlacerConnection.Node {
+        @Override
+        public String name() {
+            return shape.name();
+        }
+
+        @Override
+        public boolean isUp() {
+            return NodeAgent.this.isUp();
+        }
+
+        @Override
+        public boolean isDraining() {
+            return emulator.isDraining();
+        }
+
+        @Override
+        public long remainingPauseMicros() {
+            return pausedUntilMicros - NodeAgent.nowMicros();
+        }
+
+        @Override
+        public long nowMicros() {
+            return NodeAgent.nowMicros();
+        }
+
+        @Override
+        public Register.Builder registration(long now, String placer) {
+            return Register.newBuilder()
+                    .setNode(shape.name())
+                    .setIncarnation(emulator.incarnation())
+                    .setKind(shape.kind())
+                    .setZone(shape.zone())
+                    .setCell(shape.cell())
+                    .setCores(shape.cores())
+                    .setMemory(shape.memory())
+                    .setUptimeMs(emulator.uptimeMicros(now) / MICROS_PER_MILLI)
+                    .addAllHeld(emulator.inventory(placer))
+                    .setLoad(emulator.load());
+        }
+
+        @Override
+        public void orderReceived(PlacerConnection from, Order order) {
+            watcher.offered(shape.name(), order);
+            execute(from, order);
+            afterChange();
+        }
+    }
+
+    private boolean isUp() {
+        return !closed && !crashed;
     }
 
-    private void take(Dial from, Order order) {
-        long now = now();
-        watcher.offered(shape.node(), order);
+    private void execute(PlacerConnection from, Order order) {
+        long now = nowMicros();
         switch (order.getOrderCase()) {
             case OFFER -> {
-                from.name = order.getOffer().getPlacer();
-                byName.put(from.name, from);
-                model.offer(now, order.getOffer(), this::say);
+                identify(from, order.getOffer().getPlacer());
+                emulator.offer(now, order.getOffer(), this::report);
             }
             case WITHDRAW -> {
-                byName.putIfAbsent(from.name, from);
-                model.withdraw(now, from.name, order.getWithdraw().getAttempt(), this::say);
+                connectionByPlacer.putIfAbsent(from.placerName(), from);
+                String attempt = order.getWithdraw().getAttempt();
+                emulator.cancel(now, from.placerName(), attempt, this::report);
             }
             case PROBE ->
-                    from.connection.sendBinary(
-                            Destinations.PROBES,
+                    from.send(
                             ProbeReply.newBuilder()
-                                    .setNode(shape.node())
+                                    .setNode(shape.name())
                                     .setNumber(order.getProbe().getNumber())
-                                    .setLoad(model.load())
+                                    .setLoad(emulator.load())
                                     .build());
-            case DRAIN -> model.drain(now, order.getDrain().getOn(), this::say);
+            case DRAIN -> emulator.drain(now, order.getDrain().getOn(), this::report);
             case WELCOME -> {
-                from.name = order.getWelcome().getPlacer();
-                byName.put(from.name, from);
-                from.memory.keepFor(order.getWelcome().getRememberMs() * 1_000);
+                identify(from, order.getWelcome().getPlacer());
+                from.history().retainFor(order.getWelcome().getRememberMs() * MICROS_PER_MILLI);
             }
-            default -> {} // an order of a later version: not understood, so not obeyed
+            default -> {} // of a later protocol version, which this node does not support
         }
-        afterwards();
     }
 
-    private void say(NodeEmulator.AttemptReport s) {
-        Answer.Builder answer =
-                Answer.newBuilder()
-                        .setNode(shape.node())
-                        .setAttempt(s.attempt())
-                        .setKind(s.kind())
-                        .setReason(s.reason())
-                        .setRan(s.ran());
-        if (s.kind() == Answer.Kind.USES) {
-            answer.setCoresUsed(s.coresUsed()).setMemoryUsed(s.memoryUsed());
-        } else {
-            answer.setLoad(model.load());
-        }
-        Answer a = answer.build();
-        Dial to = byName.get(s.placer());
-        if (to != null && s.offer().hasTask() && over(s.kind())) {
-            Task task = s.offer().getTask();
-            to.memory.over(
-                    now(),
-                    a.toBuilder()
-                            .setOwner(s.offer().getOwner())
-                            .setTask(task)
-                            .setEffect(s.offer().getEffect())
-                            .build());
+    private void identify(PlacerConnection connection, String placer) {
+        connection.setPlacerName(placer);
+        connectionByPlacer.put(placer, connection);
+    }
+
+    // ---- reports to placers ----
+
+    private void report(AttemptReport report) {
+        Answer answer = answer(report);
+        PlacerConnection connection = connectionByPlacer.get(report.placer());
+        if (connection != null && report.offer().hasTask() && report.isFinal()) {
+            Answer withOffer =
+                    answer.toBuilder()
+                            .setOwner(report.offer().getOwner())
+                            .setTask(report.offer().getTask())
+                            .setEffect(report.offer().getEffect())
+                            .build();
+            connection.history().add(nowMicros(), withOffer);
         }
-        if (s.silent()) {
+        if (report.silent()) {
             return;
         }
-        watcher.said(shape.node(), a);
-        boolean lost =
-                answersLost > 0
-                        && random.nextDouble() < answersLost
-                        && (s.kind() == Answer.Kind.ACCEPTED || s.kind() == Answer.Kind.RUNS);
-        if (to != null && !lost) {
-            to.say(a);
+        watcher.said(shape.name(), answer);
+        boolean dropped = isDropped(report.kind());
+        if (connection != null && !dropped) {
+            connection.send(answer);
+        }
+    }
+
+    private Answer answer(AttemptReport report) {
+        Answer.Builder answer =
+                Answer.newBuilder()
+                        .setNode(shape.name())
+                        .setAttempt(report.attempt())
+                        .setKind(report.kind())
+                        .setReason(report.reason())
+                        .setRan(report.ran());
+        if (report.kind() == Answer.Kind.USES) {
+            answer.setCoresUsed(report.coresUsed()).setMemoryUsed(report.memoryUsed());
+        } else {
+            answer.setLoad(emulator.load());
         }
+        return answer.build();
     }
 
-    private static boolean over(Answer.Kind kind) {
-        return kind != Answer.Kind.ACCEPTED && kind != Answer.Kind.RUNS && kind != Answer.Kind.USES;
+    /** Draws for each answer while answers are dropped, so that the draws don't depend on kinds. */
+    private boolean isDropped(Answer.Kind kind) {
+        return dropRate > 0
+                && random.nextDouble() < dropRate
+                && (kind == Answer.Kind.ACCEPTED || kind == Answer.Kind.RUNS);
     }
 
-    private void afterwards() {
-        if (model.fallen()) {
-            LOG.atWarn().addKeyValue("node", shape.node()).log("pushed over while cold: down");
-            crash(Long.MAX_VALUE);
+    // ---- timer of the emulator ----
+
+    private void afterChange() {
+        if (emulator.isCrashed()) {
+            LOG.atWarn()
+                    .addKeyValue("node", shape.name())
+                    .log("crashed: overloaded during slow start");
+            crash(NEVER);
             return;
         }
-        long next = model.next();
-        if (next < wakeAt) {
-            wakeAt = next;
-            loop.schedule(this::wake, Math.max(0, next - now()), TimeUnit.MICROSECONDS);
+        long next = emulator.nextTick();
+        if (next < timerMicros) {
+            scheduleTimer(next, Math.max(0, next - nowMicros()));
         }
     }
 
-    private void wake() {
-        wakeAt = Long.MAX_VALUE;
-        if (closed || down) {
+    private void scheduleTimer(long atMicros, long delayMicros) {
+        timerMicros = atMicros;
+        loop.schedule(this::timerExpired, delayMicros, TimeUnit.MICROSECONDS);
+    }
+
+    private void timerExpired() {
+        timerMicros = NEVER;
+        if (!isUp()) {
             return;
         }
-        if (pausedUntil > now()) {
-            wakeAt = pausedUntil;
-            loop.schedule(this::wake, pausedUntil - now(), TimeUnit.MICROSECONDS);
+        long now = nowMicros();
+        if (pausedUntilMicros > now) {
+            scheduleTimer(pausedUntilMicros, pausedUntilMicros - now);
             return;
         }
-        model.tick(now(), this::say);
-        afterwards();
+        emulator.tick(now, this::report);
+        afterChange();
     }
 
-    // ---- troubles, for scripted days ----
+    // ---- fault injection ----
+
     /**
-     * Dies without a word and comes back cold, in a new incarnation, after so long; MAX_VALUE for
-     * never.
+     * Crashes the node without notice to its placers.
+     *
+     * @param downMillis after this time a new incarnation begins with a slow start; MAX_VALUE for
+     *     never
      */
-    public void crash(long downMs) {
+    public void crash(long downMillis) {
         loop.execute(
                 () -> {
-                    if (down) {
+                    if (crashed) {
                         return;
                     }
-                    down = true;
-                    dials.forEach(
-                            d -> {
-                                ClientConnection c = d.connection;
-                                d.connection = null;
-                                d.memory.clear();
-                                if (c != null) {
-                                    c.cut();
-                                }
-                            });
+                    crashed = true;
+                    connections.forEach(PlacerConnection::abortAndForget);
                     long incarnation =
-                            Math.max(model.incarnation() + 1, System.currentTimeMillis());
-                    if (downMs < Long.MAX_VALUE) {
+                            Math.max(emulator.incarnation() + 1, System.currentTimeMillis());
+                    if (downMillis < NEVER) {
                         loop.schedule(
-                                () -> {
-                                    down = false;
-                                    model =
-                                            new NodeEmulator(
-                                                    shape,
-                                                    behaviour,
-                                                    keys,
-                                                    seed,
-                                                    now(),
-                                                    incarnation,
-                                                    false);
-                                    dials.forEach(Dial::open);
-                                },
-                                downMs,
-                                TimeUnit.MILLISECONDS);
+                                () -> restart(incarnation), downMillis, TimeUnit.MILLISECONDS);
                     }
                 });
     }
 
-    /** Stands still: takes no orders and does no work, but its connections stay. */
-    public void pause(long millis) {
-        loop.execute(() -> pausedUntil = now() + millis * 1_000);
-    }
-
-    /** Breaks all connections; the node and its work go on. */
-    public void cutConnections() {
-        loop.execute(
-                () ->
-                        dials.forEach(
-                                d -> {
-                                    if (d.connection != null) {
-                                        d.connection.cut();
-                                    }
-                                }));
+    private void restart(long incarnation) {
+        crashed = false;
+        emulator = newEmulator(incarnation, false);
+        connections.forEach(PlacerConnection::open);
     }
 
-    public void mute(String taskClass, long millis) {
-        loop.execute(() -> model.mute(taskClass, now() + millis * 1_000));
+    /** Processes no orders and does no work for a time, while its connections stay open. */
+    public void pause(long millis) {
+        loop.execute(() -> pausedUntilMicros = nowMicros() + millis * MICROS_PER_MILLI);
     }
 
-    /** This part of the acceptances and first signs of running is never sent. */
-    public void loseAnswers(double part) {
-        loop.execute(() -> answersLost = part);
+    /** Breaks all connections; the node and its tasks continue, and it reconnects. */
+    public void breakConnections() {
+        loop.execute(() -> connections.forEach(PlacerConnection::abort));
     }
 
-    public void preempt(int most) {
-        loop.execute(
-                () -> {
-                    model.preempt(now(), most, this::say);
-                    afterwards();
-                });
+    /** Accepts offers of one task class for a time, and sends no reports on them. */
+    public void mute(String taskClass, long millis) {
+        loop.execute(() -> emulator.mute(taskClass, nowMicros() + millis * MICROS_PER_MILLI));
     }
 
-    /** Drains of its own accord and tells its placers. */
-    public void drain(boolean on) {
-        loop.execute(
-                () -> {
-                    model.drain(now(), on, this::say);
-                    Drain drain = Drain.newBuilder().setNode(shape.node()).setOn(on).build();
-                    dials.stream()
-                            .filter(d -> d.connection != null && d.connection.open())
-                            .forEach(d -> d.connection.sendBinary(Destinations.DRAIN, drain));
-                });
+    /** Drops this fraction of the reports that a task was accepted or runs; 0 for none. */
+    public void dropAnswers(double fraction) {
+        loop.execute(() -> dropRate = fraction);
     }
 
-    void close() {
+    /** Evicts the running tasks among the newest attempts. */
+    public void preempt(int maxAttempts) {
         loop.execute(
                 () -> {
-                    closed = true;
-                    dials.stream()
-                            .filter(d -> d.connection != null)
-                            .forEach(d -> d.connection.cut());
+                    emulator.preempt(nowMicros(), maxAttempts, this::report);
+                    afterChange();
                 });
     }
-
-    /** How many tasks and offers it holds now. */
-    public int held() {
-        return loop.submit(() -> model.held()).syncUninterruptibly().getNow();
-    }
 }
--- a/agent/src/main/java/thornferry/agent/NodeEmulator.java
+++ b/agent/src/main/java/thornferry/agent/NodeEmulator.java
@@ -6,7 +6,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
+import thornferry.agent.ZoneIdempotencyKeys.ZoneKey;
 import thornferry.protocol.v1.Answer;
 import thornferry.protocol.v1.Held;
 import thornferry.protocol.v1.Load;
@@ -14,444 +16,340 @@
 import thornferry.protocol.v1.Task;
 
 /**
- * One life of a node: takes or refuses offers, starts and ends stand-in work. No I/O and no clock;
- * the same seed and the same calls give the same answers. Times are microseconds.
+ * One incarnation of a node: accepts or rejects offers and emulates the start, run and end of
+ * tasks. It does no I/O and reads no clock; the same seed and the same calls give the same reports.
+ * Times are microseconds. Each method that can change an attempt passes the reports of the change
+ * to a consumer, in their order.
  */
-public final class NodeEmulator {
-    /**
-     * What to tell the placer that offered the attempt; {@code offer} is empty where the node does
-     * not hold it.
-     *
-     * @param silent the node works but says nothing: remembered, and not sent
-     */
-    public record AttemptReport(
-            String placer,
-            String attempt,
-            Answer.Kind kind,
-            Answer.Reason reason,
-            boolean ran,
-            double coresUsed,
-            double memoryUsed,
-            Offer offer,
-            boolean silent) {}
-
-    private enum State {
-        QUEUED,
-        WAITING,
-        STARTING,
-        RUNNING
-    }
+final class NodeEmulator {
+    /** A node that is not in slow start has been up this long, and ten slow starts. */
+    private static final long WARM_UPTIME_MICROS = 3_600_000_000L;
 
-    private static final class Work {
-        final Offer offer;
-        final String attempt;
-        final String placer;
-        final String owner;
-        final Task task;
-        State state = State.QUEUED;
-        boolean silent; // its answers go nowhere
-        long due;
-        double coresUsed;
-        double memoryUsed;
-
-        Work(Offer offer) {
-            this.offer = offer;
-            attempt = offer.getAttempt();
-            placer = offer.getPlacer();
-            owner = offer.getOwner();
-            task = offer.getTask();
-        }
-
-        boolean began() {
-            return state == State.STARTING || state == State.RUNNING;
-        }
-    }
+    private static final int WARM_UPTIME_SLOW_STARTS = 10;
+    private static final long MICROS_PER_MILLI = 1_000;
 
     private final NodeShape shape;
-    private final NodeBehavior behaviour;
+    private final NodeBehavior behavior;
     private final ZoneIdempotencyKeys keys;
     private final SplittableRandom random;
-    private final long startedAt;
+    private final long startedAtMicros;
     private final long incarnation;
-    private final Map<String, Work> works = new LinkedHashMap<>();
-    private final ArrayDeque<Work> offers = new ArrayDeque<>();
-    private final ArrayDeque<Work> starts = new ArrayDeque<>();
-    private final Map<String, Integer> programs =
-            new LinkedHashMap<>(); // service -> its tasks here, least used first
-    private final ArrayDeque<Long> coldOffers = new ArrayDeque<>();
-    private final Map<String, Long> muted =
-            new LinkedHashMap<>(); // class -> until when it is left unanswered
-    private double cores;
-    private double memory;
-    private double memoryUsed;
-    private int starting;
-    private long lookUntil = Long.MAX_VALUE;
-    private long usesAt;
+    private final Map<String, EmulatedTask> tasks = new LinkedHashMap<>();
+    private final OfferQueue offers;
+    private final ArrayDeque<EmulatedTask> pendingStarts = new ArrayDeque<>();
+    private final ProgramCache programs;
+    private final SlowStartCapacity slowStart;
+    private final ResourceUsage resources;
+    private final Map<String, Long> mutedUntilMicrosByClass = new LinkedHashMap<>();
+    private int startingTasks;
+    private long nextUsageReportMicros;
     private boolean draining;
-    private boolean fallen;
-    private long started;
+    private boolean crashed;
 
     /**
-     * @param warm the node has run for long: no cold start
+     * Starts an incarnation without tasks.
+     *
+     * @param keys idempotency keys of the node's zone
+     * @param incarnation greater than that of any former incarnation of the node
+     * @param warm the node has been up for long and skips its slow start
      */
-    public NodeEmulator(
+    NodeEmulator(
             NodeShape shape,
-            NodeBehavior behaviour,
+            NodeBehavior behavior,
             ZoneIdempotencyKeys keys,
             long seed,
             long now,
             long incarnation,
             boolean warm) {
         this.shape = shape;
-        this.behaviour = behaviour;
+        this.behavior = behavior;
         this.keys = keys;
-        this.random = new SplittableRandom(seed ^ incarnation);
-        this.startedAt = warm ? now - 10 * behaviour.ramp() - 3_600_000_000L : now;
         this.incarnation = incarnation;
-        this.usesAt = now + Math.max(1, behaviour.usesEvery());
+        random = new SplittableRandom(seed ^ incarnation);
+        startedAtMicros =
+                warm
+                        ? now
+                                - WARM_UPTIME_SLOW_STARTS * behavior.slowStartMicros()
+                                - WARM_UPTIME_MICROS
+                        : now;
+        offers = new OfferQueue(behavior, random);
+        programs = new ProgramCache(behavior.cachedPrograms());
+        slowStart = new SlowStartCapacity(behavior, startedAtMicros);
+        resources = new ResourceUsage(shape);
+        nextUsageReportMicros = now + Math.max(1, behavior.usageReportMicros());
     }
 
-    public long incarnation() {
+    long incarnation() {
         return incarnation;
     }
 
-    public long uptime(long now) {
-        return now - startedAt;
+    long uptimeMicros(long now) {
+        return now - startedAtMicros;
     }
 
-    /** True once it was pushed over while cold: it does nothing more in this life. */
-    public boolean fallen() {
-        return fallen;
+    /** True once the node was overloaded in its slow start: this incarnation does nothing more. */
+    boolean isCrashed() {
+        return crashed;
     }
 
-    public int held() {
-        return works.size();
+    boolean isDraining() {
+        return draining;
     }
 
-    /** Starts of tasks in this life. */
-    public long started() {
-        return started;
+    /** Number of offers and tasks on the node. */
+    int attemptCount() {
+        return tasks.size();
     }
 
-    // ---- offers ----
-    public void offer(long now, Offer offer, Consumer<AttemptReport> say) {
-        if (fallen || works.containsKey(offer.getAttempt())) {
-            return; // offered twice: the answer to the first counts for both
+    // ---- offers and cancellations ----
+
+    /** Takes an offer; a repeated offer of the same attempt is ignored. */
+    void offer(long now, Offer offer, Consumer<AttemptReport> reports) {
+        if (crashed || tasks.containsKey(offer.getAttempt())) {
+            return;
         }
-        Work w = new Work(offer);
-        if (pushedOver(now)) {
-            fallen = true;
+        if (slowStart.isOverloadedByOffer(now)) {
+            crashed = true;
             return;
         }
-        w.silent = muted.getOrDefault(w.task.getTaskClass(), Long.MIN_VALUE) > now;
+        EmulatedTask task = new EmulatedTask(offer, isMuted(now, offer.getTask().getTaskClass()));
         if (draining) {
-            refuse(w, Answer.Reason.DRAINING, say);
-        } else if (offers.size() >= behaviour.queue()) {
-            refuse(w, Answer.Reason.OFFERS_WAIT, say);
+            reject(task, Answer.Reason.DRAINING, reports);
+        } else if (offers.isFull()) {
+            reject(task, Answer.Reason.OFFERS_WAIT, reports);
         } else {
-            works.put(w.attempt, w);
-            offers.add(w);
-            if (offers.size() == 1) {
-                look(now);
-            }
-            tick(now, say);
+            tasks.put(task.attempt(), task);
+            offers.add(now, task);
+            tick(now, reports);
         }
     }
 
-    private boolean pushedOver(long now) {
-        if (now >= startedAt + behaviour.ramp()) {
-            return false;
-        }
-        coldOffers.add(now);
-        while (coldOffers.peekFirst() <= now - behaviour.coldWindow()) {
-            coldOffers.removeFirst();
-        }
-        double capacity =
-                behaviour.startsAtOnce()
-                        * (double) behaviour.coldWindow()
-                        / Math.max(1, behaviour.start() * behaviour.startFactor());
-        double bears =
-                Math.max(behaviour.coldOffers(), behaviour.coldMultiple() * pace(now) * capacity);
-        return coldOffers.size() > bears;
+    private boolean isMuted(long now, String taskClass) {
+        return mutedUntilMicrosByClass.getOrDefault(taskClass, Long.MIN_VALUE) > now;
     }
 
-    /** The part of its full pace that a node reaches at this moment after its start. */
-    private double pace(long now) {
-        double warm =
-                behaviour.ramp() == 0
-                        ? 1
-                        : Math.min(1, (now - startedAt) / (double) behaviour.ramp());
-        return behaviour.coldFrom() + (1 - behaviour.coldFrom()) * warm;
+    private void decide(long now, EmulatedTask task, Consumer<AttemptReport> reports) {
+        Answer.Reason shortage = resources.shortage(task.task());
+        if (shortage != Answer.Reason.NONE) {
+            reject(task, shortage, reports);
+        } else if (!claimKey(now, task)) {
+            reject(task, Answer.Reason.KEY_HELD, reports);
+        } else {
+            resources.reserve(task.task());
+            task.accept();
+            pendingStarts.add(task);
+            reports.accept(task.report(Answer.Kind.ACCEPTED, Answer.Reason.NONE, false));
+        }
     }
 
-    private void look(long now) {
-        long most = behaviour.thinkMost() - behaviour.thinkLeast();
-        lookUntil = now + behaviour.thinkLeast() + (most > 0 ? random.nextLong(most) : 0);
+    /** False if the task has an idempotency key which another attempt has claimed. */
+    private boolean claimKey(long now, EmulatedTask task) {
+        long windowMicros =
+                behavior.keyWindowMicrosByClass().getOrDefault(task.task().getTaskClass(), 0L);
+        return windowMicros <= 0
+                || task.task().getKey().isEmpty()
+                || keys.claim(now, zoneKey(task.task()), task.attempt(), windowMicros);
     }
 
-    private void decide(long now, Work w, Consumer<AttemptReport> say) {
-        Task t = w.task;
-        long window = behaviour.keyWindows().getOrDefault(t.getTaskClass(), 0L);
-        if (t.getCores() + cores > shape.cores() + 1e-9) {
-            refuse(w, Answer.Reason.NO_CORES, say);
-        } else if (t.getMemory() + memory > shape.memory() + 1e-9) {
-            refuse(w, Answer.Reason.NO_MEMORY, say);
-        } else if (window > 0
-                && !t.getKey().isEmpty()
-                && !keys.claim(
-                        now, shape.zone(), t.getTaskClass(), t.getKey(), w.attempt, window)) {
-            refuse(w, Answer.Reason.KEY_HELD, say);
-        } else {
-            cores += t.getCores();
-            memory += t.getMemory();
-            w.state = State.WAITING;
-            starts.add(w);
-            say(w, Answer.Kind.ACCEPTED, Answer.Reason.NONE, false, say);
-        }
+    private ZoneKey zoneKey(Task task) {
+        return new ZoneKey(shape.zone(), task.getTaskClass(), task.getKey());
     }
 
-    private void refuse(Work w, Answer.Reason reason, Consumer<AttemptReport> say) {
-        works.remove(w.attempt);
-        say(w, Answer.Kind.REFUSED, reason, false, say);
+    private void reject(EmulatedTask task, Answer.Reason reason, Consumer<AttemptReport> reports) {
+        tasks.remove(task.attempt());
+        reports.accept(task.report(Answer.Kind.REFUSED, reason, false));
     }
 
-    private static void say(
-            Work w,
-            Answer.Kind kind,
-            Answer.Reason reason,
-            boolean ran,
-            Consumer<AttemptReport> say) {
-        say.accept(
-                new AttemptReport(
-                        w.placer,
-                        w.attempt,
-                        kind,
-                        reason,
-                        ran,
-                        w.coresUsed,
-                        w.memoryUsed,
-                        w.offer,
-                        w.silent));
+    /** Cancels an attempt in any state, and confirms it also if the attempt is unknown. */
+    void cancel(long now, String placer, String attempt, Consumer<AttemptReport> reports) {
+        EmulatedTask task = tasks.get(attempt);
+        if (task == null) {
+            reports.accept(AttemptReport.cancellationOfUnknown(placer, attempt));
+            return;
+        }
+        boolean ran = task.hasStarted();
+        task.cancel();
+        remove(now, task, !ran);
+        reports.accept(task.report(Answer.Kind.WITHDRAWN, Answer.Reason.NONE, ran));
+        tick(now, reports);
     }
 
-    /** The placer no longer wants the attempt: it is dropped at whatever point it is. */
-    public void withdraw(long now, String placer, String attempt, Consumer<AttemptReport> say) {
-        Work w = works.get(attempt);
-        if (w == null) {
-            // never came, or is over: for the placer that asks now it will not run any more
-            say.accept(
-                    new AttemptReport(
-                            placer,
-                            attempt,
-                            Answer.Kind.WITHDRAWN,
-                            Answer.Reason.NONE,
-                            true,
-                            0,
-                            0,
-                            Offer.getDefaultInstance(),
-                            false));
+    // ---- progress of time ----
+
+    /** Does everything that is due; may be called at any time, and must be at {@link #nextTick}. */
+    void tick(long now, Consumer<AttemptReport> reports) {
+        if (crashed) {
             return;
         }
-        boolean ran = w.began();
-        w.silent = false;
-        leave(now, w, !ran);
-        say(w, Answer.Kind.WITHDRAWN, Answer.Reason.NONE, ran, say);
-        tick(now, say);
+        decideDueOffers(now, reports);
+        advanceDueTasks(now, reports);
+        while (!pendingStarts.isEmpty() && startingTasks < behavior.concurrentStarts()) {
+            start(now, pendingStarts.poll());
+        }
+        if (resources.isOutOfMemory()) {
+            evictNewest(now, tasks.size(), () -> !resources.isOutOfMemory(), reports);
+        }
+        reportUsageIfDue(now, reports);
     }
 
-    // ---- time ----
-    /** Does what is due; to be called at {@link #next} or any other time. */
-    public void tick(long now, Consumer<AttemptReport> say) {
-        while (!fallen && !offers.isEmpty() && lookUntil <= now) {
-            Work w = offers.poll();
-            lookUntil = Long.MAX_VALUE;
-            decide(now, w, say);
-            if (!offers.isEmpty()) {
-                look(now);
+    /** When {@link #tick} next has something to do; Long.MAX_VALUE for never. */
+    long nextTick() {
+        long next = offers.nextDecisionMicros();
+        for (EmulatedTask task : tasks.values()) {
+            if (task.hasStarted()) {
+                next = Math.min(next, task.deadlineMicros());
             }
         }
-        if (fallen) {
-            return;
-        }
-        List<Work> due = new ArrayList<>();
-        for (Work w : works.values()) {
-            if (w.began() && w.due <= now) {
-                due.add(w);
-            }
+        boolean reportsUsage = behavior.usageReportMicros() > 0 && !tasks.isEmpty();
+        return reportsUsage ? Math.min(next, nextUsageReportMicros) : next;
+    }
+
+    private void decideDueOffers(long now, Consumer<AttemptReport> reports) {
+        EmulatedTask offered = offers.pollDue(now);
+        while (offered != null) {
+            decide(now, offered, reports);
+            offered = offers.pollDue(now);
         }
-        for (Work w : due) {
-            if (w.state == State.STARTING) {
-                runs(now, w, say);
+    }
+
+    private void advanceDueTasks(long now, Consumer<AttemptReport> reports) {
+        List<EmulatedTask> due =
+                tasks.values().stream()
+                        .filter(task -> task.hasStarted() && task.deadlineMicros() <= now)
+                        .toList();
+        for (EmulatedTask task : due) {
+            if (task.state() == EmulatedTask.State.STARTING) {
+                run(now, task, reports);
             } else {
-                leave(now, w, false);
-                say(w, Answer.Kind.ENDED, Answer.Reason.NONE, true, say);
+                remove(now, task, false);
+                reports.accept(task.report(Answer.Kind.ENDED, Answer.Reason.NONE, true));
             }
         }
-        while (!starts.isEmpty() && starting < behaviour.startsAtOnce()) {
-            begin(now, starts.poll());
-        }
-        if (memoryUsed > shape.memory()) {
-            evict(now, say);
-        }
-        if (behaviour.usesEvery() > 0 && now >= usesAt) {
-            usesAt = now + behaviour.usesEvery();
-            works.values().stream()
-                    .filter(w -> w.state == State.RUNNING)
-                    .forEach(w -> say(w, Answer.Kind.USES, Answer.Reason.NONE, true, say));
-        }
     }
 
-    private void begin(long now, Work w) {
-        starting++;
-        w.state = State.STARTING;
-        boolean present = programs.containsKey(w.task.getService());
-        w.due =
-                now
-                        + (long)
-                                (behaviour.start()
-                                        * (present ? 1 : behaviour.startFactor())
-                                        / pace(now));
-        Integer tasks = programs.remove(w.task.getService());
-        programs.put(w.task.getService(), tasks == null ? 1 : tasks + 1);
-        String unused =
-                programs.size() <= behaviour.programs()
-                        ? null
-                        : programs.entrySet().stream()
-                                .filter(e -> e.getValue() == 0)
-                                .map(Map.Entry::getKey)
-                                .findFirst()
-                                .orElse(null);
-        if (unused != null) {
-            programs.remove(unused);
-        }
+    private void start(long now, EmulatedTask task) {
+        startingTasks++;
+        boolean programPresent = programs.acquire(task.task().getService());
+        double startMicros =
+                behavior.startMicros()
+                        * (programPresent ? 1 : behavior.coldProgramFactor())
+                        / slowStart.pace(now);
+        task.start(now + (long) startMicros);
     }
 
-    private void runs(long now, Work w, Consumer<AttemptReport> say) {
-        starting--;
-        started++;
-        w.state = State.RUNNING;
-        double part =
-                behaviour.usesLeast()
-                        + random.nextDouble() * (behaviour.usesMost() - behaviour.usesLeast());
-        w.coresUsed = w.task.getCores() * part;
-        w.memoryUsed = w.task.getMemory() * part;
-        memoryUsed += w.memoryUsed;
-        w.due =
-                now
-                        + (w.task.getRunsForMs() > 0
-                                ? w.task.getRunsForMs() * 1_000
-                                : behaviour.runsFor());
-        say(w, Answer.Kind.RUNS, Answer.Reason.NONE, true, say);
+    private void run(long now, EmulatedTask task, Consumer<AttemptReport> reports) {
+        startingTasks--;
+        double usageFraction =
+                behavior.minUsageFraction()
+                        + random.nextDouble()
+                                * (behavior.maxUsageFraction() - behavior.minUsageFraction());
+        long runMicros =
+                task.task().getRunsForMs() > 0
+                        ? task.task().getRunsForMs() * MICROS_PER_MILLI
+                        : behavior.defaultRunMicros();
+        task.run(usageFraction, now + runMicros);
+        resources.useMemory(task.memoryUsed());
+        reports.accept(task.report(Answer.Kind.RUNS, Answer.Reason.NONE, true));
     }
 
-    /** Memory ran out: the newest goes first, until the rest fits. */
-    private void evict(long now, Consumer<AttemptReport> say) {
-        List<Work> running = new ArrayList<>(works.values());
-        for (int i = running.size() - 1; i >= 0 && memoryUsed > shape.memory(); i--) {
-            if (running.get(i).state == State.RUNNING) {
-                leave(now, running.get(i), false);
-                say(running.get(i), Answer.Kind.EVICTED, Answer.Reason.NONE, true, say);
-            }
+    private void reportUsageIfDue(long now, Consumer<AttemptReport> reports) {
+        if (behavior.usageReportMicros() <= 0 || now < nextUsageReportMicros) {
+            return;
         }
+        nextUsageReportMicros = now + behavior.usageReportMicros();
+        tasks.values().stream()
+                .filter(EmulatedTask::isRunning)
+                .map(task -> task.report(Answer.Kind.USES, Answer.Reason.NONE, true))
+                .forEach(reports);
     }
 
-    private void leave(long now, Work w, boolean neverRan) {
-        works.remove(w.attempt);
-        if (w.state == State.QUEUED) {
-            if (offers.peekFirst() == w) {
-                lookUntil = offers.size() > 1 ? now : Long.MAX_VALUE;
+    /**
+     * Evicts the running tasks among the newest attempts, newest first.
+     *
+     * @param maxAttempts number of newest attempts that are considered
+     * @param done stops the eviction once it is true
+     */
+    private void evictNewest(
+            long now, int maxAttempts, BooleanSupplier done, Consumer<AttemptReport> reports) {
+        List<EmulatedTask> candidates = new ArrayList<>(tasks.values());
+        int oldest = Math.max(0, candidates.size() - maxAttempts);
+        for (int i = candidates.size() - 1; i >= oldest && !done.getAsBoolean(); i--) {
+            EmulatedTask task = candidates.get(i);
+            if (task.isRunning()) {
+                remove(now, task, false);
+                reports.accept(task.report(Answer.Kind.EVICTED, Answer.Reason.NONE, true));
             }
-            offers.remove(w);
+        }
+    }
+
+    /** Removes an attempt and frees what it occupied; its key only if it never ran. */
+    private void remove(long now, EmulatedTask task, boolean neverRan) {
+        tasks.remove(task.attempt());
+        if (task.state() == EmulatedTask.State.OFFERED) {
+            offers.remove(now, task);
             return;
         }
-        starts.remove(w);
-        cores -= w.task.getCores();
-        memory -= w.task.getMemory();
-        memoryUsed -= w.state == State.RUNNING ? w.memoryUsed : 0;
-        if (w.began()) {
-            programs.computeIfPresent(w.task.getService(), (s, n) -> Math.max(0, n - 1));
+        pendingStarts.remove(task);
+        resources.release(task.task());
+        if (task.isRunning()) {
+            resources.freeMemory(task.memoryUsed());
         }
-        starting -= w.state == State.STARTING ? 1 : 0;
-        if (neverRan && !w.task.getKey().isEmpty()) {
-            keys.release(shape.zone(), w.task.getTaskClass(), w.task.getKey(), w.attempt);
+        if (task.hasStarted()) {
+            programs.release(task.task().getService());
         }
-    }
-
-    /** When {@link #tick} next has something to do; Long.MAX_VALUE for never. */
-    public long next() {
-        long next = offers.isEmpty() ? Long.MAX_VALUE : lookUntil;
-        for (Work w : works.values()) {
-            next = w.began() ? Math.min(next, w.due) : next;
+        if (task.state() == EmulatedTask.State.STARTING) {
+            startingTasks--;
+        }
+        if (neverRan && !task.task().getKey().isEmpty()) {
+            keys.release(zoneKey(task.task()), task.attempt());
         }
-        return behaviour.usesEvery() > 0 && !works.isEmpty() ? Math.min(next, usesAt) : next;
     }
 
-    // ---- what others do to it ----
-    /** Starts or ends a drain; at the start everything is sent away at once. */
-    public void drain(long now, boolean on, Consumer<AttemptReport> say) {
+    // ---- drain and fault injection ----
+
+    /** Starts or ends a drain; its start removes all attempts at once. */
+    void drain(long now, boolean on, Consumer<AttemptReport> reports) {
         draining = on;
         if (!on) {
             return;
         }
-        for (Work w : new ArrayList<>(works.values())) {
-            boolean queued = w.state == State.QUEUED;
-            boolean ran = w.began();
-            leave(now, w, !ran);
-            say(
-                    w,
-                    queued ? Answer.Kind.REFUSED : Answer.Kind.SENT_AWAY,
-                    queued ? Answer.Reason.DRAINING : Answer.Reason.NONE,
-                    ran,
-                    say);
+        for (EmulatedTask task : new ArrayList<>(tasks.values())) {
+            boolean offered = task.state() == EmulatedTask.State.OFFERED;
+            boolean ran = task.hasStarted();
+            remove(now, task, !ran);
+            reports.accept(
+                    offered
+                            ? task.report(Answer.Kind.REFUSED, Answer.Reason.DRAINING, ran)
+                            : task.report(Answer.Kind.SENT_AWAY, Answer.Reason.NONE, ran));
         }
     }
 
-    public boolean draining() {
-        return draining;
+    /** Makes the reports of new offers of one task class silent until the given time. */
+    void mute(String taskClass, long untilMicros) {
+        mutedUntilMicrosByClass.put(taskClass, untilMicros);
     }
 
-    /**
-     * Leaves one class unanswered for a time, while others are served: offers are taken, and
-     * nothing is said.
-     */
-    public void mute(String taskClass, long until) {
-        muted.put(taskClass, until);
+    /** Evicts those of the newest attempts that run, as a wave of preemption would. */
+    void preempt(long now, int maxAttempts, Consumer<AttemptReport> reports) {
+        evictNewest(now, maxAttempts, () -> false, reports);
     }
 
-    /** Pushes out the newest tasks, as a wave of preemption would. */
-    public void preempt(long now, int most, Consumer<AttemptReport> say) {
-        List<Work> all = new ArrayList<>(works.values());
-        for (int i = all.size() - 1; i >= Math.max(0, all.size() - most); i--) {
-            if (all.get(i).state == State.RUNNING) {
-                leave(now, all.get(i), false);
-                say(all.get(i), Answer.Kind.EVICTED, Answer.Reason.NONE, true, say);
-            }
-        }
-    }
+    // ---- views for messages ----
 
-    public Load load() {
+    /** The load report of this moment. */
+    Load load() {
         return Load.newBuilder()
-                .setCoresFree(shape.cores() - cores)
-                .setMemoryFree(shape.memory() - memory)
-                .setWaiting(offers.size() + starts.size() + starting)
+                .setCoresFree(resources.freeCores())
+                .setMemoryFree(resources.freeReservableMemory())
+                .setWaiting(offers.size() + pendingStarts.size() + startingTasks)
                 .build();
     }
 
-    /** What it holds of one placer's, for a registration. */
-    public List<Held> inventory(String placer) {
-        List<Held> held = new ArrayList<>();
-        for (Work w : works.values()) {
-            if (w.placer.equals(placer)) {
-                held.add(
-                        Held.newBuilder()
-                                .setAttempt(w.attempt)
-                                .setTask(w.task)
-                                .setOwner(w.owner)
-                                .setRuns(w.state == State.RUNNING)
-                                .setPlacer(w.placer)
-                                .build());
-            }
-        }
-        return held;
+    /** The attempts that a placer has on this node, for a registration. */
+    List<Held> inventory(String placer) {
+        return tasks.values().stream()
+                .filter(task -> task.placer().equals(placer))
+                .map(EmulatedTask::inventoryEntry)
+                .toList();
     }
 }
--- a/agent/src/main/java/thornferry/agent/ZoneIdempotencyKeys.java
+++ b/agent/src/main/java/thornferry/agent/ZoneIdempotencyKeys.java
@@ -4,37 +4,45 @@
 import java.util.Map;
 
 /**
- * The memory of keys that the nodes of one hall share: stands in for the shared store of real
- * halls, so the nodes of a hall must live in one process here. Safe for use by several threads.
+ * The idempotency keys that the nodes of a zone have claimed. It emulates the store that the nodes
+ * of a real zone share, so all nodes of a zone must run in one process. Thread-safe.
  */
-public final class ZoneIdempotencyKeys {
-    private record Claim(String attempt, long until) {}
+final class ZoneIdempotencyKeys {
+    /** An idempotency key; keys are unique within a task class and a zone. */
+    record ZoneKey(String zone, String taskClass, String key) {}
 
-    private static final int SWEEP_ABOVE = 10_000;
+    private record Claim(String attempt, long expiresMicros) {}
 
-    private final Map<String, Claim> claims = new HashMap<>();
+    /** Expired claims are removed when there are more claims than this. */
+    private static final int EXPIRY_THRESHOLD = 10_000;
 
-    /** Claims a key for an attempt; false where another attempt's claim stands. Microseconds. */
-    public synchronized boolean claim(
-            long now, String zone, String taskClass, String key, String attempt, long window) {
-        if (claims.size() > SWEEP_ABOVE) {
-            claims.values().removeIf(c -> c.until() <= now);
+    private final Map<ZoneKey, Claim> claims = new HashMap<>();
+
+    /**
+     * Claims a key for an attempt.
+     *
+     * @param windowMicros how long the claim stays valid
+     * @return false if another attempt has a valid claim
+     */
+    synchronized boolean claim(long now, ZoneKey key, String attempt, long windowMicros) {
+        if (claims.size() > EXPIRY_THRESHOLD) {
+            claims.values().removeIf(claim -> claim.expiresMicros() <= now);
         }
-        String name = zone + '\n' + taskClass + '\n' + key;
-        Claim standing = claims.get(name);
-        if (standing != null && standing.until() > now && !standing.attempt().equals(attempt)) {
+        Claim existing = claims.get(key);
+        if (existing != null
+                && existing.expiresMicros() > now
+                && !existing.attempt().equals(attempt)) {
             return false;
         }
-        claims.put(name, new Claim(attempt, now + window));
+        claims.put(key, new Claim(attempt, now + windowMicros));
         return true;
     }
 
-    /** Gives a key back: the attempt that claimed it never ran. */
-    public synchronized void release(String zone, String taskClass, String key, String attempt) {
-        String name = zone + '\n' + taskClass + '\n' + key;
-        Claim standing = claims.get(name);
-        if (standing != null && standing.attempt().equals(attempt)) {
-            claims.remove(name);
+    /** Releases the claim of an attempt that never ran. */
+    synchronized void release(ZoneKey key, String attempt) {
+        Claim existing = claims.get(key);
+        if (existing != null && existing.attempt().equals(attempt)) {
+            claims.remove(key);
         }
     }
 }
--- a/agent/src/test/java/thornferry/agent/AttemptHistoryTest.java
+++ b/agent/src/test/java/thornferry/agent/AttemptHistoryTest.java
@@ -8,12 +8,13 @@
 import thornferry.protocol.v1.Register;
 import thornferry.protocol.v1.Task;
 
+/** Retention of finished attempts, in virtual time. */
 class AttemptHistoryTest {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
-    private final AttemptHistory memory = new AttemptHistory();
+    private final AttemptHistory history = new AttemptHistory();
 
-    private static Answer over(String attempt, Effect effect, Answer.Kind kind) {
+    private static Answer answer(String attempt, Effect effect, Answer.Kind kind) {
         return Answer.newBuilder()
                 .setAttempt(attempt)
                 .setKind(kind)
@@ -27,68 +28,74 @@
                 .build();
     }
 
-    private Register told(long now) {
-        Register.Builder r = Register.newBuilder();
-        memory.tell(now, r);
-        return r.build();
+    private Register registrationAt(long now) {
+        Register.Builder registration = Register.newBuilder();
+        history.addTo(now, registration);
+        return registration.build();
     }
 
     @Test
-    void harmfulEndsAreRememberedAsLongAsThePlacerWishesOthersHalfAMinute() {
-        memory.keepFor(600 * SECOND);
-        memory.over(SECOND, over("a", Effect.UNSAFE, Answer.Kind.ENDED));
-        memory.over(SECOND, over("b", Effect.KEYED, Answer.Kind.WITHDRAWN));
-        memory.over(SECOND, over("c", Effect.SAFE, Answer.Kind.ENDED));
-        memory.over(SECOND, over("d", Effect.UNSAFE, Answer.Kind.REFUSED));
-        assertThat(told(2 * SECOND).getRecentList())
+    void retainsHarmfulAttemptsAsConfiguredAndOthersForHalfAMinute() {
+        history.retainFor(600 * SECOND_MICROS);
+        history.add(SECOND_MICROS, answer("a", Effect.UNSAFE, Answer.Kind.ENDED));
+        history.add(SECOND_MICROS, answer("b", Effect.KEYED, Answer.Kind.WITHDRAWN));
+        history.add(SECOND_MICROS, answer("c", Effect.SAFE, Answer.Kind.ENDED));
+        history.add(SECOND_MICROS, answer("d", Effect.UNSAFE, Answer.Kind.REFUSED));
+        assertThat(registrationAt(2 * SECOND_MICROS).getRecentList())
                 .extracting(Answer::getAttempt)
                 .containsExactlyInAnyOrder("a", "b", "c", "d");
-        Register later = told(100 * SECOND);
+        Register later = registrationAt(100 * SECOND_MICROS);
         assertThat(later.getRecentList()).extracting(Answer::getAttempt).containsExactly("a", "b");
         assertThat(later.hasForgotUnsafeMs()).isTrue();
         assertThat(later.getForgotUnsafeMs()).isZero();
     }
 
     @Test
-    void whatIsForgottenIsOwnedUpToByEffect() {
-        memory.keepFor(60 * SECOND);
-        memory.over(SECOND, over("a", Effect.UNSAFE, Answer.Kind.ENDED));
-        memory.over(50 * SECOND, over("b", Effect.UNSAFE, Answer.Kind.ENDED));
-        Register r = told(71 * SECOND);
-        assertThat(r.getRecentList()).extracting(Answer::getAttempt).containsExactly("b");
-        assertThat(r.getForgotUnsafeMs()).isEqualTo(70_000);
-        assertThat(r.getForgotKeyedMs()).isZero();
+    void reportsAgeOfNewestDroppedAttemptByEffect() {
+        history.retainFor(60 * SECOND_MICROS);
+        history.add(SECOND_MICROS, answer("a", Effect.UNSAFE, Answer.Kind.ENDED));
+        history.add(50 * SECOND_MICROS, answer("b", Effect.UNSAFE, Answer.Kind.ENDED));
+        Register registration = registrationAt(71 * SECOND_MICROS);
+        assertThat(registration.getRecentList())
+                .extracting(Answer::getAttempt)
+                .containsExactly("b");
+        assertThat(registration.getForgotUnsafeMs()).isEqualTo(70_000);
+        assertThat(registration.getForgotKeyedMs()).isZero();
     }
 
     @Test
-    void moreThanFitsInAFrameIsToldNewestFirstAndTheRestAsForgotten() {
-        memory.keepFor(600 * SECOND);
-        for (int i = 1; i <= AttemptHistory.MOST + 10; i++) {
-            memory.over(i * 10_000L, over("a" + i, Effect.KEYED, Answer.Kind.ENDED));
+    void reportsNewestAttemptsThatFitAndCountsTheRestAsDropped() {
+        history.retainFor(600 * SECOND_MICROS);
+        for (int i = 1; i <= AttemptHistory.MAX_RETAINED_PER_EFFECT + 10; i++) {
+            history.add(i * 10_000L, answer("a" + i, Effect.KEYED, Answer.Kind.ENDED));
         }
-        memory.over(SECOND, over("u", Effect.UNSAFE, Answer.Kind.ENDED));
-        Register r = told(400 * SECOND);
-        assertThat(r.getSerializedSize()).isLessThan(AttemptHistory.MOST_OCTETS + 100);
-        assertThat(r.getRecentList())
+        history.add(SECOND_MICROS, answer("u", Effect.UNSAFE, Answer.Kind.ENDED));
+        Register registration = registrationAt(400 * SECOND_MICROS);
+        assertThat(registration.getSerializedSize())
+                .isLessThan(AttemptHistory.MAX_REGISTRATION_BYTES + 100);
+        assertThat(registration.getRecentList())
                 .extracting(Answer::getAttempt)
-                .contains("u", "a" + (AttemptHistory.MOST + 10))
+                .contains("u", "a" + (AttemptHistory.MAX_RETAINED_PER_EFFECT + 10))
                 .doesNotContain("a1", "a1000");
-        long lastLeftOut = 400_000 - r.getForgotKeyedMs(); // milliseconds
+        long newestMissingMillis = 400_000 - registration.getForgotKeyedMs();
         assertThat(
-                        r.getRecentList().stream()
-                                .filter(a -> a.getEffect() == Effect.KEYED)
-                                .mapToLong(a -> Long.parseLong(a.getAttempt().substring(1)) * 10)
+                        registration.getRecentList().stream()
+                                .filter(answer -> answer.getEffect() == Effect.KEYED)
+                                .mapToLong(
+                                        answer ->
+                                                Long.parseLong(answer.getAttempt().substring(1))
+                                                        * 10)
                                 .min()
                                 .orElseThrow())
-                .isGreaterThan(lastLeftOut);
-        assertThat(r.getForgotUnsafeMs()).isZero();
+                .isGreaterThan(newestMissingMillis);
+        assertThat(registration.getForgotUnsafeMs()).isZero();
     }
 
     @Test
-    void aNewLifeRemembersNothingAndHasForgottenNothing() {
-        memory.over(SECOND, over("a", Effect.UNSAFE, Answer.Kind.ENDED));
-        memory.clear();
-        assertThat(told(2 * SECOND).getRecentList()).isEmpty();
-        assertThat(told(2 * SECOND).getForgotUnsafeMs()).isZero();
+    void newIncarnationHasNoAttemptsAndNoneDropped() {
+        history.add(SECOND_MICROS, answer("a", Effect.UNSAFE, Answer.Kind.ENDED));
+        history.clear();
+        assertThat(registrationAt(2 * SECOND_MICROS).getRecentList()).isEmpty();
+        assertThat(registrationAt(2 * SECOND_MICROS).getForgotUnsafeMs()).isZero();
     }
 }
--- a/app/src/main/java/thornferry/app/AgentCommand.java
+++ b/app/src/main/java/thornferry/app/AgentCommand.java
@@ -14,6 +14,7 @@
 import thornferry.agent.NodeAgent;
 import thornferry.agent.NodeBehavior;
 import thornferry.agent.NodeShape;
+import thornferry.agent.PlacerLogin;
 import thornferry.protocol.Heartbeat;
 
 @Command(
@@ -117,10 +118,11 @@
             pool.add(
                     new NodeShape(name, kind, zones.get(i % zones.size()), i, cores, memory),
                     behaviour,
-                    targets,
-                    login,
-                    tls.certified() ? null : passcode,
-                    new Heartbeat(beat, beat),
+                    new PlacerLogin(
+                            targets,
+                            login,
+                            tls.certified() ? null : passcode,
+                            new Heartbeat(beat, beat)),
                     seed + i,
                     NodeAgent.Watcher.NONE);
         }
--- a/app/src/main/java/thornferry/app/DemoCommand.java
+++ b/app/src/main/java/thornferry/app/DemoCommand.java
@@ -15,6 +15,7 @@
 import thornferry.agent.NodeAgent;
 import thornferry.agent.NodeBehavior;
 import thornferry.agent.NodeShape;
+import thornferry.agent.PlacerLogin;
 import thornferry.config.ConfigException;
 import thornferry.config.SiteFile;
 import thornferry.config.TomlFile;
@@ -60,10 +61,11 @@
             nodes.add(
                     shape,
                     behaviour,
-                    List.<SocketAddress>of(address),
-                    "demo-node",
-                    "demo",
-                    new Heartbeat(2_000, 2_000),
+                    new PlacerLogin(
+                            List.<SocketAddress>of(address),
+                            "demo-node",
+                            "demo",
+                            new Heartbeat(2_000, 2_000)),
                     i,
                     NodeAgent.Watcher.NONE);
         }
--- a/app/src/test/java/thornferry/app/CommandLineTest.java
+++ b/app/src/test/java/thornferry/app/CommandLineTest.java
@@ -20,6 +20,7 @@
 import thornferry.agent.NodeAgent;
 import thornferry.agent.NodeBehavior;
 import thornferry.agent.NodeShape;
+import thornferry.agent.PlacerLogin;
 import thornferry.config.SiteFile;
 import thornferry.decisions.placement.Placement.Idempotency;
 import thornferry.decisions.recovery.JournalRecord;
@@ -425,10 +426,11 @@
             nodes.add(
                     new NodeShape("n1", "std-node", "hall-a", 0, 24, 48),
                     NodeBehavior.usual(Map.of()),
-                    List.of(placer.addresses().get(0)),
-                    null,
-                    null,
-                    new Heartbeat(500, 500),
+                    new PlacerLogin(
+                            List.of(placer.addresses().get(0)),
+                            null,
+                            null,
+                            new Heartbeat(500, 500)),
                     1,
                     NodeAgent.Watcher.NONE);
             String[] operator = {"--port", at, "--ca", dir + "/ca.pem", "--cert", dir + "/ops.pem"};
--- a/testbed/src/main/java/thornferry/testbed/LoadGenerator.java
+++ b/testbed/src/main/java/thornferry/testbed/LoadGenerator.java
@@ -17,6 +17,7 @@
 import thornferry.agent.NodeAgent;
 import thornferry.agent.NodeBehavior;
 import thornferry.agent.NodeShape;
+import thornferry.agent.PlacerLogin;
 import thornferry.client.TaskClient;
 import thornferry.protocol.ClientConnection;
 import thornferry.protocol.Heartbeat;
@@ -92,10 +93,7 @@
                             fleet.cores(),
                             fleet.memory()),
                     behaviour,
-                    placers,
-                    agent,
-                    passcode,
-                    beat,
+                    new PlacerLogin(placers, agent, passcode, beat),
                     i,
                     new Watch());
         }
--- a/testbed/src/main/java/thornferry/testbed/OverloadExperiment.java
+++ b/testbed/src/main/java/thornferry/testbed/OverloadExperiment.java
@@ -14,6 +14,7 @@
 import thornferry.agent.NodeAgent;
 import thornferry.agent.NodeBehavior;
 import thornferry.agent.NodeShape;
+import thornferry.agent.PlacerLogin;
 import thornferry.client.TaskClient;
 import thornferry.decisions.placement.Placement;
 import thornferry.placer.Placer;
@@ -127,9 +128,9 @@
                             Integer.MAX_VALUE,
                             0.5,
                             0.9,
-                            b.runsFor(),
+                            b.defaultRunMicros(),
                             0,
-                            b.keyWindows());
+                            b.keyWindowMicrosByClass());
             for (int i = 0; i < nodes; i++) {
                 pool.add(
                         new NodeShape(
@@ -140,10 +141,7 @@
                                 cores,
                                 kind.memory()),
                         quick,
-                        address,
-                        "load-node",
-                        "load",
-                        new Heartbeat(2_000, 2_000),
+                        new PlacerLogin(address, "load-node", "load", new Heartbeat(2_000, 2_000)),
                         i,
                         NodeAgent.Watcher.NONE);
             }
--- a/testbed/src/main/java/thornferry/testbed/ScenarioRunner.java
+++ b/testbed/src/main/java/thornferry/testbed/ScenarioRunner.java
@@ -26,6 +26,7 @@
 import thornferry.agent.AgentPool;
 import thornferry.agent.NodeAgent;
 import thornferry.agent.NodeShape;
+import thornferry.agent.PlacerLogin;
 import thornferry.decisions.placement.Placement;
 import thornferry.placer.Account;
 import thornferry.placer.Placer;
@@ -129,12 +130,13 @@
                 file.fleets().stream()
                         .mapToDouble(
                                 f ->
-                                        f.behaviour().startsAtOnce()
+                                        f.behaviour().concurrentStarts()
                                                 * 1e6
                                                 / Math.max(
                                                         1,
-                                                        f.behaviour().start()
-                                                                * f.behaviour().startFactor()))
+                                                        f.behaviour().startMicros()
+                                                                * f.behaviour()
+                                                                        .coldProgramFactor()))
                         .min()
                         .orElse(0);
         capture.site(file.site().site(), startsPerSecond);
@@ -263,10 +265,8 @@
                     pool.add(
                             shape,
                             fleet.behaviour(),
-                            placers,
-                            AGENT,
-                            PASSCODE,
-                            file.site().site().heartbeat(),
+                            new PlacerLogin(
+                                    placers, AGENT, PASSCODE, file.site().site().heartbeat()),
                             file.seed() * 1_009 + number,
                             NodeAgent.Watcher.NONE,
                             warm);
@@ -370,9 +370,9 @@
                 }
                 case MUTE -> struck.forEach(n -> n.mute(t.taskClass(), t.millis()));
                 case ANSWERS_LOST -> {
-                    struck.forEach(n -> n.loseAnswers(t.factor()));
+                    struck.forEach(n -> n.dropAnswers(t.factor()));
                     script.schedule(
-                            () -> struck.forEach(n -> n.loseAnswers(0)),
+                            () -> struck.forEach(n -> n.dropAnswers(0)),
                             t.millis(),
                             TimeUnit.MILLISECONDS);
                 }
@@ -393,9 +393,9 @@
                 case HALF_OPEN -> relays.forEach(r -> r.halfOpen(t.part(), random));
                 case SLOW_READER -> relays.forEach(r -> r.slowReader(t.part(), t.millis(), random));
                 case DRAIN -> {
-                    struck.forEach(n -> drain(n.shape().node(), true));
+                    struck.forEach(n -> drain(n.shape().name(), true));
                     script.schedule(
-                            () -> struck.forEach(n -> drain(n.shape().node(), false)),
+                            () -> struck.forEach(n -> drain(n.shape().name(), false)),
                             t.millis(),
                             TimeUnit.MILLISECONDS);
                 }
--- a/testbed/src/test/java/thornferry/testbed/FullPathTest.java
+++ b/testbed/src/test/java/thornferry/testbed/FullPathTest.java
@@ -165,8 +165,8 @@
         rig = new TestCluster();
         NodeAgent n1 = rig.node("n1", "a");
         NodeAgent n2 = rig.node("n2", "a");
-        n1.loseAnswers(1);
-        n2.loseAnswers(1); // whoever takes it: the placer never hears that it was accepted
+        n1.dropAnswers(1);
+        n2.dropAnswers(1); // whoever takes it: the placer never hears that it was accepted
         TaskClient client = rig.client("depot1", "one");
         TaskNews news = get(client.submit(TestCluster.task("t", "depot-sync")));
         assertThat(news.getResult())
@@ -182,7 +182,7 @@
         TaskClient client = rig.client("depot1", "one");
         CompletableFuture<TaskNews> result = client.submit(TestCluster.task("t", "levy-run"));
         Thread.sleep(150); // the offer lies unread at one of them
-        nodes.forEach(NodeAgent::cutConnections);
+        nodes.forEach(NodeAgent::breakConnections);
         // back in the same life, its inventory proves that it never ran: the task is offered to the
         // other
         assertThat(get(result).getResult()).isEqualTo("placed");
--- a/testbed/src/test/java/thornferry/testbed/TestCluster.java
+++ b/testbed/src/test/java/thornferry/testbed/TestCluster.java
@@ -20,6 +20,7 @@
 import thornferry.agent.NodeAgent;
 import thornferry.agent.NodeBehavior;
 import thornferry.agent.NodeShape;
+import thornferry.agent.PlacerLogin;
 import thornferry.client.TaskClient;
 import thornferry.config.SiteFile;
 import thornferry.config.TomlFile;
@@ -114,16 +115,16 @@
                         5_000,
                         2,
                         8,
-                        b.ramp(),
-                        b.coldFrom(),
-                        b.coldMultiple(),
-                        b.coldWindow(),
-                        b.coldOffers(),
+                        b.slowStartMicros(),
+                        b.slowStartInitialShare(),
+                        b.slowStartMultiple(),
+                        b.slowStartWindowMicros(),
+                        b.slowStartOffers(),
                         0.5,
                         0.9,
                         60_000_000,
                         0,
-                        b.keyWindows());
+                        b.keyWindowMicrosByClass());
     }
 
     InetSocketAddress address() {
@@ -150,10 +151,11 @@
                 pool.add(
                         new NodeShape(name, "std", zone, 1, 16, 32),
                         behaviour,
-                        List.<SocketAddress>of(address()),
-                        "node",
-                        "n",
-                        new Heartbeat(300, 300),
+                        new PlacerLogin(
+                                List.<SocketAddress>of(address()),
+                                "node",
+                                "n",
+                                new Heartbeat(300, 300)),
                         1,
                         watcher);
         eventuallyOnline(name);
