--- a/app/src/main/java/thornferry/app/Main.java
+++ b/app/src/main/java/thornferry/app/Main.java
@@ -82,6 +82,7 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "a command is needed");
     }
 
+    /** Runs the command line and exits with its code. */
     public static void main(String[] args) {
         System.exit(run(args));
     }
--- a/decisions/src/main/java/thornferry/decisions/admission/AdmissionQueue.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/AdmissionQueue.java
@@ -91,7 +91,7 @@
      * @param dispatched in {@link Stage#DISPATCHED}
      * @param offered in {@link Stage#OFFERED}
      * @param placed in {@link Stage#PLACED}
-     * @param overloaded whether requests are being shed
+     * @param isOverloaded whether requests are being shed
      * @param shed requests shed since the start
      */
     public record QueueCounts(
@@ -446,7 +446,7 @@
     }
 
     /** Whether requests are being shed because of overload. */
-    public boolean overloaded() {
+    public boolean isOverloaded() {
         return overload.isOverloaded();
     }
 
@@ -463,7 +463,7 @@
                 window.dispatchedCount(),
                 window.offeredCount(),
                 placedCount,
-                overloaded(),
+                isOverloaded(),
                 loadShedder.shedCount());
     }
 
--- a/decisions/src/main/java/thornferry/decisions/admission/QuotaNames.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/QuotaNames.java
@@ -4,12 +4,14 @@
  * Names of quotas as they appear in {@link QuotaBlock#quota()}. They reach clients in rejection
  * sentences and in the evidence of pending reasons, so their text is part of the wire format.
  */
-final class QuotaNames {
+public final class QuotaNames {
     static final String TASKS = "tasks";
     static final String CORES = "cores";
     static final String MEMORY = "memory";
     static final String TASK_RATE = "tasks a second";
-    static final String RETRIES = "asks again";
+
+    /** The budget of retries. */
+    public static final String RETRIES = "asks again";
 
     private QuotaNames() {}
 }
--- a/decisions/src/main/java/thornferry/decisions/admission/QuotaUsage.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/QuotaUsage.java
@@ -8,7 +8,8 @@
  * @param tasks tasks dispatched or placed
  * @param cores cores of the dispatched and placed tasks
  * @param memory memory of the dispatched and placed tasks, in the unit of the machine sizes
- * @param share dominant share: the larger of the fractions of all ready machines' cores and memory
+ * @param dominantShare dominant share: the larger of the fractions of all ready machines' cores and
+ *     memory
  * @param quota the limits that apply
  */
 public record QuotaUsage(
@@ -17,5 +18,5 @@
         int tasks,
         double cores,
         double memory,
-        double share,
+        double dominantShare,
         Quota quota) {}
--- a/decisions/src/main/java/thornferry/decisions/attempts/AttemptTracker.java
+++ b/decisions/src/main/java/thornferry/decisions/attempts/AttemptTracker.java
@@ -467,12 +467,12 @@
     }
 
     /** The number of attempts without an outcome on a machine, open and placed ones. */
-    public int count(String machine) {
+    public int attemptCountOnMachine(String machine) {
         return attempts.countOnMachine(machine);
     }
 
     /** The number of attempts without an outcome on all machines, open and placed ones. */
-    public int size() {
+    public int attemptCount() {
         return attempts.size();
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/diagnosis/PendingReasons.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/PendingReasons.java
@@ -423,7 +423,7 @@
      * @param owner whose tasks; null for those of all owners
      * @param maxTasks bound of the result
      */
-    public List<Explanation> waiting(long nowMicros, String owner, int maxTasks) {
+    public List<Explanation> waitingCount(long nowMicros, String owner, int maxTasks) {
         List<Explanation> explanations = new ArrayList<>();
         for (TaskRecord task : tasks.waiting()) {
             if (explanations.size() >= maxTasks) {
@@ -457,7 +457,7 @@
     }
 
     /** Number of waiting tasks. */
-    public int waiting() {
+    public int waitingCount() {
         return tasks.waiting().size();
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/diagnosis/ReasonEvaluator.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/ReasonEvaluator.java
@@ -3,6 +3,7 @@
 import java.util.function.ToLongFunction;
 import thornferry.decisions.admission.AdmissionQueue;
 import thornferry.decisions.admission.QuotaBlock;
+import thornferry.decisions.admission.QuotaNames;
 import thornferry.decisions.diagnosis.CapacityEstimator.Estimate;
 import thornferry.decisions.diagnosis.PendingReasons.Evidence;
 import thornferry.decisions.diagnosis.PendingReasons.Kind;
@@ -12,9 +13,6 @@
 
 /** Evaluates why a waiting task is pending, from its present stage. */
 final class ReasonEvaluator {
-    /** Name of the retry quota, whose usage is not an amount of anything. */
-    private static final String RETRY_QUOTA = "asks again";
-
     /** A quota that is exceeded until later than this is not refilled by time. */
     private static final long MAX_REFILL_TIME_MICROS = Long.MAX_VALUE / 8;
 
@@ -106,7 +104,7 @@
             return Diagnosis.withoutEvidence(
                     Kind.CAPACITY_RESERVED, EndCondition.RESERVATION_ENDED);
         }
-        if (queue.overloaded()) {
+        if (queue.isOverloaded()) {
             return Diagnosis.of(
                     Kind.OVERLOADED,
                     Evidence.ofAmount(EvidenceText.TASKS_WAITING, queue.waitingCount()),
@@ -148,7 +146,7 @@
 
     private static Evidence ownerQuotaEvidence(
             TaskRecord task, QuotaBlock block, String description) {
-        return block.quota().equals(RETRY_QUOTA)
+        return block.quota().equals(QuotaNames.RETRIES)
                 ? Evidence.ofLimit(description, task.owner(), block.limit())
                 : Evidence.ofUsage(description, task.owner(), block.limit(), block.usage());
     }
--- a/decisions/src/main/java/thornferry/decisions/membership/Membership.java
+++ b/decisions/src/main/java/thornferry/decisions/membership/Membership.java
@@ -320,7 +320,7 @@
     }
 
     /** Whether the machine was listed as ready in the last entry passed to the policy. */
-    public boolean ready(String machine) {
+    public boolean isReady(String machine) {
         MemberMachine member = machines.get(machine);
         return member != null && member.publishedState() == MachineState.READY;
     }
@@ -337,7 +337,7 @@
     }
 
     /** All known machines in the order of their first registration, as operators see them. */
-    public List<MachineView> view(long nowMicros) {
+    public List<MachineView> machineViews(long nowMicros) {
         List<MachineView> views = new ArrayList<>();
         machines.values().forEach(machine -> views.add(machine.view(nowMicros)));
         return views;
--- a/decisions/src/main/java/thornferry/decisions/requests/RequestTracker.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/RequestTracker.java
@@ -332,7 +332,7 @@
     }
 
     /** Whose request it is, and for which task; null where it is not known. */
-    public OfferDetails of(String requestId) {
+    public OfferDetails offerDetails(String requestId) {
         RequestEntry entry = index.findByRequestId(requestId);
         return entry == null ? null : entry.offerDetails();
     }
@@ -443,7 +443,7 @@
     }
 
     /** The number of tasks that are known: pending, running, or with a retained result. */
-    public int known() {
+    public int taskCount() {
         return index.size();
     }
 }
--- a/decisions/src/test/java/thornferry/decisions/admission/LoadShedderTest.java
+++ b/decisions/src/test/java/thornferry/decisions/admission/LoadShedderTest.java
@@ -60,7 +60,7 @@
             }
             rejectedAtOnce += fixture.rejected().containsKey(request) ? 1 : 0;
         }
-        assertThat(fixture.queue().overloaded()).isTrue();
+        assertThat(fixture.queue().isOverloaded()).isTrue();
         assertThat(rejectedAtOnce).as("rejected at once, of 1,000").isGreaterThan(200);
         long rejectedAtDeadline =
                 fixture.rejected().values().stream()
@@ -73,7 +73,7 @@
                 .as("a queue that can be served in time")
                 .isLessThan(120);
         fixture.pass(5 * SECOND);
-        assertThat(fixture.queue().overloaded()).isFalse();
+        assertThat(fixture.queue().isOverloaded()).isFalse();
     }
 
     private void placeFirstDispatched() {
--- a/decisions/src/test/java/thornferry/decisions/attempts/AttemptTrackerTest.java
+++ b/decisions/src/test/java/thornferry/decisions/attempts/AttemptTrackerTest.java
@@ -147,7 +147,7 @@
         assertThat(reported(attempt, AttemptStatus.COMPLETED))
                 .contains(new TaskTerminated("q1", "n", TerminationCause.COMPLETED));
         assertThat(reported(attempt, AttemptStatus.COMPLETED)).isEmpty();
-        assertThat(attempts.size()).isZero();
+        assertThat(attempts.attemptCount()).isZero();
     }
 
     @Test
--- a/decisions/src/test/java/thornferry/decisions/membership/MembershipTest.java
+++ b/decisions/src/test/java/thornferry/decisions/membership/MembershipTest.java
@@ -69,7 +69,7 @@
     }
 
     private String viewedState(String machine) {
-        return membership.view(nowMicros).stream()
+        return membership.machineViews(nowMicros).stream()
                 .filter(view -> view.machine().equals(machine))
                 .findFirst()
                 .orElseThrow()
@@ -222,7 +222,7 @@
         assertThat(register(1, new Registration("n", 1, "std", "", 1, 20, 40, 0, 1, 1)))
                 .singleElement()
                 .isInstanceOf(CloseConnection.class);
-        assertThat(membership.view(nowMicros)).isEmpty();
+        assertThat(membership.machineViews(nowMicros)).isEmpty();
     }
 
     @Test
--- a/decisions/src/test/java/thornferry/decisions/requests/RequestTrackerTest.java
+++ b/decisions/src/test/java/thornferry/decisions/requests/RequestTrackerTest.java
@@ -236,7 +236,7 @@
                 .hasMessageContaining("cores");
         assertThatThrownBy(() -> submit("o", new TaskSpec("t", "keyed", "s", "", 1, 1, null, 0)))
                 .hasMessageContaining("needs a key");
-        assertThat(requests.known()).isZero();
+        assertThat(requests.taskCount()).isZero();
     }
 
     @Test
@@ -302,14 +302,14 @@
             now += MS;
         }
         requests.tick(now, actions::add);
-        assertThat(requests.known()).isEqualTo(5);
+        assertThat(requests.taskCount()).isEqualTo(5);
         List<Action> taken = submit("o", spec("t0", "unsafe"));
         assertThat(dispatchedId(taken)).isNull();
         assertThat(onlyNotification(taken).result()).isEqualTo(RequestResult.FAILED);
         assertThat(onlyNotification(taken).reason()).contains("no longer kept");
         now += 61 * SECOND;
         requests.tick(now, actions::add);
-        assertThat(requests.known()).isZero();
+        assertThat(requests.taskCount()).isZero();
         assertThat(dispatchedId(submit("o", spec("t0", "unsafe"))))
                 .isNotNull(); // its time is over: a new task
     }
--- a/placer/src/main/java/thornferry/placer/AttemptActions.java
+++ b/placer/src/main/java/thornferry/placer/AttemptActions.java
@@ -129,7 +129,8 @@
     }
 
     private void recordNeverRan(long now, AttemptTracker.NeverRan neverRan) {
-        RequestTracker.OfferDetails details = components.requests.of(neverRan.requestId());
+        RequestTracker.OfferDetails details =
+                components.requests.offerDetails(neverRan.requestId());
         if (details != null) {
             components.journal.persist(
                     new JournalRecord.NeverRan(
--- a/placer/src/main/java/thornferry/placer/ClientHandler.java
+++ b/placer/src/main/java/thornferry/placer/ClientHandler.java
@@ -134,7 +134,7 @@
     void subscribeToReasons(ServerSession session) {
         reasonSubscribers.add(session);
         core.reasons()
-                .waiting(instance.clock().now(), session.login(), MAX_INITIAL_REASONS)
+                .waitingCount(instance.clock().now(), session.login(), MAX_INITIAL_REASONS)
                 .forEach(
                         explanation ->
                                 connections.stateOf(session).changedTasks.add(explanation.task()));
--- a/placer/src/main/java/thornferry/placer/PlacerCore.java
+++ b/placer/src/main/java/thornferry/placer/PlacerCore.java
@@ -68,7 +68,7 @@
 
     /** The number of unfinished attempts at a machine. */
     int attemptsAt(String machine) {
-        return components.attempts.count(machine);
+        return components.attempts.attemptCountOnMachine(machine);
     }
 
     /**
@@ -81,7 +81,7 @@
                 components.policyActions.offerCount(),
                 components.policy.failures(),
                 components.requests.pendingCount(),
-                components.attempts.size());
+                components.attempts.attemptCount());
     }
 
     // ---- time and configuration ----
--- a/placer/src/main/java/thornferry/placer/PolicyActions.java
+++ b/placer/src/main/java/thornferry/placer/PolicyActions.java
@@ -72,7 +72,7 @@
         PendingReasons.Reason reason = components.reasons.reasonOf(now, reject.requestId());
         String sentence = explainsRejection(reason) ? reason.sentence() : NO_REASON;
         long overloadRetryMicros =
-                components.admissionQueue.overloaded()
+                components.admissionQueue.isOverloaded()
                         ? components.admissionQueue.retryAfter(now)
                         : 0;
         components.requests.rejected(
@@ -165,7 +165,7 @@
         // receive anything new.
         if (failure.isEmpty()
                 && components.attempts.isOpen(attempt)
-                && components.membership.ready(machine)) {
+                && components.membership.isReady(machine)) {
             send(machine, attempt, details);
         } else {
             components.requests.setUnavailable(components.journal.writeFailure());
--- a/placer/src/main/java/thornferry/placer/ProtocolMapper.java
+++ b/placer/src/main/java/thornferry/placer/ProtocolMapper.java
@@ -233,7 +233,7 @@
                         .setTasks(usage.tasks())
                         .setCores(usage.cores())
                         .setMemory(usage.memory())
-                        .setShare(usage.share());
+                        .setShare(usage.dominantShare());
         Quota quota = usage.quota();
         setIfLimited(quota.maxWaiting(), builder::setMostWaiting);
         setIfLimited(quota.maxTasks(), builder::setMostTasks);
@@ -253,7 +253,7 @@
 
     static Nodes nodes(PlacerCore core, long nowMicros) {
         Nodes.Builder nodes = Nodes.newBuilder();
-        for (Membership.MachineView machine : core.membership().view(nowMicros)) {
+        for (Membership.MachineView machine : core.membership().machineViews(nowMicros)) {
             nodes.addNodes(
                     NodeView.newBuilder()
                             .setNode(machine.machine())
--- a/placer/src/main/java/thornferry/placer/RecoveryActions.java
+++ b/placer/src/main/java/thornferry/placer/RecoveryActions.java
@@ -1,10 +1,10 @@
 package thornferry.placer;
 
-import thornferry.decisions.requests.OwnedTask;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import thornferry.decisions.recovery.Recovery;
+import thornferry.decisions.requests.OwnedTask;
 
 /** Carries out what {@link Recovery} concludes about tasks of earlier incarnations. */
 final class RecoveryActions implements Consumer<Recovery.Action> {
--- a/placer/src/main/java/thornferry/placer/RequestActions.java
+++ b/placer/src/main/java/thornferry/placer/RequestActions.java
@@ -1,11 +1,11 @@
 package thornferry.placer;
 
-import thornferry.decisions.diagnosis.TaskSubmission;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import thornferry.decisions.admission.AdmissionQueue;
 import thornferry.decisions.diagnosis.PendingReasons;
+import thornferry.decisions.diagnosis.TaskSubmission;
 import thornferry.decisions.placement.Placement;
 import thornferry.decisions.recovery.JournalRecord;
 import thornferry.decisions.requests.RequestResult;
--- a/placer/src/test/java/thornferry/placer/PendingReasonsTest.java
+++ b/placer/src/test/java/thornferry/placer/PendingReasonsTest.java
@@ -33,7 +33,7 @@
             assertThat(simulation.lastResults())
                     .as("each request has its result")
                     .hasSameSizeAs(simulation.requests());
-            assertThat(simulation.core().reasons().waiting()).isZero();
+            assertThat(simulation.core().reasons().waitingCount()).isZero();
         }
         assertThat(oracle.seenKinds())
                 .contains(
--- a/protocol/src/main/java/thornferry/protocol/Bodies.java
+++ b/protocol/src/main/java/thornferry/protocol/Bodies.java
@@ -47,6 +47,7 @@
         return frame.withBody(JSON, json(message).getBytes(StandardCharsets.UTF_8));
     }
 
+    /** The message as proto3 JSON. */
     public static String json(Message message) {
         try {
             return PRINTER.print(message);
--- a/protocol/src/main/java/thornferry/protocol/ClientConnection.java
+++ b/protocol/src/main/java/thornferry/protocol/ClientConnection.java
@@ -30,10 +30,13 @@
      * came to be.
      */
     public interface Listener {
+        /** The placer has answered CONNECTED. */
         void connected(ClientConnection connection);
 
+        /** A MESSAGE has arrived. */
         void message(ClientConnection connection, Frame frame);
 
+        /** The connection is closed, for the reason given. */
         void closed(ClientConnection connection, String why);
     }
 
@@ -42,6 +45,7 @@
      * be.
      */
     public interface Receipt {
+        /** Called once; {@code error} is null if the frame was taken. */
         void done(String error);
     }
 
@@ -74,6 +78,7 @@
         this.listener = listener;
     }
 
+    /** Opens a connection on an event loop; the listener is notified of its outcome. */
     public static ClientConnection open(
             EventLoop loop, Target target, FrameLimits limits, Listener listener) {
         ClientConnection connection = new ClientConnection(target, listener);
@@ -124,10 +129,12 @@
         return connection;
     }
 
+    /** Whether the connection is established and not closed. */
     public boolean open() {
         return connected && !over;
     }
 
+    /** The event loop on which the listener is called. */
     public EventLoop loop() {
         return channel.eventLoop();
     }
@@ -164,6 +171,7 @@
         write(frame.with("receipt", id));
     }
 
+    /** Sends a message as JSON and notifies the receipt once the placer has taken it. */
     public void request(String destination, Message message, Receipt receipt) {
         request(
                 Bodies.write(
@@ -171,11 +179,13 @@
                 receipt);
     }
 
+    /** Subscribes to a destination. */
     public ChannelFuture subscribe(String id, String destination, String ack) {
         return write(
                 Frame.of(StompCommand.SUBSCRIBE, "id", id, "destination", destination, "ack", ack));
     }
 
+    /** Writes a frame; dropped if the connection is closed. */
     public ChannelFuture write(Frame frame) {
         return channel.writeAndFlush(frame);
     }
--- a/protocol/src/main/java/thornferry/protocol/Destinations.java
+++ b/protocol/src/main/java/thornferry/protocol/Destinations.java
@@ -26,6 +26,7 @@
 
     private Destinations() {}
 
+    /** The destination of the offers to a node. */
     public static String offers(String node) {
         return OFFERS_START + node + OFFERS_END;
     }
--- a/protocol/src/main/java/thornferry/protocol/Frame.java
+++ b/protocol/src/main/java/thornferry/protocol/Frame.java
@@ -66,6 +66,7 @@
         return value == null ? otherwise : value;
     }
 
+    /** The body as UTF-8 text. */
     public String text() {
         return new String(body, StandardCharsets.UTF_8);
     }
--- a/protocol/src/main/java/thornferry/protocol/Heartbeat.java
+++ b/protocol/src/main/java/thornferry/protocol/Heartbeat.java
@@ -47,6 +47,7 @@
         return peer.sendEvery(this);
     }
 
+    /** The value of the {@code heart-beat} header. */
     public String header() {
         return sends + "," + wants;
     }
--- a/protocol/src/main/java/thornferry/protocol/Liveness.java
+++ b/protocol/src/main/java/thornferry/protocol/Liveness.java
@@ -30,6 +30,7 @@
         return lookEvery;
     }
 
+    /** Something was received at this time. */
     public void heard(long now) {
         heardAt = now;
     }
--- a/protocol/src/main/java/thornferry/protocol/ProtocolException.java
+++ b/protocol/src/main/java/thornferry/protocol/ProtocolException.java
@@ -22,6 +22,7 @@
         this.detail = detail;
     }
 
+    /** More about the error, for the body of an ERROR frame; empty for none. */
     public String detail() {
         return detail;
     }
--- a/protocol/src/main/java/thornferry/protocol/ServerSession.java
+++ b/protocol/src/main/java/thornferry/protocol/ServerSession.java
@@ -42,9 +42,11 @@
         /** A SEND. When it returns, the frame counts as taken and its receipt goes out. */
         void sent(ServerSession session, String destination, Frame frame) throws ProtocolException;
 
+        /** The peer subscribes to a destination. */
         void subscribed(ServerSession session, String id, String destination)
                 throws ProtocolException;
 
+        /** The peer ends its subscription to a destination. */
         void unsubscribed(ServerSession session, String destination);
 
         /** An acknowledgement ({@code good}) or its refusal, for the message of that id. */
@@ -115,6 +117,7 @@
         pipeline.addLast("session", new ServerSession(front, heartbeat, server, handshakeMs));
     }
 
+    /** The login that was authenticated; null before CONNECTED. */
     public String login() {
         return login;
     }
@@ -124,14 +127,17 @@
         return attachment;
     }
 
+    /** Attaches an object of the handler to this session. */
     public void attach(Object what) {
         attachment = what;
     }
 
+    /** Whether the peer is connected and the session is not closing. */
     public boolean open() {
         return connected && !closing && ctx.channel().isActive();
     }
 
+    /** Whether the peer has a subscription to this destination. */
     public boolean subscribedTo(String destination) {
         return subscriptions.values().stream().anyMatch(s -> s.destination().equals(destination));
     }
--- a/security/src/main/java/thornferry/security/Keys.java
+++ b/security/src/main/java/thornferry/security/Keys.java
@@ -79,14 +79,17 @@
         this.directory = directory;
     }
 
+    /** The file of a certificate. */
     public Path certificate(String name) {
         return directory.resolve(name + ".pem");
     }
 
+    /** The file of a private key. */
     public Path key(String name) {
         return directory.resolve(name + ".key");
     }
 
+    /** The file of the authority's certificate. */
     public Path authority() {
         return certificate(CA);
     }
