--- a/config/src/main/java/thornferry/config/StateSection.java
+++ b/config/src/main/java/thornferry/config/StateSection.java
@@ -19,6 +19,8 @@
     private StateSection() {}
 
     /**
+     * Reads the table.
+     *
      * @param directory to which the folder is relative
      */
     static Site.State read(Section root, Path directory) {
--- a/config/src/main/java/thornferry/config/TlsSection.java
+++ b/config/src/main/java/thornferry/config/TlsSection.java
@@ -23,6 +23,8 @@
     private TlsSection() {}
 
     /**
+     * Reads the table.
+     *
      * @return null without the table, as {@link Site#tls} has it
      */
     static Site.TlsFiles read(Section root, Path directory) {
--- a/config/src/main/java/thornferry/config/TomlFile.java
+++ b/config/src/main/java/thornferry/config/TomlFile.java
@@ -242,12 +242,12 @@
          * @param otherwise the default, in milliseconds; NaN if the key is required
          */
         public long millis(String key, long least, long most, double otherwise) {
-            return millisToMicros(number(key, least, most, otherwise));
+            return millisToMicros(number(key, (double) least, (double) most, otherwise));
         }
 
         /** A duration that must be there: milliseconds in the file, returned in microseconds. */
         long requiredMillis(String key, long minMillis, long maxMillis) {
-            return millisToMicros(requiredNumber(key, minMillis, maxMillis));
+            return millisToMicros(requiredNumber(key, (double) minMillis, (double) maxMillis));
         }
 
         /** True or false. */
