--- /dev/null
+++ b/client/src/main/java/thornferry/client/PlacerLink.java
@@ -0,0 +1,141 @@
+package thornferry.client;
+
+import io.netty.channel.EventLoop;
+import java.util.Optional;
+import java.util.concurrent.ThreadLocalRandom;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import thornferry.protocol.Bodies;
+import thornferry.protocol.ClientConnection;
+import thornferry.protocol.Destinations;
+import thornferry.protocol.Frame;
+import thornferry.protocol.FrameLimits;
+import thornferry.protocol.ProtocolException;
+import thornferry.protocol.v1.TaskNews;
+import thornferry.protocol.v1.Why;
+
+/**
+ * The connection of a client to its placer: reconnects with exponential backoff, sends the
+ * outstanding requests again, and dispatches received messages. Runs on the client's event loop.
+ */
+final class PlacerLink implements ClientConnection.Listener {
+    private static final long MIN_BACKOFF_MILLIS = 50;
+    private static final long MAX_BACKOFF_MILLIS = 2_000;
+
+    /** Begin of the reason of a close after which a reconnect cannot succeed. */
+    private static final String LOGIN_REJECTED = "login or passcode";
+
+    private final ClientConnection.Target target;
+    private final EventLoop loop;
+    private final OutstandingRequests requests;
+    private final QueryCalls queries;
+    private final Consumer<TaskNews> events;
+    private Consumer<Why> reasonListener; // null while reasons are not watched
+    private ClientConnection connection; // null before the first connect and after a close
+    private long backoffMillis = MIN_BACKOFF_MILLIS;
+    private boolean closed;
+
+    PlacerLink(
+            ClientConnection.Target target,
+            EventLoop loop,
+            OutstandingRequests requests,
+            QueryCalls queries,
+            Consumer<TaskNews> events) {
+        this.target = target;
+        this.loop = loop;
+        this.requests = requests;
+        this.queries = queries;
+        this.events = events;
+    }
+
+    /** Connects, unless the link is closed. */
+    void open() {
+        if (!closed) {
+            connection = ClientConnection.open(loop, target, FrameLimits.USUAL, this);
+        }
+    }
+
+    /** The connection, if it is established. */
+    Optional<ClientConnection> openConnection() {
+        return Optional.ofNullable(connection).filter(ClientConnection::open);
+    }
+
+    /** Passes the reasons of the client's pending tasks to a listener, also after a reconnect. */
+    void watchReasons(Consumer<Why> listener) {
+        reasonListener = listener;
+        openConnection().ifPresent(PlacerLink::subscribeToReasons);
+    }
+
+    private static void subscribeToReasons(ClientConnection connection) {
+        connection.subscribe("waiting", Destinations.WAITING, "auto");
+    }
+
+    /** Breaks the connection without a DISCONNECT; reconnects after about the given time. */
+    void abort(long awayMillis) {
+        backoffMillis = Math.max(1, awayMillis);
+        if (connection != null) {
+            connection.cut();
+        }
+    }
+
+    /** Disconnects for good. */
+    void close() {
+        closed = true;
+        if (connection != null) {
+            connection.disconnect();
+        }
+    }
+
+    @Override
+    public void connected(ClientConnection opened) {
+        backoffMillis = MIN_BACKOFF_MILLIS;
+        opened.subscribe("results", Destinations.RESULTS, "auto");
+        opened.subscribe("replies", QueryCalls.REPLIES, "auto");
+        if (reasonListener != null) {
+            subscribeToReasons(opened);
+        }
+        requests.sendAll(connection);
+    }
+
+    @Override
+    public void message(ClientConnection source, Frame frame) {
+        try {
+            switch (frame.header("destination", "")) {
+                case QueryCalls.REPLIES -> queries.replyReceived(frame);
+                case Destinations.WAITING -> reasonReceived(frame);
+                default -> taskNewsReceived(frame);
+            }
+        } catch (ProtocolException unsupported) {
+            return; // a message of a later protocol version, which this client does not support
+        }
+    }
+
+    private void reasonReceived(Frame frame) throws ProtocolException {
+        if (reasonListener != null) {
+            reasonListener.accept(Bodies.read(frame, Why.newBuilder()));
+        }
+    }
+
+    private void taskNewsReceived(Frame frame) throws ProtocolException {
+        TaskNews news = Bodies.read(frame, TaskNews.newBuilder());
+        if (news.getResult().isEmpty()) {
+            events.accept(news);
+        } else {
+            requests.complete(news);
+        }
+    }
+
+    @Override
+    public void closed(ClientConnection source, String reason) {
+        connection = null;
+        queries.failAll(reason);
+        if (reason.startsWith(LOGIN_REJECTED)) {
+            requests.failAll(reason);
+            return;
+        }
+        long jitteredMillis =
+                backoffMillis / 2 + ThreadLocalRandom.current().nextLong(backoffMillis / 2 + 1);
+        backoffMillis = Math.min(MAX_BACKOFF_MILLIS, backoffMillis * 2);
+        loop.schedule(this::open, jitteredMillis, TimeUnit.MILLISECONDS);
+    }
+}
