--- a/agent/src/main/java/thornferry/agent/PlacerConnection.java
+++ b/agent/src/main/java/thornferry/agent/PlacerConnection.java
@@ -67,7 +67,7 @@
     /** Connects, if the node is up. */
     void open() {
         if (node.isUp()) {
-            connection = ClientConnection.open(loop, target, FrameLimits.USUAL, this);
+            connection = ClientConnection.open(loop, target, FrameLimits.DEFAULTS, this);
         }
     }
 
--- a/app/src/main/java/thornferry/app/PlacerOptions.java
+++ b/app/src/main/java/thornferry/app/PlacerOptions.java
@@ -136,7 +136,7 @@
                     ClientConnection.open(
                             loops.next(),
                             target(),
-                            FrameLimits.USUAL,
+                            FrameLimits.DEFAULTS,
                             new ClientConnection.Listener() {
                                 @Override
                                 public void connected(ClientConnection connection) {
--- a/client/src/main/java/thornferry/client/PlacerLink.java
+++ b/client/src/main/java/thornferry/client/PlacerLink.java
@@ -51,7 +51,7 @@
     /** Connects, unless the link is closed. */
     void open() {
         if (!closed) {
-            connection = ClientConnection.open(loop, target, FrameLimits.USUAL, this);
+            connection = ClientConnection.open(loop, target, FrameLimits.DEFAULTS, this);
         }
     }
 
--- a/placer/src/test/java/thornferry/placer/SiteFixtures.java
+++ b/placer/src/test/java/thornferry/placer/SiteFixtures.java
@@ -67,7 +67,7 @@
                 requestLimits,
                 admission,
                 null,
-                FrameLimits.USUAL,
+                FrameLimits.DEFAULTS,
                 Heartbeat.NONE,
                 5_000,
                 100,
--- a/protocol/src/main/java/thornferry/protocol/Bodies.java
+++ b/protocol/src/main/java/thornferry/protocol/Bodies.java
@@ -16,8 +16,9 @@
     private Bodies() {}
 
     /**
-     * Reads the body of {@code frame} into {@code builder}; the message of the error names what is
-     * wrong with it.
+     * Reads the body of {@code frame} into {@code builder}.
+     *
+     * @throws ProtocolException naming the content type or what is malformed
      */
     @SuppressWarnings("unchecked")
     public static <M extends Message> M read(Frame frame, Message.Builder builder)
--- a/protocol/src/main/java/thornferry/protocol/ClientConnection.java
+++ b/protocol/src/main/java/thornferry/protocol/ClientConnection.java
@@ -20,14 +20,14 @@
 import java.util.Map;
 
 /**
- * The client's half of one STOMP 1.2 connection, for clients, node agents and operators. One
- * connection, no retries: whoever holds it decides whether to dial again. Callbacks and state live
- * on the connection's event loop; the methods may be called from any thread.
+ * The client's half of one STOMP 1.2 connection, for clients, node agents and operators. It does
+ * not reconnect by itself. Callbacks run on the connection's event loop; methods may be called from
+ * any thread.
  */
 public final class ClientConnection extends SimpleChannelInboundHandler<Frame> {
     /**
-     * What the holder is told. {@link #closed} comes exactly once, also where the connection never
-     * came to be.
+     * Notified of events. {@link #closed} is called exactly once, also if the connection was never
+     * established.
      */
     public interface Listener {
         /** The placer has answered CONNECTED. */
@@ -41,17 +41,17 @@
     }
 
     /**
-     * Told what became of a frame sent with a receipt: taken ({@code error} null) or not known to
-     * be.
+     * Notified of the outcome of a frame sent with a receipt: processed ({@code error} null), or
+     * rejected or unknown.
      */
     public interface Receipt {
-        /** Called once; {@code error} is null if the frame was taken. */
+        /** Called once; {@code error} is null if the frame was processed. */
         void done(String error);
     }
 
     /**
-     * Where and as whom to connect. {@code passcode} may be null where a certificate tells, {@code
-     * tls} for plain text.
+     * Where and as whom to connect. {@code passcode} is null if a certificate identifies the
+     * client, {@code tls} for plain text.
      */
     public record Target(
             SocketAddress address,
@@ -69,8 +69,8 @@
     private final Map<String, Receipt> receipts = new HashMap<>();
     private Channel channel;
     private boolean connected;
-    private boolean over;
-    private String why = "the connection was closed";
+    private boolean ended;
+    private String closeReason = "the connection was closed";
     private long receiptNumber;
 
     private ClientConnection(Target target, Listener listener) {
@@ -91,31 +91,35 @@
                         .handler(
                                 new ChannelInitializer<Channel>() {
                                     @Override
-                                    protected void initChannel(Channel ch) {
+                                    protected void initChannel(Channel newChannel) {
                                         if (target.tls() != null) {
                                             // with the peer's name, so that it is compared with
                                             // that of the certificate
-                                            ch.pipeline()
+                                            newChannel
+                                                    .pipeline()
                                                     .addLast(
                                                             target.address()
                                                                             instanceof
                                                                             InetSocketAddress inet
                                                                     ? target.tls()
                                                                             .newHandler(
-                                                                                    ch.alloc(),
+                                                                                    newChannel
+                                                                                            .alloc(),
                                                                                     inet
                                                                                             .getHostString(),
                                                                                     inet.getPort())
                                                                     : target.tls()
                                                                             .newHandler(
-                                                                                    ch.alloc()));
+                                                                                    newChannel
+                                                                                            .alloc()));
                                         }
-                                        ch.pipeline()
+                                        newChannel
+                                                .pipeline()
                                                 .addLast(
                                                         new FlushConsolidationHandler(256, true),
                                                         new HeartbeatHandler());
-                                        Framing.install(ch.pipeline(), limits);
-                                        ch.pipeline().addLast(connection);
+                                        Framing.install(newChannel.pipeline(), limits);
+                                        newChannel.pipeline().addLast(connection);
                                     }
                                 })
                         .connect(target.address());
@@ -131,7 +135,7 @@
 
     /** Whether the connection is established and not closed. */
     public boolean open() {
-        return connected && !over;
+        return connected && !ended;
     }
 
     /** The event loop on which the listener is called. */
@@ -140,8 +144,8 @@
     }
 
     /**
-     * Sends a message to a destination; the future tells only whether its octets were handed to the
-     * system.
+     * Sends a message to a destination as JSON; the future only tells whether its bytes were
+     * written to the socket.
      */
     public ChannelFuture send(String destination, Message message) {
         return write(
@@ -149,21 +153,21 @@
                         Frame.of(StompCommand.SEND, "destination", destination), message, false));
     }
 
-    /** The same in binary. */
+    /** Sends a message to a destination as protobuf. */
     public ChannelFuture sendBinary(String destination, Message message) {
         return write(
                 Bodies.write(
                         Frame.of(StompCommand.SEND, "destination", destination), message, true));
     }
 
-    /** Sends a frame and asks for its receipt. */
+    /** Sends a frame with a receipt header. */
     public void request(Frame frame, Receipt receipt) {
         if (!loop().inEventLoop()) {
             loop().execute(() -> request(frame, receipt));
             return;
         }
-        if (over) {
-            receipt.done(why);
+        if (ended) {
+            receipt.done(closeReason);
             return;
         }
         String id = "r" + ++receiptNumber;
@@ -190,12 +194,12 @@
         return channel.writeAndFlush(frame);
     }
 
-    /** Leaves politely: DISCONNECT, then closes when its receipt is in. */
+    /** Sends DISCONNECT and closes the connection after its receipt. */
     public void disconnect() {
         request(Frame.of(StompCommand.DISCONNECT), error -> channel.close());
     }
 
-    /** Breaks the connection off at once, as a crash would. */
+    /** Closes the connection at once, as a crash would. */
     public void cut() {
         channel.close();
     }
@@ -222,24 +226,27 @@
         switch (frame.command()) {
             case CONNECTED -> {
                 connected = true;
-                Heartbeat peer = Heartbeat.parse(frame.header("heart-beat"));
-                Heartbeat ours = target.heartbeat();
-                HeartbeatHandler.start(ctx.pipeline(), ours.sendEvery(peer), ours.hearEvery(peer));
+                Heartbeat peerHeartbeat = Heartbeat.parse(frame.header("heart-beat"));
+                Heartbeat ownHeartbeat = target.heartbeat();
+                HeartbeatHandler.start(
+                        ctx.pipeline(),
+                        ownHeartbeat.negotiatedSendMillis(peerHeartbeat),
+                        ownHeartbeat.negotiatedReceiveMillis(peerHeartbeat));
                 listener.connected(this);
             }
             case MESSAGE -> listener.message(this, frame);
             case RECEIPT -> {
-                Receipt waiting = receipts.remove(frame.header("receipt-id", ""));
-                if (waiting != null) {
-                    waiting.done(null);
+                Receipt receipt = receipts.remove(frame.header("receipt-id", ""));
+                if (receipt != null) {
+                    receipt.done(null);
                 }
             }
             case ERROR -> {
                 String detail = frame.body().length > 0 ? ": " + frame.text() : "";
-                why = frame.header("message", "error") + detail;
-                Receipt guilty = receipts.remove(frame.header("receipt-id", ""));
-                if (guilty != null) {
-                    guilty.done(why);
+                closeReason = frame.header("message", "error") + detail;
+                Receipt failedReceipt = receipts.remove(frame.header("receipt-id", ""));
+                if (failedReceipt != null) {
+                    failedReceipt.done(closeReason);
                 }
                 ctx.close();
             }
@@ -250,7 +257,7 @@
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
         if (event == HeartbeatHandler.PeerSilent.INSTANCE) {
-            why = "the placer was silent for longer than the heart-beat agreed";
+            closeReason = "the placer was silent for longer than the heart-beat agreed";
             ctx.close();
         } else {
             ctx.fireUserEventTriggered(event);
@@ -259,22 +266,22 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        why = String.valueOf(cause.getMessage());
+        closeReason = String.valueOf(cause.getMessage());
         ctx.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(done -> ctx.close());
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        end(why);
+        end(closeReason);
     }
 
-    private void end(String because) {
-        if (!over) {
-            over = true;
-            why = because;
-            receipts.values().forEach(r -> r.done(because));
+    private void end(String reason) {
+        if (!ended) {
+            ended = true;
+            closeReason = reason;
+            receipts.values().forEach(receipt -> receipt.done(reason));
             receipts.clear();
-            listener.closed(this, because);
+            listener.closed(this, reason);
         }
     }
 }
--- a/protocol/src/main/java/thornferry/protocol/Destinations.java
+++ b/protocol/src/main/java/thornferry/protocol/Destinations.java
@@ -1,19 +1,19 @@
 package thornferry.protocol;
 
-/** The destinations that a placer knows; docs/protocol.md tells what each takes. */
+/** The destinations of a placer; docs/protocol.md describes each. */
 public final class Destinations {
     public static final String TASKS = "/tasks";
     public static final String STOP = "/tasks/stop";
     public static final String RESULTS = "/tasks/results";
 
-    /** SUBSCRIBE: one's own waiting tasks as their reasons change. SEND: a table of them. */
+    /** SUBSCRIBE: the client's pending tasks as their reasons change. SEND: a table of them. */
     public static final String WAITING = "/tasks/waiting";
 
     public static final String WHY = "/tasks/why";
     public static final String LIMITS = "/limits";
     public static final String RELOAD = "/placer/reload";
 
-    /** What {@code reply-to} may name begins so; it is the asking connection's alone. */
+    /** Prefix of every {@code reply-to}; private to the requesting connection. */
     public static final String REPLIES = "/replies/";
 
     public static final String REGISTER = "/nodes/register";
--- a/protocol/src/main/java/thornferry/protocol/Frame.java
+++ b/protocol/src/main/java/thornferry/protocol/Frame.java
@@ -8,11 +8,11 @@
 import java.util.Objects;
 
 /**
- * One STOMP 1.2 frame, immutable and free of pooled buffers, so that it can be kept past the read
- * it came in.
+ * One STOMP 1.2 frame, immutable and free of pooled buffers, so that it can be retained after the
+ * read that brought it.
  *
- * <p>Headers keep their order and their repeats; {@link #header} gives the first of a repeated
- * header, which is the one that counts (specification, "Repeated Header Entries"). The body is not
+ * <p>Headers keep their order and repetitions; {@link #header} gives the first of a repeated
+ * header, which is the valid one (specification, "Repeated Header Entries"). The body is not
  * copied: callers leave it unchanged.
  */
 public record Frame(StompCommand command, List<Map.Entry<String, String>> headers, byte[] body) {
--- a/protocol/src/main/java/thornferry/protocol/FrameDecoder.java
+++ b/protocol/src/main/java/thornferry/protocol/FrameDecoder.java
@@ -16,16 +16,16 @@
 import java.util.Map;
 
 /**
- * Reads STOMP 1.2 frames, strictly: what the specification forbids ends the connection. After an
- * error nothing more is read. What is held for one frame is bounded by the limits, whatever a peer
+ * Decodes STOMP 1.2 frames strictly: what the specification forbids ends the connection. After an
+ * error nothing more is read. The memory for one frame is bounded by the limits, whatever a peer
  * sends and in whatever pieces.
  */
 final class FrameDecoder extends ByteToMessageDecoder {
     private enum State {
-        BETWEEN,
+        BETWEEN_FRAMES,
         HEADERS,
         BODY,
-        BROKEN
+        FAILED
     }
 
     private static final Map<String, StompCommand> COMMANDS = new HashMap<>();
@@ -39,11 +39,11 @@
     }
 
     private final FrameLimits limits;
-    private State state = State.BETWEEN;
+    private State state = State.BETWEEN_FRAMES;
     private StompCommand command;
     private List<Map.Entry<String, String>> headers = new ArrayList<>();
-    private int length; // of the body, -1 where it ends at the first NUL
-    private int scanned; // octets from the reader index known not to hold what is looked for
+    private int bodyLength; // -1 if the body ends at the first NUL
+    private int scannedBytes; // bytes from the reader index that do not contain the wanted one
 
     FrameDecoder(FrameLimits limits) {
         this.limits = limits;
@@ -59,33 +59,33 @@
                 }
             }
         } catch (RuntimeException e) {
-            state = State.BROKEN;
+            state = State.FAILED;
             throw e;
         }
     }
 
-    /** Gets one step further; false where more octets are needed. */
+    /** Decodes one part; false if more bytes are needed. */
     private boolean step(ByteBuf in, List<Object> out) {
         switch (state) {
-            case BETWEEN:
-                return between(in);
+            case BETWEEN_FRAMES:
+                return skipBetweenFrames(in);
             case HEADERS:
-                return line(in);
+                return readLine(in);
             case BODY:
-                return body(in, out);
+                return readBody(in, out);
             default:
                 in.skipBytes(in.readableBytes());
                 return false;
         }
     }
 
-    /** Ends of lines between frames are heart-beats, or padding that the specification allows. */
-    private boolean between(ByteBuf in) {
+    /** Line ends between frames are heartbeats, or padding that the specification allows. */
+    private boolean skipBetweenFrames(ByteBuf in) {
         while (in.isReadable()) {
-            byte next = in.getByte(in.readerIndex());
-            if (next == '\n') {
+            byte nextByte = in.getByte(in.readerIndex());
+            if (nextByte == '\n') {
                 in.skipBytes(1);
-            } else if (next == '\r') {
+            } else if (nextByte == '\r') {
                 if (in.readableBytes() < 2) {
                     return false;
                 }
@@ -97,59 +97,56 @@
                 state = State.HEADERS;
                 command = null;
                 headers = new ArrayList<>();
-                scanned = 0;
+                scannedBytes = 0;
                 return true;
             }
         }
         return false;
     }
 
-    private boolean line(ByteBuf in) {
-        int end = find(in, (byte) '\n', limits.line() + 1);
+    private boolean readLine(ByteBuf in) {
+        int end = find(in, (byte) '\n', limits.maxHeaderLineBytes() + 1);
         if (end < 0) {
             return false;
         }
-        byte[] octets = ByteBufUtil.getBytes(in, in.readerIndex(), end);
+        byte[] bytes = ByteBufUtil.getBytes(in, in.readerIndex(), end);
         in.skipBytes(end + 1);
-        int size = end > 0 && octets[end - 1] == '\r' ? end - 1 : end;
+        int size = end > 0 && bytes[end - 1] == '\r' ? end - 1 : end;
         if (command == null) {
-            command = COMMANDS.get(new String(octets, 0, size, StandardCharsets.US_ASCII));
+            command = COMMANDS.get(new String(bytes, 0, size, StandardCharsets.US_ASCII));
             if (command == null) {
                 throw new CorruptedFrameException("unknown command");
             }
         } else if (size > 0) {
-            header(octets, size);
+            addHeader(bytes, size);
         } else {
-            length = length();
+            bodyLength = bodyLength();
             state = State.BODY;
         }
         return true;
     }
 
-    /**
-     * Where the octet stands, counted from the reader index, or -1; raises where it cannot stand
-     * within the limit.
-     */
-    private int find(ByteBuf in, byte octet, int limit) {
-        int at = in.indexOf(in.readerIndex() + scanned, in.writerIndex(), octet);
-        int end = at < 0 ? -1 : at - in.readerIndex();
+    /** Offset of the byte from the reader index, or -1; throws if it cannot be within the limit. */
+    private int find(ByteBuf in, byte wanted, int limit) {
+        int index = in.indexOf(in.readerIndex() + scannedBytes, in.writerIndex(), wanted);
+        int end = index < 0 ? -1 : index - in.readerIndex();
         if (end >= limit || end < 0 && in.readableBytes() >= limit) {
             throw new TooLongFrameException("over " + (limit - 1) + " octets");
         }
-        scanned = end < 0 ? in.readableBytes() : 0;
+        scannedBytes = end < 0 ? in.readableBytes() : 0;
         return end;
     }
 
-    private void header(byte[] octets, int size) {
-        if (headers.size() >= limits.headers()) {
-            throw new TooLongFrameException("over " + limits.headers() + " headers");
+    private void addHeader(byte[] bytes, int size) {
+        if (headers.size() >= limits.maxHeaders()) {
+            throw new TooLongFrameException("over " + limits.maxHeaders() + " headers");
         }
         String text;
         try {
             text =
                     StandardCharsets.UTF_8
                             .newDecoder()
-                            .decode(ByteBuffer.wrap(octets, 0, size))
+                            .decode(ByteBuffer.wrap(bytes, 0, size))
                             .toString();
         } catch (CharacterCodingException e) {
             throw new CorruptedFrameException("a header is not UTF-8");
@@ -160,46 +157,47 @@
         }
         // CONNECT and CONNECTED stay unescaped, for peers of version 1.0 (specification, "Value
         // Encoding")
-        boolean plain = command == StompCommand.CONNECT || command == StompCommand.CONNECTED;
+        boolean unescaped = command == StompCommand.CONNECT || command == StompCommand.CONNECTED;
         String name = text.substring(0, colon);
         String value = text.substring(colon + 1);
-        headers.add(Map.entry(plain ? name : unescape(name), plain ? value : unescape(value)));
+        headers.add(
+                Map.entry(unescaped ? name : unescape(name), unescaped ? value : unescape(value)));
     }
 
     private static String unescape(String text) {
         if (text.indexOf('\\') < 0) {
             return text;
         }
-        StringBuilder plain = new StringBuilder(text.length());
+        StringBuilder unescaped = new StringBuilder(text.length());
         for (int i = 0; i < text.length(); i++) {
-            char c = text.charAt(i);
-            if (c != '\\') {
-                plain.append(c);
+            char character = text.charAt(i);
+            if (character != '\\') {
+                unescaped.append(character);
                 continue;
             }
             char escaped = ++i < text.length() ? text.charAt(i) : ' ';
             switch (escaped) {
-                case 'n' -> plain.append('\n');
-                case 'r' -> plain.append('\r');
-                case 'c' -> plain.append(':');
-                case '\\' -> plain.append('\\');
+                case 'n' -> unescaped.append('\n');
+                case 'r' -> unescaped.append('\r');
+                case 'c' -> unescaped.append(':');
+                case '\\' -> unescaped.append('\\');
                 default -> throw new CorruptedFrameException("undefined escape in a header");
             }
         }
-        return plain.toString();
+        return unescaped.toString();
     }
 
-    private int length() {
+    private int bodyLength() {
         for (Map.Entry<String, String> header : headers) {
             if (header.getKey().equals("content-length")) {
                 try {
-                    long told = Long.parseLong(header.getValue().trim());
-                    if (told > limits.body()) {
+                    long contentLength = Long.parseLong(header.getValue().trim());
+                    if (contentLength > limits.maxBodyBytes()) {
                         throw new TooLongFrameException(
-                                "a body of over " + limits.body() + " octets");
+                                "a body of over " + limits.maxBodyBytes() + " octets");
                     }
-                    if (told >= 0) {
-                        return (int) told;
+                    if (contentLength >= 0) {
+                        return (int) contentLength;
                     }
                 } catch (NumberFormatException e) {
                     // falls through to the message below
@@ -210,10 +208,10 @@
         return -1;
     }
 
-    private boolean body(ByteBuf in, List<Object> out) {
-        int size = length;
+    private boolean readBody(ByteBuf in, List<Object> out) {
+        int size = bodyLength;
         if (size < 0) {
-            size = find(in, (byte) 0, limits.body() + 1);
+            size = find(in, (byte) 0, limits.maxBodyBytes() + 1);
             if (size < 0) {
                 return false;
             }
@@ -229,11 +227,11 @@
         if (size > 0 && !mayHaveBody) {
             throw new CorruptedFrameException(command + " must not have a body");
         }
-        byte[] octets = ByteBufUtil.getBytes(in, in.readerIndex(), size);
+        byte[] bytes = ByteBufUtil.getBytes(in, in.readerIndex(), size);
         in.skipBytes(size + 1);
-        out.add(new Frame(command, headers, octets));
-        state = State.BETWEEN;
-        scanned = 0;
+        out.add(new Frame(command, headers, bytes));
+        state = State.BETWEEN_FRAMES;
+        scannedBytes = 0;
         return true;
     }
 }
--- a/protocol/src/main/java/thornferry/protocol/FrameLimits.java
+++ b/protocol/src/main/java/thornferry/protocol/FrameLimits.java
@@ -1,21 +1,31 @@
 package thornferry.protocol;
 
 /**
- * Bounds of what a peer may send; beyond them it gets an ERROR and is cut off (specification, "Size
- * Limits").
+ * Bounds of what a peer may send; beyond them it gets an ERROR and is disconnected (specification,
+ * "Size Limits").
  *
- * @param line octets of a header line
- * @param headers header lines of a frame
- * @param body octets of a body
- * @param unwritten octets that may wait to be written to a peer before it counts as a slow reader
+ * @param maxHeaderLineBytes bytes of a header line
+ * @param maxHeaders header lines of a frame
+ * @param maxBodyBytes bytes of a body
+ * @param maxUnwrittenBytes bytes that may wait to be written to a peer before it counts as a slow
+ *     reader
  */
-public record FrameLimits(int line, int headers, int body, int unwritten) {
-    public static final FrameLimits USUAL = new FrameLimits(4096, 64, 1 << 20, 4 << 20);
+public record FrameLimits(
+        int maxHeaderLineBytes, int maxHeaders, int maxBodyBytes, int maxUnwrittenBytes) {
+    public static final FrameLimits DEFAULTS = new FrameLimits(4096, 64, 1 << 20, 4 << 20);
 
     public FrameLimits {
-        if (line < 64 || headers < 8 || body < 1024 || unwritten < 4096) {
+        if (maxHeaderLineBytes < 64
+                || maxHeaders < 8
+                || maxBodyBytes < 1024
+                || maxUnwrittenBytes < 4096) {
             throw new IllegalArgumentException(
-                    "frame limits too small: " + line + ", " + headers + ", " + body);
+                    "frame limits too small: "
+                            + maxHeaderLineBytes
+                            + ", "
+                            + maxHeaders
+                            + ", "
+                            + maxBodyBytes);
         }
     }
 }
--- a/protocol/src/main/java/thornferry/protocol/Framing.java
+++ b/protocol/src/main/java/thornferry/protocol/Framing.java
@@ -9,9 +9,9 @@
 import java.util.List;
 
 /**
- * Framing, from octets to {@link Frame} and back. Writing is Netty's; reading is {@link
- * FrameDecoder}, since Netty's reader loses headers when a frame arrives in pieces and lets through
- * what the specification forbids.
+ * Framing, from bytes to {@link Frame} and back. Writing is Netty's; reading is {@link
+ * FrameDecoder}, since Netty's loses headers when a frame arrives in pieces and accepts what the
+ * specification forbids.
  */
 public final class Framing {
     private Framing() {}
--- a/protocol/src/main/java/thornferry/protocol/Heartbeat.java
+++ b/protocol/src/main/java/thornferry/protocol/Heartbeat.java
@@ -4,11 +4,11 @@
  * One side's offer in the {@code heart-beat} header (specification, "Heart-beating"), in
  * milliseconds.
  *
- * @param sends how often this side can send; 0 for never
- * @param wants how often this side wishes to hear; 0 for not at all
+ * @param sendIntervalMillis how often this side can send; 0 for never
+ * @param receiveIntervalMillis how often this side wants the peer to send; 0 for never
  */
-public record Heartbeat(int sends, int wants) {
-    private static final int LONGEST = 3_600_000;
+public record Heartbeat(int sendIntervalMillis, int receiveIntervalMillis) {
+    private static final int MAX_INTERVAL_MILLIS = 3_600_000;
 
     public static final Heartbeat NONE = new Heartbeat(0, 0);
 
@@ -20,11 +20,12 @@
         String[] parts = header.split(",", -1);
         try {
             if (parts.length == 2) {
-                long sends = Long.parseLong(parts[0].trim());
-                long wants = Long.parseLong(parts[1].trim());
-                if (sends >= 0 && wants >= 0) {
+                long sendMillis = Long.parseLong(parts[0].trim());
+                long receiveMillis = Long.parseLong(parts[1].trim());
+                if (sendMillis >= 0 && receiveMillis >= 0) {
                     return new Heartbeat(
-                            (int) Math.min(LONGEST, sends), (int) Math.min(LONGEST, wants));
+                            (int) Math.min(MAX_INTERVAL_MILLIS, sendMillis),
+                            (int) Math.min(MAX_INTERVAL_MILLIS, receiveMillis));
                 }
             }
         } catch (NumberFormatException e) {
@@ -35,20 +36,22 @@
     }
 
     /**
-     * How often we send, given both offers: the larger of what we can and what the peer wants; 0
-     * for never.
+     * How often this side sends, given both offers: the larger of its own interval and the peer's
+     * wish; 0 for never.
      */
-    public int sendEvery(Heartbeat peer) {
-        return sends == 0 || peer.wants == 0 ? 0 : Math.max(sends, peer.wants);
+    public int negotiatedSendMillis(Heartbeat peer) {
+        return sendIntervalMillis == 0 || peer.receiveIntervalMillis == 0
+                ? 0
+                : Math.max(sendIntervalMillis, peer.receiveIntervalMillis);
     }
 
     /** How often the peer sends, by the same rule. */
-    public int hearEvery(Heartbeat peer) {
-        return peer.sendEvery(this);
+    public int negotiatedReceiveMillis(Heartbeat peer) {
+        return peer.negotiatedSendMillis(this);
     }
 
     /** The value of the {@code heart-beat} header. */
     public String header() {
-        return sends + "," + wants;
+        return sendIntervalMillis + "," + receiveIntervalMillis;
     }
 }
--- a/protocol/src/main/java/thornferry/protocol/HeartbeatHandler.java
+++ b/protocol/src/main/java/thornferry/protocol/HeartbeatHandler.java
@@ -8,103 +8,110 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Beats and listens on one connection. It stands outside framing, since any octet counts as a sign
- * of life, also one in the middle of a long frame. A peer found silent is reported as {@link
- * PeerSilent}.
+ * Sends heartbeats and checks for those of the peer on one connection. It comes before framing in
+ * the pipeline, since any byte counts as a sign of life, also one within a long frame. A silent
+ * peer is reported as {@link PeerSilent}.
  */
 final class HeartbeatHandler extends ChannelDuplexHandler {
-    /** A user event: the peer was silent beyond what was agreed and its margin. */
+    /** A user event: the peer was silent for longer than negotiated and the margin. */
     enum PeerSilent {
         INSTANCE
     }
 
     /**
-     * A peer may be late by its own interval once more: timers and the way there both cost time.
+     * A peer may be late by its own interval once more, since timers and the network both take
+     * time.
      */
     private static final int MARGIN_PERCENT = 100;
 
-    private Future<?> beating;
-    private Future<?> listening;
+    private Future<?> sendTimer;
+    private Future<?> receiveTimer;
     private Liveness liveness;
-    private long wroteAt;
+    private long writtenAtMicros;
 
-    static long micros() {
+    static long nowMicros() {
         return System.nanoTime() / 1_000;
     }
 
-    /** Starts both directions; 0 leaves one out. Called again, it replaces what ran before. */
-    void start(ChannelHandlerContext ctx, int sendEveryMs, int hearEveryMs) {
+    /** Starts both directions, replacing earlier timers; an interval of 0 disables one. */
+    void start(ChannelHandlerContext ctx, int sendIntervalMillis, int receiveIntervalMillis) {
         stop();
-        wroteAt = micros();
-        if (sendEveryMs > 0) {
-            // looked at twice an interval: a write just after a look would else leave almost two
-            // without a beat
-            long every = Math.max(1, sendEveryMs / 2);
-            beating =
+        writtenAtMicros = nowMicros();
+        if (sendIntervalMillis > 0) {
+            // checked twice an interval: after a write just behind a check, almost two intervals
+            // would otherwise pass without a heartbeat
+            long checkIntervalMillis = Math.max(1, sendIntervalMillis / 2);
+            sendTimer =
                     ctx.executor()
                             .scheduleAtFixedRate(
-                                    () -> beat(ctx, sendEveryMs * 500L),
-                                    every,
-                                    every,
+                                    () -> sendHeartbeatIfIdle(ctx, sendIntervalMillis * 500L),
+                                    checkIntervalMillis,
+                                    checkIntervalMillis,
                                     TimeUnit.MILLISECONDS);
         }
-        if (hearEveryMs > 0) {
-            long interval = hearEveryMs * 1_000L;
-            liveness = new Liveness(interval, interval * MARGIN_PERCENT / 100, micros());
-            listening =
+        if (receiveIntervalMillis > 0) {
+            long intervalMicros = receiveIntervalMillis * 1_000L;
+            liveness =
+                    new Liveness(
+                            intervalMicros, intervalMicros * MARGIN_PERCENT / 100, nowMicros());
+            receiveTimer =
                     ctx.executor()
                             .scheduleWithFixedDelay(
-                                    () -> look(ctx),
-                                    liveness.lookEvery(),
-                                    liveness.lookEvery(),
+                                    () -> checkPeer(ctx),
+                                    liveness.checkIntervalMicros(),
+                                    liveness.checkIntervalMicros(),
                                     TimeUnit.MICROSECONDS);
         }
     }
 
     /** The same on the handler of this type in a pipeline. */
-    static void start(io.netty.channel.ChannelPipeline pipeline, int sendEveryMs, int hearEveryMs) {
+    static void start(
+            io.netty.channel.ChannelPipeline pipeline,
+            int sendIntervalMillis,
+            int receiveIntervalMillis) {
         ChannelHandlerContext ctx = pipeline.context(HeartbeatHandler.class);
         if (ctx != null) {
-            ((HeartbeatHandler) ctx.handler()).start(ctx, sendEveryMs, hearEveryMs);
+            ((HeartbeatHandler) ctx.handler())
+                    .start(ctx, sendIntervalMillis, receiveIntervalMillis);
         }
     }
 
-    private void beat(ChannelHandlerContext ctx, long idle) {
-        if (micros() - wroteAt >= idle && ctx.channel().isWritable()) {
-            wroteAt = micros();
+    private void sendHeartbeatIfIdle(ChannelHandlerContext ctx, long idleMicros) {
+        if (nowMicros() - writtenAtMicros >= idleMicros && ctx.channel().isWritable()) {
+            writtenAtMicros = nowMicros();
             ctx.writeAndFlush(Unpooled.wrappedBuffer(new byte[] {'\n'}));
         }
     }
 
-    private void look(ChannelHandlerContext ctx) {
-        if (liveness != null && liveness.silent(micros())) {
+    private void checkPeer(ChannelHandlerContext ctx) {
+        if (liveness != null && liveness.isSilent(nowMicros())) {
             stop();
             ctx.fireUserEventTriggered(PeerSilent.INSTANCE);
         }
     }
 
     private void stop() {
-        if (beating != null) {
-            beating.cancel(false);
+        if (sendTimer != null) {
+            sendTimer.cancel(false);
         }
-        if (listening != null) {
-            listening.cancel(false);
+        if (receiveTimer != null) {
+            receiveTimer.cancel(false);
         }
         liveness = null;
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext ctx, Object msg) {
+    public void channelRead(ChannelHandlerContext ctx, Object message) {
         if (liveness != null) {
-            liveness.heard(micros());
+            liveness.received(nowMicros());
         }
-        ctx.fireChannelRead(msg);
+        ctx.fireChannelRead(message);
     }
 
     @Override
-    public void write(ChannelHandlerContext ctx, Object msg, ChannelPromise promise) {
-        wroteAt = micros();
-        ctx.write(msg, promise);
+    public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
+        writtenAtMicros = nowMicros();
+        ctx.write(message, promise);
     }
 
     @Override
--- a/protocol/src/main/java/thornferry/protocol/Liveness.java
+++ b/protocol/src/main/java/thornferry/protocol/Liveness.java
@@ -1,50 +1,47 @@
 package thornferry.protocol;
 
 /**
- * Whether a peer that promised to be heard from every so often has fallen silent. Times are
- * microseconds; no clock.
+ * Detects that a peer has been silent for longer than its heartbeat allows. Reads no clock.
  *
- * <p>Guards against condemning every peer at once after a pause of our own: when looks come much
- * later than they should, the time in which nobody looked is not held against the peer, whose
- * octets may wait unread.
+ * <p>After a pause of this process every peer would seem silent at once. So if checks come much
+ * later than scheduled, the time without checks does not count: the peer's bytes may wait unread.
  */
 public final class Liveness {
-    private final long expected;
-    private final long lookEvery;
-    private long heardAt;
-    private long lookedAt;
+    private final long maxSilenceMicros;
+    private final long checkIntervalMicros;
+    private long receivedAtMicros;
+    private long checkedAtMicros;
 
     /**
-     * @param interval what was agreed: the peer sends at least once in this time
-     * @param margin what is allowed beyond it for delays on the way
+     * @param intervalMicros what was agreed: the peer sends at least once in this time
+     * @param marginMicros what is allowed beyond it for delays on the way
      */
-    public Liveness(long interval, long margin, long now) {
-        this.expected = interval + margin;
-        this.lookEvery = Math.max(1_000, expected / 4);
-        this.heardAt = now;
-        this.lookedAt = now;
+    public Liveness(long intervalMicros, long marginMicros, long nowMicros) {
+        this.maxSilenceMicros = intervalMicros + marginMicros;
+        this.checkIntervalMicros = Math.max(1_000, maxSilenceMicros / 4);
+        this.receivedAtMicros = nowMicros;
+        this.checkedAtMicros = nowMicros;
     }
 
-    /** How often {@link #silent} wants to be asked, in microseconds. */
-    public long lookEvery() {
-        return lookEvery;
+    /** How often {@link #isSilent} is to be called. */
+    public long checkIntervalMicros() {
+        return checkIntervalMicros;
     }
 
     /** Something was received at this time. */
-    public void heard(long now) {
-        heardAt = now;
+    public void received(long nowMicros) {
+        receivedAtMicros = nowMicros;
     }
 
     /**
-     * True once the peer was silent for longer than agreed, not counting time in which we stood
-     * still.
+     * Whether the peer was silent for longer than negotiated, not counting pauses of this process.
      */
-    public boolean silent(long now) {
-        long late = now - lookedAt - lookEvery;
-        if (late > lookEvery) {
-            heardAt = Math.min(now, heardAt + late);
+    public boolean isSilent(long nowMicros) {
+        long lateMicros = nowMicros - checkedAtMicros - checkIntervalMicros;
+        if (lateMicros > checkIntervalMicros) {
+            receivedAtMicros = Math.min(nowMicros, receivedAtMicros + lateMicros);
         }
-        lookedAt = now;
-        return now - heardAt > expected;
+        checkedAtMicros = nowMicros;
+        return nowMicros - receivedAtMicros > maxSilenceMicros;
     }
 }
--- a/protocol/src/main/java/thornferry/protocol/ProtocolException.java
+++ b/protocol/src/main/java/thornferry/protocol/ProtocolException.java
@@ -1,8 +1,8 @@
 package thornferry.protocol;
 
 /**
- * What a peer did wrong, in words fit for the {@code message} header of the ERROR frame that it
- * gets.
+ * A violation of the protocol by a peer. The message goes into the {@code message} header of the
+ * ERROR frame that the peer gets.
  */
 public final class ProtocolException extends Exception {
     private static final long serialVersionUID = 1;
--- a/protocol/src/main/java/thornferry/protocol/ServerSession.java
+++ b/protocol/src/main/java/thornferry/protocol/ServerSession.java
@@ -22,24 +22,24 @@
 
 /**
  * The server's half of one STOMP 1.2 connection: handshake, subscriptions, acknowledgements,
- * transactions, receipts, and an ERROR before the close for whatever the peer does wrong. What the
- * frames mean is the {@link SessionHandler}'s.
+ * transactions, receipts, and an ERROR before the close if the peer violates the protocol. The
+ * {@link SessionHandler} handles the content of frames.
  *
  * <p>Everything runs on the connection's event loop.
  */
 public final class ServerSession extends SimpleChannelInboundHandler<Frame> {
     /**
-     * What stands behind the sessions. An exception refuses the frame: the peer gets an ERROR and
-     * is cut off.
+     * Handles the events of sessions. An exception rejects the frame: the peer gets an ERROR and is
+     * disconnected.
      */
     public interface SessionHandler {
         /**
-         * Who the peer is. {@code login} and {@code passcode} may be null where it sent none. The
-         * answer may come later, on the connection's event loop: {@link #admit} or {@link #fail}.
+         * The peer logs in. {@code login} and {@code passcode} are null if it sent none. The answer
+         * may come later, on the connection's event loop: {@link #admit} or {@link #fail}.
          */
         void connecting(ServerSession session, String login, String passcode);
 
-        /** A SEND. When it returns, the frame counts as taken and its receipt goes out. */
+        /** A SEND. When it returns, the frame is processed and its receipt is sent. */
         void sent(ServerSession session, String destination, Frame frame) throws ProtocolException;
 
         /** The peer subscribes to a destination. */
@@ -49,72 +49,78 @@
         /** The peer ends its subscription to a destination. */
         void unsubscribed(ServerSession session, String destination);
 
-        /** An acknowledgement ({@code good}) or its refusal, for the message of that id. */
+        /** An ACK ({@code good}) or NACK for the message of that id. */
         void acknowledged(ServerSession session, String messageId, boolean good);
 
         /**
-         * The connection is over; why, in words. Called once for each session that was admitted.
+         * The connection is closed, for the reason given. Called once for each admitted session.
          */
         void closed(ServerSession session, String why);
     }
 
     private record Subscription(String id, String destination, boolean acks, boolean cumulative) {}
 
-    private record Unacked(String message, String subscription) {}
+    private record UnacknowledgedMessage(String message, String subscription) {}
 
-    /** Frames that a peer may send before it is told CONNECTED. */
-    private static final int MOST_EARLY = 64;
+    /** Bound of the frames that a peer may send before CONNECTED. */
+    private static final int MAX_EARLY_FRAMES = 64;
 
-    private static final int MOST_SUBSCRIPTIONS = 1_000;
-    private static final int MOST_UNACKED = 10_000;
-    private static final int MOST_TRANSACTIONS = 16;
-    private static final int MOST_IN_TRANSACTION = 256;
+    private static final int MAX_SUBSCRIPTIONS = 1_000;
+    private static final int MAX_UNACKNOWLEDGED = 10_000;
+    private static final int MAX_TRANSACTIONS = 16;
+    private static final int MAX_FRAMES_IN_TRANSACTION = 256;
 
-    private final SessionHandler front;
+    private final SessionHandler handler;
     private final Heartbeat heartbeat;
     private final String server;
-    private final int handshakeMs;
+    private final int handshakeTimeoutMillis;
     private final Map<String, Subscription> subscriptions = new LinkedHashMap<>();
     private final Map<String, List<Frame>> transactions = new HashMap<>();
-    private final Map<String, Unacked> unacked = new LinkedHashMap<>();
+    private final Map<String, UnacknowledgedMessage> unacknowledged = new LinkedHashMap<>();
     private ChannelHandlerContext ctx;
     private String login;
     private boolean connected;
-    private Heartbeat asked; // in a CONNECT that is being looked at
-    private final List<Frame> early = new ArrayList<>();
+    private Heartbeat requestedHeartbeat; // of a CONNECT whose login is being checked
+    private final List<Frame> earlyFrames = new ArrayList<>();
     private boolean closing;
-    private String why = "the peer closed the connection";
+    private String closeReason = "the peer closed the connection";
     private long messages;
     private Object attachment;
 
     private ServerSession(
-            SessionHandler front, Heartbeat heartbeat, String server, int handshakeMs) {
-        this.front = front;
+            SessionHandler handler,
+            Heartbeat heartbeat,
+            String server,
+            int handshakeTimeoutMillis) {
+        this.handler = handler;
         this.heartbeat = heartbeat;
         this.server = server;
-        this.handshakeMs = handshakeMs;
+        this.handshakeTimeoutMillis = handshakeTimeoutMillis;
     }
 
     /**
-     * Makes a session of an accepted connection.
+     * Installs a session on an accepted connection.
      *
-     * @param handshakeMs a peer that has not sent CONNECT after so long is cut off; milliseconds
+     * @param handshakeTimeoutMillis a peer that has not sent CONNECT within this time is
+     *     disconnected
      */
     public static void install(
             Channel channel,
-            SessionHandler front,
+            SessionHandler handler,
             FrameLimits limits,
             Heartbeat heartbeat,
             String server,
-            int handshakeMs) {
+            int handshakeTimeoutMillis) {
         channel.config()
                 .setWriteBufferWaterMark(
-                        new WriteBufferWaterMark(limits.unwritten() / 2, limits.unwritten()));
+                        new WriteBufferWaterMark(
+                                limits.maxUnwrittenBytes() / 2, limits.maxUnwrittenBytes()));
         ChannelPipeline pipeline = channel.pipeline();
         pipeline.addLast("flushes", new FlushConsolidationHandler(256, true));
         pipeline.addLast("heartbeat", new HeartbeatHandler());
         Framing.install(pipeline, limits);
-        pipeline.addLast("session", new ServerSession(front, heartbeat, server, handshakeMs));
+        pipeline.addLast(
+                "session", new ServerSession(handler, heartbeat, server, handshakeTimeoutMillis));
     }
 
     /** The login that was authenticated; null before CONNECTED. */
@@ -122,7 +128,7 @@
         return login;
     }
 
-    /** Whatever the front keeps with this session; null at first. */
+    /** The object that the handler attached to this session; null at first. */
     public Object attachment() {
         return attachment;
     }
@@ -142,7 +148,7 @@
         return subscriptions.values().stream().anyMatch(s -> s.destination().equals(destination));
     }
 
-    /** Whether messages to this destination wait for an acknowledgement. */
+    /** Whether messages to this destination are acknowledged by the peer. */
     public boolean acknowledges(String destination) {
         return subscriptions.values().stream()
                 .anyMatch(s -> s.destination().equals(destination) && s.acks());
@@ -164,7 +170,7 @@
             if (!s.destination().equals(destination)) {
                 continue;
             }
-            if (!ctx.channel().isWritable() || unacked.size() >= MOST_UNACKED) {
+            if (!ctx.channel().isWritable() || unacknowledged.size() >= MAX_UNACKNOWLEDGED) {
                 fail("too slow a reader: messages for you are held back", null);
                 return null;
             }
@@ -175,7 +181,7 @@
                             .with("message-id", messageId);
             if (s.acks()) {
                 String ack = s.id() + "-" + ++messages;
-                unacked.put(ack, new Unacked(messageId, s.id()));
+                unacknowledged.put(ack, new UnacknowledgedMessage(messageId, s.id()));
                 frame = frame.with("ack", ack);
             }
             last = ctx.writeAndFlush(frame);
@@ -194,11 +200,11 @@
         ctx.executor()
                 .schedule(
                         () -> {
-                            if (!connected && !closing && asked == null) {
-                                fail("no CONNECT within " + handshakeMs + " ms", null);
+                            if (!connected && !closing && requestedHeartbeat == null) {
+                                fail("no CONNECT within " + handshakeTimeoutMillis + " ms", null);
                             }
                         },
-                        handshakeMs,
+                        handshakeTimeoutMillis,
                         TimeUnit.MILLISECONDS);
     }
 
@@ -208,16 +214,16 @@
             return; // after an ERROR nothing more is taken (specification, "ERROR")
         }
         try {
-            if (!connected && asked != null) {
-                if (early.size() >= MOST_EARLY) {
+            if (!connected && requestedHeartbeat != null) {
+                if (earlyFrames.size() >= MAX_EARLY_FRAMES) {
                     throw new ProtocolException(
-                            "more than " + MOST_EARLY + " frames before CONNECTED");
+                            "more than " + MAX_EARLY_FRAMES + " frames before CONNECTED");
                 }
-                early.add(frame);
+                earlyFrames.add(frame);
             } else if (!connected) {
                 handshake(frame);
             } else {
-                take(frame);
+                process(frame);
             }
         } catch (ProtocolException e) {
             error(e, frame.header("receipt"));
@@ -243,11 +249,11 @@
             closing("no common version");
             return;
         }
-        asked = Heartbeat.parse(frame.header("heart-beat"));
-        front.connecting(this, frame.header("login"), frame.header("passcode"));
+        requestedHeartbeat = Heartbeat.parse(frame.header("heart-beat"));
+        handler.connecting(this, frame.header("login"), frame.header("passcode"));
     }
 
-    /** The peer is let in, as {@code name}. Ignored where it has gone meanwhile. */
+    /** Admits the peer as {@code name}. Ignored if it has disconnected meanwhile. */
     public void admit(String name) {
         if (closing || connected) {
             return;
@@ -266,9 +272,11 @@
                         "session",
                         ctx.channel().id().asShortText()));
         HeartbeatHandler.start(
-                ctx.pipeline(), heartbeat.sendEvery(asked), heartbeat.hearEvery(asked));
-        List<Frame> waiting = List.copyOf(early);
-        early.clear();
+                ctx.pipeline(),
+                heartbeat.negotiatedSendMillis(requestedHeartbeat),
+                heartbeat.negotiatedReceiveMillis(requestedHeartbeat));
+        List<Frame> waiting = List.copyOf(earlyFrames);
+        earlyFrames.clear();
         waiting.forEach(frame -> channelRead0(ctx, frame));
     }
 
@@ -280,25 +288,27 @@
                 : String.valueOf(from);
     }
 
-    /** The connection beneath, for what TLS knows of the peer. */
+    /** The channel, for the TLS identity of the peer. */
     public Channel channel() {
         return ctx.channel();
     }
 
-    /** Whether the peer reads as fast as it is written to. */
+    /** Whether the write buffer of the connection has space. */
     public boolean writable() {
         return open() && ctx.channel().isWritable();
     }
 
-    private void take(Frame frame) throws ProtocolException {
+    private void process(Frame frame) throws ProtocolException {
         String transaction = frame.header("transaction");
         switch (frame.command()) {
             case SEND, ACK, NACK -> {
                 if (transaction != null) {
                     List<Frame> waiting = transaction(transaction);
-                    if (waiting.size() >= MOST_IN_TRANSACTION) {
+                    if (waiting.size() >= MAX_FRAMES_IN_TRANSACTION) {
                         throw new ProtocolException(
-                                "more than " + MOST_IN_TRANSACTION + " frames in a transaction");
+                                "more than "
+                                        + MAX_FRAMES_IN_TRANSACTION
+                                        + " frames in a transaction");
                     }
                     waiting.add(frame);
                 } else {
@@ -308,18 +318,18 @@
             case SUBSCRIBE -> subscribe(frame);
             case UNSUBSCRIBE -> unsubscribe(frame);
             case BEGIN -> {
-                need(frame, "transaction");
+                requiredHeader(frame, "transaction");
                 if (transactions.containsKey(transaction)
-                        || transactions.size() >= MOST_TRANSACTIONS) {
+                        || transactions.size() >= MAX_TRANSACTIONS) {
                     throw new ProtocolException(
                             transactions.containsKey(transaction)
                                     ? "transaction " + transaction + " has begun already"
-                                    : "more than " + MOST_TRANSACTIONS + " transactions");
+                                    : "more than " + MAX_TRANSACTIONS + " transactions");
                 }
                 transactions.put(transaction, new ArrayList<>());
             }
             case COMMIT -> {
-                need(frame, "transaction");
+                requiredHeader(frame, "transaction");
                 List<Frame> waiting = transaction(transaction);
                 transactions.remove(transaction);
                 for (Frame each : waiting) {
@@ -327,26 +337,26 @@
                 }
             }
             case ABORT -> {
-                need(frame, "transaction");
+                requiredHeader(frame, "transaction");
                 transaction(transaction);
                 transactions.remove(transaction);
             }
-            case DISCONNECT -> why = "the peer disconnected";
+            case DISCONNECT -> closeReason = "the peer disconnected";
             default ->
                     throw new ProtocolException(
                             frame.command() + " is not for a client to send now");
         }
         receipt(frame);
         if (frame.command() == StompCommand.DISCONNECT) {
-            closing(why);
+            closing(closeReason);
         }
     }
 
     private void perform(Frame frame) throws ProtocolException {
         if (frame.command() == StompCommand.SEND) {
-            front.sent(this, need(frame, "destination"), frame);
+            handler.sent(this, requiredHeader(frame, "destination"), frame);
         } else {
-            acknowledge(need(frame, "id"), frame.command() == StompCommand.ACK);
+            acknowledge(requiredHeader(frame, "id"), frame.command() == StompCommand.ACK);
         }
     }
 
@@ -359,8 +369,8 @@
     }
 
     private void subscribe(Frame frame) throws ProtocolException {
-        String id = need(frame, "id");
-        String destination = need(frame, "destination");
+        String id = requiredHeader(frame, "id");
+        String destination = requiredHeader(frame, "destination");
         String ack = frame.header("ack", "auto");
         if (!ack.equals("auto") && !ack.equals("client") && !ack.equals("client-individual")) {
             throw new ProtocolException(
@@ -369,13 +379,13 @@
         if (subscriptions.containsKey(id)) {
             throw new ProtocolException("subscription " + id + " stands already");
         }
-        if (subscriptions.size() >= MOST_SUBSCRIPTIONS) {
-            throw new ProtocolException("more than " + MOST_SUBSCRIPTIONS + " subscriptions");
+        if (subscriptions.size() >= MAX_SUBSCRIPTIONS) {
+            throw new ProtocolException("more than " + MAX_SUBSCRIPTIONS + " subscriptions");
         }
         subscriptions.put(
                 id, new Subscription(id, destination, !ack.equals("auto"), ack.equals("client")));
         try {
-            front.subscribed(this, id, destination);
+            handler.subscribed(this, id, destination);
         } catch (ProtocolException e) {
             subscriptions.remove(id);
             throw e;
@@ -383,37 +393,44 @@
     }
 
     private void unsubscribe(Frame frame) throws ProtocolException {
-        Subscription gone = subscriptions.remove(need(frame, "id"));
-        if (gone == null) {
+        Subscription ended = subscriptions.remove(requiredHeader(frame, "id"));
+        if (ended == null) {
             throw new ProtocolException("no subscription " + frame.header("id"));
         }
-        unacked.values().removeIf(u -> u.subscription().equals(gone.id()));
-        front.unsubscribed(this, gone.destination());
+        unacknowledged
+                .values()
+                .removeIf(
+                        unacknowledgedMessage ->
+                                unacknowledgedMessage.subscription().equals(ended.id()));
+        handler.unsubscribed(this, ended.destination());
     }
 
     private void acknowledge(String id, boolean good) throws ProtocolException {
-        Unacked one = unacked.get(id);
-        if (one == null) {
+        UnacknowledgedMessage message = unacknowledged.get(id);
+        if (message == null) {
             throw new ProtocolException("no message waits for " + id);
         }
-        Subscription s = subscriptions.get(one.subscription());
+        Subscription s = subscriptions.get(message.subscription());
         List<String> acked = new ArrayList<>();
-        for (Map.Entry<String, Unacked> u : unacked.entrySet()) { // in the order sent
+        for (Map.Entry<String, UnacknowledgedMessage> unacknowledgedMessage :
+                unacknowledged.entrySet()) { // in the order sent
             boolean earlier =
-                    s != null && s.cumulative() && u.getValue().subscription().equals(s.id());
-            if (earlier || u.getKey().equals(id)) {
-                acked.add(u.getKey());
+                    s != null
+                            && s.cumulative()
+                            && unacknowledgedMessage.getValue().subscription().equals(s.id());
+            if (earlier || unacknowledgedMessage.getKey().equals(id)) {
+                acked.add(unacknowledgedMessage.getKey());
             }
-            if (u.getKey().equals(id)) {
+            if (unacknowledgedMessage.getKey().equals(id)) {
                 break;
             }
         }
         for (String each : acked) {
-            front.acknowledged(this, unacked.remove(each).message(), good);
+            handler.acknowledged(this, unacknowledged.remove(each).message(), good);
         }
     }
 
-    private static String need(Frame frame, String header) throws ProtocolException {
+    private static String requiredHeader(Frame frame, String header) throws ProtocolException {
         String value = frame.header(header);
         if (value == null || value.isEmpty()) {
             throw new ProtocolException(frame.command() + " needs the header " + header);
@@ -423,8 +440,8 @@
 
     private void receipt(Frame frame) {
         String receipt = frame.header("receipt");
-        // a front may end the session without throwing: then the frame was not taken, and nothing
-        // follows an ERROR
+        // the handler may end the session without throwing: then the frame was not processed, and
+        // nothing follows an ERROR
         if (receipt != null && !closing) {
             ctx.writeAndFlush(Frame.of(StompCommand.RECEIPT, "receipt-id", receipt));
         }
@@ -449,9 +466,9 @@
     /**
      * Closes once what is written has gone out, or after a second for a peer that does not read.
      */
-    private void closing(String because) {
+    private void closing(String reason) {
         closing = true;
-        why = because;
+        closeReason = reason;
         ctx.writeAndFlush(io.netty.buffer.Unpooled.EMPTY_BUFFER).addListener(done -> ctx.close());
         ctx.executor().schedule(() -> ctx.close(), 1, TimeUnit.SECONDS);
     }
@@ -468,17 +485,17 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (cause.getCause() instanceof SSLException) {
-            why = "TLS: " + cause.getCause().getMessage(); // the alert has told the peer
+            closeReason = "TLS: " + cause.getCause().getMessage(); // the peer got a TLS alert
             ctx.close();
         } else if (cause instanceof TooLongFrameException) {
             error(new ProtocolException("frame too large", cause.getMessage()), null);
         } else if (cause instanceof DecoderException) {
             error(new ProtocolException("malformed frame", cause.getMessage()), null);
         } else if (cause instanceof IOException) {
-            why = "connection broken: " + cause.getMessage();
+            closeReason = "connection broken: " + cause.getMessage();
             ctx.close();
         } else {
-            why = "internal error: " + cause;
+            closeReason = "internal error: " + cause;
             error(new ProtocolException("internal error"), null);
             org.slf4j.LoggerFactory.getLogger(ServerSession.class).error("a session failed", cause);
         }
@@ -489,7 +506,7 @@
         closing = true;
         if (connected) {
             connected = false;
-            front.closed(this, why);
+            handler.closed(this, closeReason);
         }
     }
 }
--- a/protocol/src/test/java/thornferry/protocol/FramingTest.java
+++ b/protocol/src/test/java/thornferry/protocol/FramingTest.java
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void headersAreEscapedBothWaysButNotOnConnect() {
+    void escapesHeadersExceptOnConnect() {
         Frame frame = Frame.of(StompCommand.SEND, "destination", "/a:b\nc\\d\re");
         assertThat(new String(write(frame), StandardCharsets.UTF_8))
                 .contains("destination:/a\\cb\\nc\\\\d\\re\n");
@@ -75,39 +75,39 @@
     }
 
     @Test
-    void anUndefinedEscapeIsAnError() {
+    void rejectsUndefinedEscape() {
         assertThatThrownBy(() -> read("SEND\ndestination:/a\\tb\n\n\0"))
                 .isInstanceOf(DecoderException.class);
     }
 
     @Test
-    void ofRepeatedHeadersTheFirstCounts() {
+    void usesFirstOfRepeatedHeaders() {
         Frame frame = read("MESSAGE\nfoo:World\nfoo:Hello\n\n\0").get(0);
         assertThat(frame.header("foo")).isEqualTo("World");
         assertThat(frame.headers()).hasSize(2);
     }
 
     @Test
-    void aBodyWithLengthMayHoldNul() {
+    void bodyWithLengthMayContainNul() {
         Frame frame = read("SEND\ndestination:/q\ncontent-length:5\n\na\0b\0c\0").get(0);
         assertThat(frame.body()).containsExactly('a', 0, 'b', 0, 'c');
         assertThat(read(write(frame), 1 << 20).get(0).body()).containsExactly('a', 0, 'b', 0, 'c');
     }
 
     @Test
-    void carriageReturnsMayEndLines() {
+    void acceptsCarriageReturns() {
         Frame frame = read("SEND\r\ndestination:/q\r\n\r\nhello\0").get(0);
         assertThat(frame.header("destination")).isEqualTo("/q");
         assertThat(frame.text()).isEqualTo("hello");
     }
 
     @Test
-    void endsOfLinesBetweenFramesAreHeartBeats() {
+    void readsLineEndsBetweenFramesAsHeartbeats() {
         assertThat(read("\n\n\r\nSEND\ndestination:/q\n\nx\0\n\n\nDISCONNECT\n\n\0\n")).hasSize(2);
     }
 
     @Test
-    void framesSplitAtEveryOctetAreTheSame() {
+    void readsFramesSplitAtEveryByte() {
         byte[] octets =
                 "\nSTOMP\naccept-version:1.2\nhost:h\n\n\0\r\nSEND\r\ndestination:/q\\c1\ncontent-length:3\n\n\0\0\0\0"
                         .getBytes(StandardCharsets.UTF_8);
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void unknownCommandsAndGarbageAreErrors() {
+    void rejectsUnknownCommandsAndMalformedFrames() {
         assertThatThrownBy(() -> read("FROB\n\n\0")).isInstanceOf(DecoderException.class);
         assertThatThrownBy(() -> read("SEND\nno colon here\n\n\0"))
                 .isInstanceOf(DecoderException.class);
@@ -132,7 +132,7 @@
     }
 
     @Test
-    void whatIsTooLargeIsAnErrorBeforeItIsHeld() {
+    void rejectsOversizedPartsBeforeBuffering() {
         assertThatThrownBy(() -> read("SEND\ndestination:" + "x".repeat(300) + "\n\n\0"))
                 .isInstanceOf(DecoderException.class);
         assertThatThrownBy(() -> read("SEND\n" + "a:b\n".repeat(20) + "\n\0"))
@@ -144,7 +144,7 @@
     }
 
     @Property(tries = 2_000, seed = "20261201")
-    void anyOctetsGiveFramesOrAnErrorAndNothingElse(
+    void anyBytesGiveFramesOrOneError(
             @ForAll @Size(max = 300) byte[] octets,
             @ForAll @net.jqwik.api.constraints.IntRange(min = 1, max = 50) int chunk) {
         try {
@@ -155,7 +155,7 @@
     }
 
     @Property(tries = 500, seed = "20261202")
-    void anyHeaderAndBodyComeBackAsTheyWere(
+    void roundTripsAnyHeaderAndBody(
             @ForAll @net.jqwik.api.constraints.StringLength(max = 40) String value,
             @ForAll @Size(max = 200) byte[] body,
             @ForAll @net.jqwik.api.constraints.IntRange(min = 1, max = 20) int chunk) {
--- a/protocol/src/test/java/thornferry/protocol/LivenessTest.java
+++ b/protocol/src/test/java/thornferry/protocol/LivenessTest.java
@@ -15,44 +15,44 @@
     private boolean silentWithin(long time) {
         boolean silent = false;
         for (long end = now + time; now < end; ) {
-            now += liveness.lookEvery();
-            silent |= liveness.silent(now);
+            now += liveness.checkIntervalMicros();
+            silent |= liveness.isSilent(now);
         }
         return silent;
     }
 
     @Test
-    void aPeerIsSilentOnlyBeyondTheIntervalAndItsMargin() {
+    void isSilentOnlyBeyondIntervalAndMargin() {
         assertThat(silentWithin(1_500 * MS)).isFalse();
-        liveness.heard(now);
+        liveness.received(now);
         assertThat(silentWithin(2_000 * MS)).isFalse();
         assertThat(silentWithin(1_000 * MS)).isTrue();
     }
 
     @Test
-    void aPauseOfOurOwnIsNotHeldAgainstThePeer() {
+    void ignoresOwnPause() {
         assertThat(silentWithin(1_500 * MS)).isFalse();
         now += 60_000 * MS; // we stood still; the peer's beats wait unread
-        assertThat(liveness.silent(now)).isFalse();
-        liveness.heard(now);
+        assertThat(liveness.isSilent(now)).isFalse();
+        liveness.received(now);
         assertThat(silentWithin(1_500 * MS)).isFalse();
     }
 
     @Test
-    void afterAPauseTheDeadAreFoundStill() {
+    void detectsSilentPeerAfterOwnPause() {
         now += 60_000 * MS;
-        assertThat(liveness.silent(now)).isFalse();
+        assertThat(liveness.isSilent(now)).isFalse();
         assertThat(silentWithin(3_000 * MS)).isTrue();
     }
 
     @Test
-    void intervalsAreTheLargerOfWhatOneCanAndTheOtherWants() throws ProtocolException {
+    void negotiatesLargerInterval() throws ProtocolException {
         Heartbeat ours = new Heartbeat(2_000, 5_000);
         Heartbeat peer = Heartbeat.parse("1000,3000");
-        assertThat(ours.sendEvery(peer)).isEqualTo(3_000);
-        assertThat(ours.hearEvery(peer)).isEqualTo(5_000);
-        assertThat(ours.sendEvery(Heartbeat.parse(null))).isZero();
-        assertThat(ours.hearEvery(Heartbeat.parse("0,9"))).isZero();
+        assertThat(ours.negotiatedSendMillis(peer)).isEqualTo(3_000);
+        assertThat(ours.negotiatedReceiveMillis(peer)).isEqualTo(5_000);
+        assertThat(ours.negotiatedSendMillis(Heartbeat.parse(null))).isZero();
+        assertThat(ours.negotiatedReceiveMillis(Heartbeat.parse("0,9"))).isZero();
         for (String bad : new String[] {"", "1", "1,2,3", "-1,0", "a,b"}) {
             assertThatThrownBy(() -> Heartbeat.parse(bad)).isInstanceOf(ProtocolException.class);
         }
--- a/protocol/src/test/java/thornferry/protocol/ServerSessionTest.java
+++ b/protocol/src/test/java/thornferry/protocol/ServerSessionTest.java
@@ -21,7 +21,7 @@
     @BeforeEach
     void install() {
         ServerSession.install(
-                channel, this, FrameLimits.USUAL, new Heartbeat(1_000, 1_000), "s", 5_000);
+                channel, this, FrameLimits.DEFAULTS, new Heartbeat(1_000, 1_000), "s", 5_000);
     }
 
     @Override
@@ -87,13 +87,13 @@
     }
 
     @Test
-    void stompAndConnectBothOpenASession() {
+    void acceptsStompAndConnect() {
         assertThat(send("STOMP\naccept-version:1.2\nhost:h\nlogin:me\npasscode:secret\n\n^"))
                 .startsWith("CONNECTED");
     }
 
     @Test
-    void otherVersionsAreToldWhichIsSpokenHere() {
+    void rejectsOtherVersionsWithTheSupportedOne() {
         assertThat(send("CONNECT\naccept-version:1.0,1.1\nhost:h\n\n^"))
                 .startsWith("ERROR")
                 .contains("version:1.2");
@@ -101,11 +101,11 @@
     }
 
     @Test
-    void aWrongPasscodeIsTurnedAwayAndNothingElseIsTakenBeforeConnect() {
+    void rejectsWrongPasscodeAndFramesBeforeConnect() {
         assertThat(send("CONNECT\naccept-version:1.2\nlogin:me\npasscode:x\n\n^"))
                 .contains("not accepted");
         EmbeddedChannel other = new EmbeddedChannel();
-        ServerSession.install(other, this, FrameLimits.USUAL, Heartbeat.NONE, "s", 5_000);
+        ServerSession.install(other, this, FrameLimits.DEFAULTS, Heartbeat.NONE, "s", 5_000);
         other.writeInbound(
                 Unpooled.copiedBuffer("SEND\ndestination:/q\n\n\0", StandardCharsets.UTF_8));
         assertThat(other.isOpen()).isFalse();
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void whatComesWhileALoginIsLookedAtWaitsForItsAnswer() {
+    void defersFramesUntilLoginIsChecked() {
         channel.writeInbound(
                 Unpooled.copiedBuffer(
                         "CONNECT\naccept-version:1.2\nlogin:slow\n\n\0SEND\ndestination:/q\n"
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void aReceiptComesOnceTheFrameIsTaken() {
+    void sendsReceiptOnceFrameIsProcessed() {
         connect();
         assertThat(send("SEND\ndestination:/q\nreceipt:7\n\nhi^"))
                 .isEqualTo("RECEIPT\nreceipt-id:7\n\n^");
@@ -134,7 +134,7 @@
     }
 
     @Test
-    void anErrorNamesTheReceiptAndEndsTheSession() {
+    void errorNamesReceiptAndClosesSession() {
         connect();
         String out = send("SEND\ndestination:/bad\nreceipt:7\n\n^SEND\ndestination:/q\n\nlater^");
         assertThat(out)
@@ -145,7 +145,7 @@
     }
 
     @Test
-    void framesOfATransactionAreHeldUntilItsCommitAndDroppedByAnAbort() {
+    void holdsTransactionUntilCommitAndDropsItOnAbort() {
         connect();
         send(
                 "BEGIN\ntransaction:t\n\n^SEND\ntransaction:t\ndestination:/q\n\na^"
@@ -157,7 +157,7 @@
     }
 
     @Test
-    void messagesAreAcknowledgedSinglyOrUpToOne() {
+    void acknowledgesSingleAndCumulative() {
         connect();
         send(
                 "SUBSCRIBE\n"
@@ -181,7 +181,7 @@
     }
 
     @Test
-    void anUnsubscribedDestinationGetsNothing() {
+    void sendsNothingAfterUnsubscribe() {
         connect();
         send("SUBSCRIBE\nid:1\ndestination:/a\n\n^UNSUBSCRIBE\nid:1\n\n^");
         assertThat(session.message("/a", "m", Frame.of(StompCommand.MESSAGE))).isNull();
@@ -189,7 +189,7 @@
     }
 
     @Test
-    void aSlowReaderIsCutOffRatherThanPiledUpFor() {
+    void closesSlowReader() {
         connect();
         send("SUBSCRIBE\nid:1\ndestination:/a\n\n^");
         channel.unsafe().outboundBuffer().setUserDefinedWritability(1, false);
@@ -199,7 +199,7 @@
     }
 
     @Test
-    void disconnectIsReceiptedAndThenClosed() {
+    void disconnectSendsReceiptThenCloses() {
         connect();
         assertThat(send("DISCONNECT\nreceipt:9\n\n^")).isEqualTo("RECEIPT\nreceipt-id:9\n\n^");
         assertThat(channel.isOpen()).isFalse();
@@ -207,14 +207,14 @@
     }
 
     @Test
-    void garbageGetsAnErrorAndTheEnd() {
+    void rejectsMalformedFrame() {
         connect();
         assertThat(send("FROB\n\n^")).startsWith("ERROR\nmessage:malformed frame");
         assertThat(channel.isOpen()).isFalse();
     }
 
     @Test
-    void oversizeGetsAnErrorAndTheEnd() {
+    void rejectsOversizedFrame() {
         connect();
         assertThat(send("SEND\ndestination:/q\ncontent-length:99999999\n\nx"))
                 .startsWith("ERROR\nmessage:frame too large");
@@ -222,7 +222,7 @@
     }
 
     @Test
-    void headersThatAreNeededAreNamed() {
+    void namesMissingHeaders() {
         connect();
         assertThat(send("SUBSCRIBE\nid:1\n\n^")).contains("SUBSCRIBE needs the header destination");
     }
--- a/testbed/src/main/java/thornferry/testbed/ScenarioRunner.java
+++ b/testbed/src/main/java/thornferry/testbed/ScenarioRunner.java
@@ -488,7 +488,7 @@
                     loop.next(),
                     new ClientConnection.Target(
                             at, OPERATOR, PASSCODE, file.site().site().heartbeat(), trusting),
-                    FrameLimits.USUAL,
+                    FrameLimits.DEFAULTS,
                     new ClientConnection.Listener() {
                         @Override
                         public void connected(ClientConnection c) {
--- a/testbed/src/main/java/thornferry/testbed/ScriptedNode.java
+++ b/testbed/src/main/java/thornferry/testbed/ScriptedNode.java
@@ -67,7 +67,7 @@
 
     /** Connects and registers; returns once the placer has taken the registration. */
     ScriptedNode join() throws InterruptedException {
-        connection = ClientConnection.open(loop, target, FrameLimits.USUAL, this);
+        connection = ClientConnection.open(loop, target, FrameLimits.DEFAULTS, this);
         if (!connected.await(10, TimeUnit.SECONDS)) {
             throw new IllegalStateException("node " + name + " could not register");
         }
--- a/testbed/src/test/java/thornferry/testbed/TenantIsolationTest.java
+++ b/testbed/src/test/java/thornferry/testbed/TenantIsolationTest.java
@@ -140,7 +140,7 @@
         final ClientConnection connection;
 
         Peer(ClientConnection.Target target) {
-            connection = ClientConnection.open(loops.next(), target, FrameLimits.USUAL, this);
+            connection = ClientConnection.open(loops.next(), target, FrameLimits.DEFAULTS, this);
             opened.add(this);
         }
 
--- a/testbed/src/test/java/thornferry/testbed/TestCluster.java
+++ b/testbed/src/test/java/thornferry/testbed/TestCluster.java
@@ -282,7 +282,7 @@
                         loops.next(),
                         new ClientConnection.Target(
                                 address(), login, passcode, new Heartbeat(300, 300)),
-                        FrameLimits.USUAL,
+                        FrameLimits.DEFAULTS,
                         new ClientConnection.Listener() {
                             @Override
                             public void connected(ClientConnection connection) {
