--- a/placer/src/main/java/thornferry/placer/PlacerServer.java
+++ b/placer/src/main/java/thornferry/placer/PlacerServer.java
@@ -17,6 +17,7 @@
 import thornferry.protocol.Frame;
 import thornferry.protocol.ProtocolException;
 import thornferry.protocol.ServerSession;
+import thornferry.protocol.SessionHandler;
 import thornferry.security.Tls;
 
 /**
@@ -24,7 +25,7 @@
  * each frame to the handler of its role, and routes what the {@link PlacerCore} sends to the same
  * handlers. Everything runs on the event loop.
  */
-final class PlacerServer implements ServerSession.SessionHandler, PlacerOutput {
+final class PlacerServer implements SessionHandler, PlacerOutput {
     private static final Logger LOG = LoggerFactory.getLogger(PlacerServer.class);
     private static final long TICK_MILLIS = 20;
 
--- a/protocol/src/test/java/thornferry/protocol/ServerSessionTest.java
+++ b/protocol/src/test/java/thornferry/protocol/ServerSessionTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** One session without a socket: what goes in as text, and what comes out. */
-class ServerSessionTest implements ServerSession.SessionHandler {
+class ServerSessionTest implements SessionHandler {
     private final EmbeddedChannel channel = new EmbeddedChannel();
     private final List<String> seen = new ArrayList<>();
     private ServerSession session;
