--- a/app/src/main/java/thornferry/app/AuditCommand.java
+++ b/app/src/main/java/thornferry/app/AuditCommand.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import thornferry.testbed.TraceAuditor;
+import thornferry.testbed.audit.TraceAuditor;
 
 @Command(
         name = "audit",
@@ -36,7 +36,7 @@
     }
 
     static int print(Path capture, TraceAuditor.Verdict v) {
-        v.breaches().stream()
+        v.violations().stream()
                 .limit(MOST_PRINTED)
                 .forEach(
                         b ->
@@ -44,18 +44,18 @@
                                         "%s:%d: at %.3f s: %s: %s%n",
                                         capture,
                                         b.line(),
-                                        b.at() / 1e6,
+                                        b.atMicros() / 1e6,
                                         b.rule() == 0 ? "unreadable" : "rule " + b.rule(),
-                                        b.what()));
+                                        b.description()));
         System.out.printf(
                 "%s: %d frames and marks, %d asks, %d results, %d offers, %d starts: %s%n",
                 capture,
                 v.lines(),
-                v.asks(),
+                v.requests(),
                 v.results(),
                 v.offers(),
                 v.starts(),
-                v.clean() ? "clean" : v.breaches().size() + " breaches");
-        return v.clean() ? 0 : Main.FAILED;
+                v.isClean() ? "clean" : v.violations().size() + " breaches");
+        return v.isClean() ? 0 : Main.FAILED;
     }
 }
--- a/app/src/main/java/thornferry/app/LoadCommand.java
+++ b/app/src/main/java/thornferry/app/LoadCommand.java
@@ -25,10 +25,10 @@
 import thornferry.config.SiteFile;
 import thornferry.config.TomlFile;
 import thornferry.state.Durability;
-import thornferry.testbed.Capture;
-import thornferry.testbed.LoadGenerator;
-import thornferry.testbed.RecordingProxy;
-import thornferry.testbed.TraceAuditor;
+import thornferry.testbed.audit.TraceAuditor;
+import thornferry.testbed.capture.Capture;
+import thornferry.testbed.capture.RecordingProxy;
+import thornferry.testbed.load.LoadGenerator;
 
 @Command(
         name = "load",
@@ -195,7 +195,7 @@
                 targets.add(new InetSocketAddress("127.0.0.1", port + i));
             }
             if (audit) {
-                capture.site(site.site(), 1e9);
+                capture.writeSite(site.site(), 1e9);
                 for (int i = 0; i < instances; i++) {
                     relays.add(new RecordingProxy("p" + i, targets.get(i), capture));
                     targets.set(i, relays.get(i).address());
--- a/app/src/main/java/thornferry/app/OverloadCommand.java
+++ b/app/src/main/java/thornferry/app/OverloadCommand.java
@@ -16,7 +16,7 @@
 import thornferry.config.SiteFile;
 import thornferry.config.TomlFile;
 import thornferry.placer.Site;
-import thornferry.testbed.OverloadExperiment;
+import thornferry.testbed.load.OverloadExperiment;
 
 @Command(
         name = "overload",
--- a/app/src/main/java/thornferry/app/ScenarioCommand.java
+++ b/app/src/main/java/thornferry/app/ScenarioCommand.java
@@ -7,10 +7,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import thornferry.state.Durability;
-import thornferry.testbed.PendingReasonScenarios;
-import thornferry.testbed.ScenarioFile;
-import thornferry.testbed.ScenarioRunner;
-import thornferry.testbed.TraceAuditor;
+import thornferry.testbed.audit.TraceAuditor;
+import thornferry.testbed.diagnosis.PendingReasonScenarios;
+import thornferry.testbed.scenario.ScenarioFile;
+import thornferry.testbed.scenario.ScenarioRunner;
 
 @Command(
         name = "day",
@@ -102,9 +102,9 @@
                             + " then %d ended, %d evicted, %d lost; module failures %d%n",
                     file.seed(),
                     o.tasks(),
-                    o.asks(),
+                    o.requests(),
                     o.placed(),
-                    o.refused(),
+                    o.rejected(),
                     o.failed(),
                     o.unanswered(),
                     o.ended(),
--- a/app/src/test/java/thornferry/app/CommandLineTest.java
+++ b/app/src/test/java/thornferry/app/CommandLineTest.java
@@ -30,6 +30,7 @@
 import thornferry.security.Tls;
 import thornferry.state.Durability;
 import thornferry.state.JournalFile;
+import thornferry.testbed.scenario.ScenarioFile;
 
 /** The commands as a user gives them: what is printed where, and the exit codes. */
 class CommandLineTest {
@@ -275,7 +276,7 @@
         assertThat(run("config", "check", "../examples/site.toml").out())
                 .contains("good; 3 classes, 2 kinds, 3 accounts");
         for (String day : new String[] {"short", "long"}) {
-            thornferry.testbed.ScenarioFile.read(Path.of("../examples/days/" + day + ".toml"));
+            ScenarioFile.read(Path.of("../examples/days/" + day + ".toml"));
         }
     }
 
--- a/testbed/src/main/java/thornferry/testbed/TraceAuditor.java
+++ b/testbed/src/main/java/thornferry/testbed/audit/TraceAuditor.java
@@ -1,7 +1,8 @@
-package thornferry.testbed;
+package thornferry.testbed.audit;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -20,22 +21,24 @@
  * a placer may have known at a moment is taken from the frames that had passed by then.
  */
 public final class TraceAuditor {
+    private static final ObjectMapper JSON = new ObjectMapper();
+
     /**
      * @param rule 1 to 5, or 0 where the capture itself cannot be read; @param line of the capture,
      *     from 1
      */
-    public record Violation(int rule, long line, long at, String what) {}
+    public record Violation(int rule, long line, long atMicros, String description) {}
 
     /** What a capture held, for the reader to see that it was not an empty one. */
     public record Verdict(
-            List<Violation> breaches,
+            List<Violation> violations,
             long lines,
-            long asks,
+            long requests,
             long results,
             long offers,
             long starts) {
-        public boolean clean() {
-            return breaches.isEmpty();
+        public boolean isClean() {
+            return violations.isEmpty();
         }
     }
 
@@ -135,7 +138,7 @@
      */
     private final long slack;
 
-    private final List<Violation> breaches = new ArrayList<>();
+    private final List<Violation> violations = new ArrayList<>();
     private final Map<String, TaskClass> classes = new HashMap<>();
     private final Map<Long, Link> links = new HashMap<>();
     private final Map<String, Task> tasks = new LinkedHashMap<>();
@@ -185,7 +188,7 @@
     private void take(String text) {
         JsonNode row;
         try {
-            row = Capture.JSON.readTree(text);
+            row = JSON.readTree(text);
         } catch (JsonProcessingException e) {
             breach(0, "not JSON: " + e.getOriginalMessage());
             return;
@@ -194,7 +197,7 @@
         confirm(now - slack);
         if (rules == null && !row.path("k").asText().equals("site")) {
             breach(0, "the capture must begin with its site");
-            rules = Capture.JSON.createObjectNode();
+            rules = JSON.createObjectNode();
         }
         switch (row.path("k").asText()) {
             case "site" -> site(row);
@@ -221,7 +224,8 @@
 
     /** Breaches that nothing has excused by this time stand. */
     private void confirm(long before) {
-        unlessGivenUp.removeIf(two -> two.breach().at() < before && breaches.add(two.breach()));
+        unlessGivenUp.removeIf(
+                two -> two.breach().atMicros() < before && violations.add(two.breach()));
     }
 
     private void givenUp(Attempt a) {
@@ -230,7 +234,7 @@
     }
 
     private void breach(int rule, String what) {
-        breaches.add(new Violation(rule, line, now, what));
+        violations.add(new Violation(rule, line, now, what));
     }
 
     private void site(JsonNode row) {
@@ -811,6 +815,6 @@
                 breach(1, t.name() + " never had a result, though its owner listened");
             }
         }
-        return new Verdict(List.copyOf(breaches), lines, asks, resultCount, offers, starts);
+        return new Verdict(List.copyOf(violations), lines, asks, resultCount, offers, starts);
     }
 }
--- /dev/null
+++ b/testbed/src/main/java/thornferry/testbed/audit/package-info.java
@@ -0,0 +1,2 @@
+/** Checks a capture against the five rules, without knowledge of the placer. */
+package thornferry.testbed.audit;
--- a/testbed/src/main/java/thornferry/testbed/Capture.java
+++ b/testbed/src/main/java/thornferry/testbed/capture/Capture.java
@@ -1,4 +1,4 @@
-package thornferry.testbed;
+package thornferry.testbed.capture;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -35,7 +35,7 @@
  * script did). Safe for use by several threads.
  */
 public final class Capture implements Closeable {
-    static final ObjectMapper JSON = new ObjectMapper();
+    private static final ObjectMapper JSON = new ObjectMapper();
 
     private final BufferedWriter out;
     private final long begin = System.nanoTime();
@@ -76,7 +76,7 @@
      *
      * @param startsPerSecond what the weakest node can start, warm, of tasks whose program it lacks
      */
-    public void site(Site site, double startsPerSecond) {
+    public void writeSite(Site site, double startsPerSecond) {
         Placement.Settings m = site.placement();
         ObjectNode line =
                 JSON.createObjectNode()
@@ -116,12 +116,12 @@
     }
 
     /** Something the script did that the auditor must know of, such as killing a placer. */
-    public void mark(String what, String placer) {
+    public void writeMark(String what, String placer) {
         write(JSON.createObjectNode().put("k", "mark").put("what", what).put("placer", placer));
     }
 
     /** The relay itself holds back what goes to this link's peer, for so long; microseconds. */
-    void slow(long link, String placer, long micros) {
+    void writeSlowReader(long link, String placer, long micros) {
         write(
                 JSON.createObjectNode()
                         .put("k", "mark")
@@ -132,7 +132,7 @@
     }
 
     /** The script stands a placer still for so long; microseconds. */
-    void paused(String placer, long micros) {
+    public void writePause(String placer, long micros) {
         write(
                 JSON.createObjectNode()
                         .put("k", "mark")
@@ -141,18 +141,18 @@
                         .put("until", now() + micros));
     }
 
-    void opened(long link, String placer) {
+    void writeOpened(long link, String placer) {
         write(JSON.createObjectNode().put("k", "open").put("link", link).put("placer", placer));
     }
 
-    void closed(long link, String placer) {
+    void writeClosed(long link, String placer) {
         write(JSON.createObjectNode().put("k", "close").put("link", link).put("placer", placer));
     }
 
     /**
      * @param up from client or node to placer
      */
-    void frame(long link, String placer, boolean up, Frame frame) {
+    void writeFrame(long link, String placer, boolean up, Frame frame) {
         ObjectNode line =
                 JSON.createObjectNode()
                         .put("k", "frame")
--- a/testbed/src/main/java/thornferry/testbed/RecordingProxy.java
+++ b/testbed/src/main/java/thornferry/testbed/capture/RecordingProxy.java
@@ -1,4 +1,4 @@
-package thornferry.testbed;
+package thornferry.testbed.capture;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -141,7 +141,7 @@
             try {
                 decoder.writeInbound(Unpooled.copiedBuffer(octets));
                 for (Frame f = decoder.readInbound(); f != null; f = decoder.readInbound()) {
-                    capture.frame(link.number, placer, up, f);
+                    capture.writeFrame(link.number, placer, up, f);
                 }
             } catch (RuntimeException e) {
                 readable =
@@ -177,7 +177,7 @@
 
         void dial() {
             links.put(number, this);
-            capture.opened(number, placer);
+            capture.writeOpened(number, placer);
             down.to = near;
             if (front != null) {
                 near.pipeline().addLast(front.newHandler(near.alloc()));
@@ -222,7 +222,7 @@
             }
             closed = true;
             links.remove(number);
-            capture.closed(number, placer);
+            capture.writeClosed(number, placer);
             near.close();
             if (far != null) {
                 far.close();
@@ -267,7 +267,7 @@
                 l -> {
                     if (l.far != null) {
                         l.far.config().setAutoRead(false);
-                        capture.slow(l.number, placer, millis * 1_000);
+                        capture.writeSlowReader(l.number, placer, millis * 1_000);
                         l.far.eventLoop()
                                 .schedule(
                                         () -> l.far.config().setAutoRead(true),
--- a/testbed/src/main/java/thornferry/testbed/ScriptedNode.java
+++ b/testbed/src/main/java/thornferry/testbed/diagnosis/ScriptedNode.java
@@ -1,4 +1,4 @@
-package thornferry.testbed;
+package thornferry.testbed.diagnosis;
 
 import io.netty.channel.EventLoop;
 import java.net.SocketAddress;
--- a/testbed/src/main/java/thornferry/testbed/LoadGenerator.java
+++ b/testbed/src/main/java/thornferry/testbed/load/LoadGenerator.java
@@ -1,4 +1,4 @@
-package thornferry.testbed;
+package thornferry.testbed.load;
 
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/testbed/src/main/java/thornferry/testbed/ChildProcess.java
+++ b/testbed/src/main/java/thornferry/testbed/scenario/ChildProcess.java
@@ -1,4 +1,4 @@
-package thornferry.testbed;
+package thornferry.testbed.scenario;
 
 import java.io.BufferedReader;
 import java.io.IOException;
--- a/testbed/src/main/java/thornferry/testbed/ClientWorkload.java
+++ b/testbed/src/main/java/thornferry/testbed/scenario/ClientWorkload.java
@@ -1,4 +1,4 @@
-package thornferry.testbed;
+package thornferry.testbed.scenario;
 
 import io.netty.channel.EventLoop;
 import java.util.ArrayList;
--- a/testbed/src/main/java/thornferry/testbed/ScenarioFile.java
+++ b/testbed/src/main/java/thornferry/testbed/scenario/ScenarioFile.java
@@ -1,4 +1,4 @@
-package thornferry.testbed;
+package thornferry.testbed.scenario;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -14,7 +14,7 @@
 import thornferry.state.Durability;
 
 /**
- * A scripted day: a site's configuration with a fleet, traffic and troubles at times beside it, in
+ * A scripted day: a site's configuration with a fleet, traffic and faults at times beside it, in
  * one TOML file. {@code examples/days} holds some.
  *
  * @param seconds of traffic; the day then goes on for {@code quiet} seconds, so that what is in
@@ -38,7 +38,7 @@
         boolean tls,
         List<Fleet> fleets,
         List<Traffic> traffic,
-        List<Fault> troubles) {
+        List<Fault> faults) {
     /** The same day with other chances. */
     public ScenarioFile withSeed(long other) {
         return new ScenarioFile(
@@ -54,7 +54,7 @@
                 tls,
                 fleets,
                 traffic,
-                troubles);
+                faults);
     }
 
     /** The same day with placers that keep their promises so durably. */
@@ -73,7 +73,7 @@
                 tls,
                 fleets,
                 traffic,
-                troubles);
+                faults);
     }
 
     /** So many nodes of a kind, in the zones in turn. */
@@ -116,7 +116,7 @@
             double factor,
             int times) {}
 
-    /** The troubles that a script may hold. */
+    /** The faults that a script may hold. */
     public enum Kind {
         /** Nodes die together and come back cold after the time; of one zone, where it is named. */
         CRASH,
@@ -186,7 +186,7 @@
         boolean tls = day.flag("tls", false);
         List<Section> fleets = root.tables("fleet");
         List<Section> traffic = root.tables("traffic");
-        List<Section> troubles = root.tables("trouble");
+        List<Section> faults = root.tables("trouble");
         List<Fleet> fleet = new ArrayList<>();
         List<Traffic> streams = new ArrayList<>();
         List<Fault> wrong = new ArrayList<>();
@@ -223,7 +223,7 @@
                                     : null,
                             s.whole("asks", 1, 100, 4)));
         }
-        for (Section s : troubles) {
+        for (Section s : faults) {
             Kind kind = s.choice("kind", Kind.class, null);
             double at = s.number("at-seconds", 0, 86_400, Double.NaN);
             if (at > seconds) {
--- a/testbed/src/main/java/thornferry/testbed/ScenarioRunner.java
+++ b/testbed/src/main/java/thornferry/testbed/scenario/ScenarioRunner.java
@@ -1,4 +1,4 @@
-package thornferry.testbed;
+package thornferry.testbed.scenario;
 
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -40,6 +40,9 @@
 import thornferry.security.Passcodes;
 import thornferry.security.Tls;
 import thornferry.state.Durability;
+import thornferry.testbed.audit.TraceAuditor;
+import thornferry.testbed.capture.Capture;
+import thornferry.testbed.capture.RecordingProxy;
 
 /**
  * Plays a scripted day: placers in processes of their own, nodes and clients on loopback, a relay
@@ -82,9 +85,9 @@
     /** What the day came to, as its clients saw it. */
     public record Outcome(
             long tasks,
-            long asks,
+            long requests,
             long placed,
-            long refused,
+            long rejected,
             long failed,
             long unanswered,
             long ended,
@@ -139,7 +142,7 @@
                                                                         .coldProgramFactor()))
                         .min()
                         .orElse(0);
-        capture.site(file.site().site(), startsPerSecond);
+        capture.writeSite(file.site().site(), startsPerSecond);
         MultiThreadIoEventLoopGroup loops =
                 new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
         AgentPool pool = new AgentPool(2, trusting);
@@ -194,7 +197,7 @@
                     o.vanishEvery(file.vanishEvery() * file.placers(), 300);
                 }
             }
-            for (ScenarioFile.Fault t : file.troubles()) {
+            for (ScenarioFile.Fault t : file.faults()) {
                 for (int i = 0; i < t.times(); i++) {
                     long at = (long) (1_000 * t.at() + i * t.every());
                     script.schedule(() -> trouble(t, pool), at, TimeUnit.MILLISECONDS);
@@ -361,7 +364,7 @@
                 case PAUSE -> struck.forEach(n -> n.pause(t.millis()));
                 case PLACER_PAUSE -> {
                     for (int p = 0; p < placers.size(); p++) {
-                        capture.paused("p" + p, t.millis() * 1_000);
+                        capture.writePause("p" + p, t.millis() * 1_000);
                         ChildProcess placer = placers.get(p);
                         placer.pause(true);
                         script.schedule(
@@ -434,7 +437,7 @@
         }
         placer.kill();
         relays.get(p).closeAll();
-        capture.mark("placer-killed", "p" + p);
+        capture.writeMark("placer-killed", "p" + p);
         again(
                 "placer " + p,
                 downMs,
@@ -449,7 +452,7 @@
         ChildProcess nodes = nodeProcesses.get(n);
         if (nodes.upForMs() >= UP_LEAST_MS) {
             nodes.kill();
-            capture.mark("nodes-killed", "");
+            capture.writeMark("nodes-killed", "");
             again("nodes " + n, downMs, () -> nodeProcesses.set(n, nodeProcess(n, false)));
         } else {
             script.schedule(() -> killNodes(n, downMs), KILL_AGAIN_MS, TimeUnit.MILLISECONDS);
--- a/testbed/src/test/java/thornferry/testbed/TestCluster.java
+++ b/testbed/src/test/java/thornferry/testbed/TestCluster.java
@@ -34,7 +34,7 @@
 import thornferry.protocol.v1.TaskNews;
 
 /** A placer with nodes on loopback, and peers of every kind, for tests of the whole path. */
-final class TestCluster implements AutoCloseable {
+public final class TestCluster implements AutoCloseable {
     static final String SITE =
             """
             [connections]
@@ -97,7 +97,7 @@
     final List<AutoCloseable> opened = new ArrayList<>();
     private final NodeBehavior behaviour;
 
-    TestCluster() throws Exception {
+    public TestCluster() throws Exception {
         this(0);
     }
 
@@ -137,7 +137,7 @@
         placer = Placer.start(file.site(), "127.0.0.1", port, 1);
     }
 
-    NodeAgent node(String name, String zone) throws Exception {
+    public NodeAgent node(String name, String zone) throws Exception {
         NodeAgent.Watcher watcher =
                 new NodeAgent.Watcher() {
                     @Override
@@ -169,7 +169,7 @@
         }
     }
 
-    TaskClient client(String login, String passcode) {
+    public TaskClient client(String login, String passcode) {
         TaskClient client =
                 TaskClient.connect(
                         new ClientConnection.Target(
@@ -180,7 +180,7 @@
         return client;
     }
 
-    static Task task(String id, String cls) {
+    public static Task task(String id, String cls) {
         return Task.newBuilder()
                 .setId(id)
                 .setTaskClass(cls)
--- a/testbed/src/test/java/thornferry/testbed/TraceAuditorTest.java
+++ b/testbed/src/test/java/thornferry/testbed/audit/TraceAuditorTest.java
@@ -1,4 +1,4 @@
-package thornferry.testbed;
+package thornferry.testbed.audit;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import thornferry.testbed.TraceAuditor.Violation;
+import thornferry.testbed.audit.TraceAuditor.Violation;
 
 /** A good capture is clean; doctored in one place, the auditor finds just that breach. */
 class TraceAuditorTest {
@@ -204,7 +204,7 @@
     private List<Violation> audit() throws IOException {
         Path file = folder.resolve("capture.jsonl");
         Files.write(file, lines);
-        return TraceAuditor.audit(file, 250 * MS).breaches();
+        return TraceAuditor.audit(file, 250 * MS).violations();
     }
 
     private void finds(int rule, String what) throws IOException {
@@ -213,7 +213,7 @@
                 .satisfies(
                         b -> {
                             assertThat(b.rule()).isEqualTo(rule);
-                            assertThat(b.what()).contains(what);
+                            assertThat(b.description()).contains(what);
                             assertThat(b.line()).isPositive();
                         });
     }
@@ -316,7 +316,7 @@
                 .anyMatch(
                         b ->
                                 b.rule() == 1
-                                        && b.what()
+                                        && b.description()
                                                 .contains(
                                                         "is told failed after it was told placed"));
     }
@@ -351,7 +351,7 @@
                         });
         assertThat(audit())
                 .hasSize(3)
-                .allMatch(b -> b.rule() == 3 && b.what().contains("a1, which drains"));
+                .allMatch(b -> b.rule() == 3 && b.description().contains("a1, which drains"));
     }
 
     @Test
@@ -359,7 +359,7 @@
         replace("\"zone\":\"a\",\"uptimeMs\":\"3600000\"", "\"zone\":\"a\",\"uptimeMs\":\"0\"");
         assertThat(audit())
                 .hasSize(2)
-                .allMatch(b -> b.rule() == 4 && b.what().contains("a1 is cold"));
+                .allMatch(b -> b.rule() == 4 && b.description().contains("a1 is cold"));
     }
 
     @Test
--- a/testbed/src/test/java/thornferry/testbed/PendingReasonScenariosTest.java
+++ b/testbed/src/test/java/thornferry/testbed/diagnosis/PendingReasonScenariosTest.java
@@ -1,4 +1,4 @@
-package thornferry.testbed;
+package thornferry.testbed.diagnosis;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -7,6 +7,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import thornferry.protocol.v1.Reason.Kind;
+import thornferry.testbed.TestCluster;
 
 class PendingReasonScenariosTest {
     /**
--- a/testbed/src/test/java/thornferry/testbed/ScenarioRunnerTest.java
+++ b/testbed/src/test/java/thornferry/testbed/scenario/ScenarioRunnerTest.java
@@ -1,4 +1,4 @@
-package thornferry.testbed;
+package thornferry.testbed.scenario;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -9,6 +9,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import thornferry.config.ConfigException;
 import thornferry.config.TomlFile;
+import thornferry.testbed.audit.TraceAuditor;
 
 class ScenarioRunnerTest {
     private static final Path SHORT = Path.of("../examples/days/short.toml");
@@ -22,9 +23,9 @@
         // a machine that builds something else meanwhile may be late; a second is far under any
         // patience here
         TraceAuditor.Verdict verdict = TraceAuditor.audit(capture, 1_000_000);
-        assertThat(verdict.breaches()).isEmpty();
+        assertThat(verdict.violations()).isEmpty();
         assertThat(outcome.moduleFailures()).isZero();
-        assertThat(verdict.asks()).isGreaterThan(500);
+        assertThat(verdict.requests()).isGreaterThan(500);
         assertThat(verdict.results()).isGreaterThan(500);
         assertThat(verdict.starts()).isGreaterThan(300);
     }
@@ -48,7 +49,7 @@
         Path capture = folder.resolve("kills.jsonl");
         ScenarioRunner.Outcome outcome = ScenarioRunner.play(ScenarioFile.read(script), capture);
         TraceAuditor.Verdict verdict = TraceAuditor.audit(capture, 1_000_000);
-        assertThat(verdict.breaches()).isEmpty();
+        assertThat(verdict.violations()).isEmpty();
         assertThat(outcome.moduleFailures()).isZero();
         assertThat(Files.readString(capture).split("placer-killed", -1)).hasSize(6); // five kills
         assertThat(verdict.starts()).isGreaterThan(100);
