--- a/examples/javascript/submit.mjs
+++ b/examples/javascript/submit.mjs
@@ -18,10 +18,10 @@
       const { task, result, event, node, reason } = message.headers;
       if (task !== id) return;
       console.log([task, result ?? event, node, reason].filter(Boolean).join(' '));
-      if (result !== 'placed') client.deactivate(); // refused, failed, or the end of a placed task
+      if (result !== 'placed') client.deactivate(); // rejected (`refused`), failed, or the end of a placed task
     });
     client.watchForReceipt(`taken-${id}`, () => console.log(`${id} taken`));
-    // asked again by the same name after a reconnect, it is still the same task
+    // requested again under the same id after a reconnect, it is still the same task
     client.publish({
       destination: '/tasks',
       headers: { 'content-type': 'application/json', receipt: `taken-${id}` },
