--- a/testbed/src/main/java/thornferry/testbed/diagnosis/ScriptedNode.java
+++ b/testbed/src/main/java/thornferry/testbed/diagnosis/ScriptedNode.java
@@ -1,166 +1,193 @@
 package thornferry.testbed.diagnosis;
 
 import io.netty.channel.EventLoop;
-import java.net.SocketAddress;
+import java.time.Duration;
 import java.util.Map;
+import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ConcurrentHashMap;
-import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
-import java.util.function.Function;
+import java.util.concurrent.TimeoutException;
+import thornferry.agent.NodeShape;
 import thornferry.protocol.Bodies;
 import thornferry.protocol.ClientConnection;
 import thornferry.protocol.Destinations;
 import thornferry.protocol.Frame;
 import thornferry.protocol.FrameLimits;
-import thornferry.protocol.Heartbeat;
 import thornferry.protocol.ProtocolException;
 import thornferry.protocol.v1.Answer;
 import thornferry.protocol.v1.Drain;
 import thornferry.protocol.v1.Load;
 import thornferry.protocol.v1.Offer;
 import thornferry.protocol.v1.Order;
+import thornferry.protocol.v1.Probe;
 import thornferry.protocol.v1.ProbeReply;
 import thornferry.protocol.v1.Register;
+import thornferry.protocol.v1.Task;
 
 /**
- * A node that says exactly what its script tells it: so that the truth about it is known from
- * outside.
+ * A node that responds to offers as a scenario tells it, so that the true reason of a pending task
+ * is known. Its load report is its size minus the resources of the tasks that it runs.
  */
-final class ScriptedNode implements ClientConnection.Listener, AutoCloseable {
-    /** Shows as much room as it says, accepts and starts everything. */
-    static final Function<Offer, Answer.Kind> WILLING = offer -> Answer.Kind.RUNS;
+final class ScriptedNode implements ClientConnection.Listener {
+    private static final long INCARNATION = 1;
+    private static final long REGISTRATION_TIMEOUT_SECONDS = 10;
+    private static final Duration LONG_UPTIME = Duration.ofHours(1);
 
-    /** Never says a word. */
-    static final Function<Offer, Answer.Kind> MUTE = offer -> Answer.Kind.UNKNOWN;
-
-    private final String name;
-    private final String kind;
-    private final double cores;
-    private final double memory;
     private final EventLoop loop;
     private final ClientConnection.Target target;
-    private final CountDownLatch connected = new CountDownLatch(1);
-    private final Map<String, String> running = new ConcurrentHashMap<>(); // task -> attempt
+    private final NodeShape shape;
+    private final CompletableFuture<Void> registered = new CompletableFuture<>();
+    private final Map<String, Offer> runningByTask = new ConcurrentHashMap<>();
     private volatile ClientConnection connection;
-    volatile Function<Offer, Answer.Kind> script = WILLING;
-    volatile Answer.Reason reason = Answer.Reason.NONE;
-    volatile double coresFree;
-    volatile double memoryFree;
-    volatile long uptimeMs = 3_600_000;
-
-    ScriptedNode(
-            EventLoop loop,
-            SocketAddress placer,
-            String name,
-            String kind,
-            double cores,
-            double memory) {
+    private volatile OfferResponse response = OfferResponse.RUN;
+    private volatile Duration uptime = LONG_UPTIME;
+
+    ScriptedNode(EventLoop loop, ClientConnection.Target target, NodeShape shape) {
         this.loop = loop;
-        this.name = name;
-        this.kind = kind;
-        this.cores = cores;
-        this.memory = memory;
-        this.coresFree = cores;
-        this.memoryFree = memory;
-        this.target = new ClientConnection.Target(placer, "node", "n", new Heartbeat(500, 500));
+        this.target = target;
+        this.shape = shape;
     }
 
-    /** Connects and registers; returns once the placer has taken the registration. */
-    ScriptedNode join() throws InterruptedException {
+    /** Sets how long the node claims to have been up when it registers. */
+    ScriptedNode withUptime(Duration newUptime) {
+        uptime = newUptime;
+        return this;
+    }
+
+    /** Sets the response to this and every further offer. */
+    ScriptedNode respondWith(OfferResponse newResponse) {
+        response = newResponse;
+        return this;
+    }
+
+    /** Connects and registers; returns once the placer has accepted the registration. */
+    ScriptedNode join() throws ScenarioFailedException, InterruptedException {
         connection = ClientConnection.open(loop, target, FrameLimits.DEFAULTS, this);
-        if (!connected.await(10, TimeUnit.SECONDS)) {
-            throw new IllegalStateException("node " + name + " could not register");
+        try {
+            registered.get(REGISTRATION_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        } catch (ExecutionException | TimeoutException e) {
+            throw new ScenarioFailedException("node " + shape.name() + " could not register", e);
         }
         return this;
     }
 
-    private Load load() {
-        return Load.newBuilder().setCoresFree(coresFree).setMemoryFree(memoryFree).build();
+    /** Starts or ends the draining of the node. */
+    void setDraining(boolean draining) {
+        connection.send(
+                Destinations.DRAIN,
+                Drain.newBuilder().setNode(shape.name()).setOn(draining).build());
+    }
+
+    /** Ends a task that the node runs, which frees its resources. */
+    void endTask(String task) {
+        Offer offer = runningByTask.remove(task);
+        if (offer == null) {
+            throw new IllegalArgumentException(shape.name() + " does not run task " + task);
+        }
+        sendAnswer(offer, Answer.Kind.ENDED, Answer.Reason.NONE);
+    }
+
+    /** Breaks the connection without notice to the placer. */
+    void breakConnection() {
+        connection.cut();
+    }
+
+    /** Breaks the connection if the node has one. */
+    void close() {
+        if (connection != null) {
+            connection.cut();
+        }
+    }
+
+    /** Accepts and runs an offered task. */
+    void run(Offer offer) {
+        runningByTask.put(offer.getTask().getId(), offer);
+        sendAnswer(offer, Answer.Kind.ACCEPTED, Answer.Reason.NONE);
+        sendAnswer(offer, Answer.Kind.RUNS, Answer.Reason.NONE);
+    }
+
+    /** Rejects an offered task. */
+    void reject(Offer offer, Answer.Reason reason) {
+        sendAnswer(offer, Answer.Kind.REFUSED, reason);
     }
 
     @Override
-    public void connected(ClientConnection c) {
-        c.subscribe("offers", Destinations.offers(name), "auto");
-        c.request(
+    public void connected(ClientConnection newConnection) {
+        newConnection.subscribe("offers", Destinations.offers(shape.name()), "auto");
+        newConnection.request(
                 Destinations.REGISTER,
                 Register.newBuilder()
-                        .setNode(name)
-                        .setIncarnation(1)
-                        .setKind(kind)
-                        .setZone("hall-a")
-                        .setCores(cores)
-                        .setMemory(memory)
-                        .setUptimeMs(uptimeMs)
+                        .setNode(shape.name())
+                        .setIncarnation(INCARNATION)
+                        .setKind(shape.kind())
+                        .setZone(shape.zone())
+                        .setCores(shape.cores())
+                        .setMemory(shape.memory())
+                        .setUptimeMs(uptime.toMillis())
                         .setLoad(load())
                         .build(),
-                error -> connected.countDown());
+                this::registrationDone);
+    }
+
+    private void registrationDone(String error) {
+        if (error == null) {
+            registered.complete(null);
+        } else {
+            registered.completeExceptionally(new IllegalStateException(error));
+        }
     }
 
     @Override
-    public void message(ClientConnection c, Frame frame) {
+    public void message(ClientConnection receiver, Frame frame) {
+        Order order;
         try {
-            Order order = Bodies.read(frame, Order.newBuilder());
-            if (order.hasProbe()) {
-                c.send(
-                        Destinations.PROBES,
-                        ProbeReply.newBuilder()
-                                .setNode(name)
-                                .setNumber(order.getProbe().getNumber())
-                                .setLoad(load())
-                                .build());
-            } else if (order.hasOffer()) {
-                Offer offer = order.getOffer();
-                Answer.Kind said = script.apply(offer);
-                if (said == Answer.Kind.RUNS) {
-                    coresFree -= offer.getTask().getCores();
-                    memoryFree -= offer.getTask().getMemory();
-                    running.put(offer.getTask().getId(), offer.getAttempt());
-                    say(offer.getAttempt(), Answer.Kind.ACCEPTED);
-                }
-                if (said != Answer.Kind.UNKNOWN) {
-                    say(offer.getAttempt(), said);
-                }
-            }
+            order = Bodies.read(frame, Order.newBuilder());
         } catch (ProtocolException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("the placer sent a malformed order", e);
+        }
+        if (order.hasProbe()) {
+            answerProbe(order.getProbe());
+        } else if (order.hasOffer()) {
+            response.respond(this, order.getOffer());
         }
     }
 
-    private void say(String attempt, Answer.Kind kind) {
+    @Override
+    public void closed(ClientConnection closedConnection, String why) {
+        registrationDone("connection closed: " + why);
+    }
+
+    private void answerProbe(Probe probe) {
+        connection.send(
+                Destinations.PROBES,
+                ProbeReply.newBuilder()
+                        .setNode(shape.name())
+                        .setNumber(probe.getNumber())
+                        .setLoad(load())
+                        .build());
+    }
+
+    private void sendAnswer(Offer offer, Answer.Kind kind, Answer.Reason reason) {
         connection.send(
                 Destinations.ANSWERS,
                 Answer.newBuilder()
-                        .setNode(name)
-                        .setAttempt(attempt)
+                        .setNode(shape.name())
+                        .setAttempt(offer.getAttempt())
                         .setKind(kind)
-                        .setReason(kind == Answer.Kind.REFUSED ? reason : Answer.Reason.NONE)
+                        .setReason(reason)
                         .setLoad(load())
                         .build());
     }
 
-    /** Ends a task that it runs; its load then says what is free. */
-    void end(String task, double freedCores, double freedMemory) {
-        coresFree += freedCores;
-        memoryFree += freedMemory;
-        say(running.remove(task), Answer.Kind.ENDED);
-    }
-
-    void drain(boolean on) {
-        connection.send(Destinations.DRAIN, Drain.newBuilder().setNode(name).setOn(on).build());
-    }
-
-    /** Breaks the connection, as a cable would. */
-    void cut() {
-        connection.cut();
-    }
-
-    @Override
-    public void closed(ClientConnection c, String why) {
-        connected.countDown();
-    }
-
-    @Override
-    public void close() {
-        cut();
+    private Load load() {
+        double coresFree = shape.cores();
+        double memoryFree = shape.memory();
+        for (Offer offer : runningByTask.values()) {
+            Task task = offer.getTask();
+            coresFree -= task.getCores();
+            memoryFree -= task.getMemory();
+        }
+        return Load.newBuilder().setCoresFree(coresFree).setMemoryFree(memoryFree).build();
     }
 }
