--- a/testbed/src/test/java/thornferry/testbed/TestCluster.java
+++ b/testbed/src/test/java/thornferry/testbed/TestCluster.java
@@ -1,20 +1,12 @@
 package thornferry.testbed;
 
-import io.netty.channel.MultiThreadIoEventLoopGroup;
-import io.netty.channel.nio.NioIoHandler;
 import java.io.IOException;
-import java.io.InputStream;
-import java.io.OutputStream;
 import java.net.InetSocketAddress;
-import java.net.Socket;
-import java.net.SocketAddress;
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
+import java.time.Duration;
 import java.util.List;
 import java.util.Map;
-import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CopyOnWriteArrayList;
-import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import thornferry.agent.AgentPool;
 import thornferry.agent.NodeAgent;
@@ -22,20 +14,27 @@
 import thornferry.agent.NodeShape;
 import thornferry.agent.PlacerLogin;
 import thornferry.client.TaskClient;
+import thornferry.config.ConfigException;
 import thornferry.config.SiteFile;
 import thornferry.config.TomlFile;
 import thornferry.placer.Placer;
-import thornferry.protocol.ClientConnection;
-import thornferry.protocol.Frame;
-import thornferry.protocol.FrameLimits;
 import thornferry.protocol.Heartbeat;
 import thornferry.protocol.v1.Answer;
 import thornferry.protocol.v1.Task;
 import thornferry.protocol.v1.TaskNews;
+import thornferry.testbed.diagnosis.LoopbackPlacer;
 
-/** A placer with nodes on loopback, and peers of every kind, for tests of the whole path. */
+/** A placer with emulated nodes on loopback, and clients of every role. */
 public final class TestCluster implements AutoCloseable {
-    static final String SITE =
+    /** A task class whose tasks are idempotent. */
+    public static final String IDEMPOTENT = "idempotent";
+
+    /** A task class with an idempotency key that holds within a zone. */
+    static final String IDEMPOTENT_WITH_KEY = "idempotent-with-key";
+
+    static final String NON_IDEMPOTENT = "non-idempotent";
+
+    private static final String SITE =
             """
             [connections]
             heart-beat-ms = 300
@@ -54,18 +53,18 @@
             cores = 16.0
             memory = 32.0
             [[class]]
-            name = "gauge-relay"
+            name = "idempotent"
             effect = "safe"
             deadline-ms = 3000
             [[class]]
-            name = "depot-sync"
+            name = "idempotent-with-key"
             effect = "keyed"
             key-scope = "zone"
             key-window-ms = 5000
             deadline-ms = 3000
             worth = 5.0
             [[class]]
-            name = "levy-run"
+            name = "non-idempotent"
             effect = "unsafe"
             deadline-ms = 6000
             [[account]]
@@ -86,230 +85,150 @@
             role = "operator"
             """;
 
-    final SiteFile file;
-    Placer placer;
-    final int port;
-    final AgentPool pool = new AgentPool(1);
-    final MultiThreadIoEventLoopGroup loops =
-            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    final List<String> starts = new CopyOnWriteArrayList<>();
-    final List<TaskNews> events = new CopyOnWriteArrayList<>();
-    final List<AutoCloseable> opened = new ArrayList<>();
-    private final NodeBehavior behaviour;
-
-    public TestCluster() throws Exception {
-        this(0);
+    private static final Heartbeat HEARTBEAT = new Heartbeat(300, 300);
+    private static final long KEY_WINDOW_MICROS = 5_000_000;
+    private static final long RESULT_TIMEOUT_SECONDS = 20;
+    private static final int CELL = 1;
+    private static final double NODE_CORES = 16;
+    private static final double NODE_MEMORY = 32;
+    private static final long NODE_SEED = 1;
+
+    private final LoopbackPlacer placer;
+    private final AgentPool nodes = new AgentPool(1);
+    private final List<TaskStart> starts = new CopyOnWriteArrayList<>();
+    private final List<TaskNews> events = new CopyOnWriteArrayList<>();
+
+    /** A start of a task that a node has reported. */
+    record TaskStart(String node, String attempt) {}
+
+    /** Starts a placer without nodes, which places tasks of every class at once. */
+    public TestCluster() throws ConfigException, IOException {
+        this(Duration.ZERO);
     }
 
-    TestCluster(int settleMs) throws Exception {
-        file = SiteFile.of(TomlFile.parse("rig.toml", SITE.formatted(settleMs)));
-        placer = Placer.start(file.site(), "127.0.0.1", 0, 1);
-        port = placer.addresses().get(0).getPort();
-        NodeBehavior b = NodeBehavior.usual(Map.of("depot-sync", 5_000_000L));
-        behaviour =
-                new NodeBehavior(
-                        1_000,
-                        2_000,
-                        100,
-                        16,
-                        5_000,
-                        2,
-                        8,
-                        b.slowStartMicros(),
-                        b.slowStartInitialShare(),
-                        b.slowStartMultiple(),
-                        b.slowStartWindowMicros(),
-                        b.slowStartOffers(),
-                        0.5,
-                        0.9,
-                        60_000_000,
-                        0,
-                        b.keyWindowMicrosByClass());
+    /**
+     * Starts a placer without nodes.
+     *
+     * @param settleTime how long after its start the placer waits for the inventories of nodes
+     *     before it places non-idempotent tasks
+     */
+    TestCluster(Duration settleTime) throws ConfigException, IOException {
+        String settings = SITE.formatted(settleTime.toMillis());
+        placer =
+                LoopbackPlacer.start(
+                        SiteFile.of(TomlFile.parse("cluster.toml", settings)).site(), HEARTBEAT);
+        placer.beforeClose(nodes::close);
     }
 
-    InetSocketAddress address() {
-        return new InetSocketAddress("127.0.0.1", port);
+    private static NodeBehavior fastNode() {
+        NodeBehavior usual = NodeBehavior.usual(Map.of(IDEMPOTENT_WITH_KEY, KEY_WINDOW_MICROS));
+        return new NodeBehavior(
+                /* minDecisionMicros= */ 1_000,
+                /* maxDecisionMicros= */ 2_000,
+                /* offerQueueLength= */ 100,
+                /* concurrentStarts= */ 16,
+                /* startMicros= */ 5_000,
+                /* coldProgramFactor= */ 2,
+                /* cachedPrograms= */ 8,
+                usual.slowStartMicros(),
+                usual.slowStartInitialShare(),
+                usual.slowStartMultiple(),
+                usual.slowStartWindowMicros(),
+                usual.slowStartOffers(),
+                /* minUsageFraction= */ 0.5,
+                /* maxUsageFraction= */ 0.9,
+                /* defaultRunMicros= */ 60_000_000,
+                /* usageReportMicros= */ 0,
+                usual.keyWindowMicrosByClass());
     }
 
-    /** Kills the placer and starts another in its place. */
-    void restart() throws IOException {
-        placer.close();
-        placer = Placer.start(file.site(), "127.0.0.1", port, 1);
-    }
-
-    public NodeAgent node(String name, String zone) throws Exception {
-        NodeAgent.Watcher watcher =
-                new NodeAgent.Watcher() {
-                    @Override
-                    public void said(String node, Answer answer) {
-                        if (answer.getKind() == Answer.Kind.RUNS) {
-                            starts.add(node + " " + answer.getAttempt());
-                        }
-                    }
-                };
+    /** Starts a node and waits until the placer lists it. */
+    public NodeAgent startNode(String name, String zone) throws IOException {
         NodeAgent node =
-                pool.add(
-                        new NodeShape(name, "std", zone, 1, 16, 32),
-                        behaviour,
-                        new PlacerLogin(
-                                List.<SocketAddress>of(address()),
-                                "node",
-                                "n",
-                                new Heartbeat(300, 300)),
-                        1,
-                        watcher);
-        eventuallyOnline(name);
+                nodes.add(
+                        new NodeShape(name, "std", zone, CELL, NODE_CORES, NODE_MEMORY),
+                        fastNode(),
+                        new PlacerLogin(List.of(placer.address()), "node", "n", HEARTBEAT),
+                        NODE_SEED,
+                        new StartRecorder());
+        awaitListed(name);
         return node;
     }
 
-    void eventuallyOnline(String name) throws Exception {
-        try (Peer ops = peer("ops", "o")) {
-            ops.send("SUBSCRIBE\nid:1\ndestination:/nodes\n\n^");
-            ops.await("\"node\":\"" + name + "\"");
+    /** Waits until the placer lists a node among those of the site. */
+    void awaitListed(String node) throws IOException {
+        try (RawStompClient operator = rawClient("ops", "o")) {
+            operator.subscribe("/nodes");
+            operator.await("\"node\":\"" + node + "\"");
         }
     }
 
+    /** Connects a client; its task events go to {@link #events()}. */
     public TaskClient client(String login, String passcode) {
-        TaskClient client =
-                TaskClient.connect(
-                        new ClientConnection.Target(
-                                address(), login, passcode, new Heartbeat(300, 300)),
-                        loops.next(),
-                        events::add);
-        opened.add(client);
-        return client;
+        return placer.connect(placer.target(login, passcode), events::add);
+    }
+
+    /** Connects a client that sends raw text. */
+    RawStompClient rawClient(String login, String passcode) throws IOException {
+        return RawStompClient.connect(placer.address(), login, passcode);
+    }
+
+    /** Opens a connection on which nothing has been sent yet. */
+    RawStompClient rawConnection() throws IOException {
+        return RawStompClient.open(placer.address());
     }
 
-    public static Task task(String id, String cls) {
+    /** A task of one core and one memory unit, with an idempotency key of its own. */
+    public static Task task(String id, String taskClass) {
         return Task.newBuilder()
                 .setId(id)
-                .setTaskClass(cls)
-                .setService(cls)
+                .setTaskClass(taskClass)
+                .setService(taskClass)
                 .setKey("key-" + id)
                 .setCores(1)
                 .setMemory(1)
                 .build();
     }
 
-    Peer peer(String login, String passcode) throws IOException {
-        Peer peer = new Peer();
-        peer.send(
-                "CONNECT\naccept-version:1.2\nhost:h\nlogin:"
-                        + login
-                        + "\npasscode:"
-                        + passcode
-                        + "\n\n^");
-        peer.await("CONNECTED");
-        return peer;
+    /** Waits for the result of a task. */
+    static TaskNews resultOf(CompletableFuture<TaskNews> result) throws Exception {
+        return result.get(RESULT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** A peer that speaks whatever octets a test wants; ^ stands for NUL. */
-    final class Peer implements AutoCloseable {
-        final Socket socket;
-        private final BlockingQueue<String> frames = new LinkedBlockingQueue<>();
-        private final Thread reader;
-
-        Peer() throws IOException {
-            socket = new Socket("127.0.0.1", port);
-            reader = new Thread(this::read);
-            reader.setDaemon(true);
-            reader.start();
-        }
-
-        private void read() {
-            StringBuilder frame = new StringBuilder();
-            try (InputStream in = socket.getInputStream()) {
-                for (int c = in.read(); c >= 0; c = in.read()) {
-                    if (c == 0) {
-                        frames.add(frame.toString().strip());
-                        frame.setLength(0);
-                    } else {
-                        frame.append((char) c);
-                    }
-                }
-            } catch (IOException e) {
-                // told below, as an end
-            }
-            frames.add("END");
-        }
-
-        void send(String text) throws IOException {
-            // asked for once: the server may have answered, and the reader closed the socket,
-            // before a second call
-            OutputStream out = socket.getOutputStream();
-            out.write(text.replace('^', '\0').getBytes(StandardCharsets.UTF_8));
-        }
-
-        /**
-         * The next frame that holds {@code part}; fails after ten seconds or at the connection's
-         * end.
-         */
-        String await(String part) {
-            try {
-                for (String f = frames.poll(10, TimeUnit.SECONDS);
-                        f != null;
-                        f = frames.poll(10, TimeUnit.SECONDS)) {
-                    if (f.contains(part)) {
-                        return f;
-                    }
-                    if (f.equals("END")) {
-                        break;
-                    }
-                }
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-            throw new AssertionError("no frame with " + part);
-        }
-
-        /** The next frame, or END; null after ten seconds. */
-        String next() throws InterruptedException {
-            return frames.poll(10, TimeUnit.SECONDS);
-        }
+    /** Stops the placer as a kill would, and starts another on the same port. */
+    void restartPlacer() throws IOException {
+        placer.restart();
+    }
 
-        @Override
-        public void close() throws IOException {
-            socket.close();
-        }
+    Placer placer() {
+        return placer.placer();
     }
 
-    /** A connection of the protocol's own, with what came in. */
-    ClientConnection connection(String login, String passcode, List<Frame> got)
-            throws InterruptedException {
-        java.util.concurrent.CountDownLatch up = new java.util.concurrent.CountDownLatch(1);
-        ClientConnection c =
-                ClientConnection.open(
-                        loops.next(),
-                        new ClientConnection.Target(
-                                address(), login, passcode, new Heartbeat(300, 300)),
-                        FrameLimits.DEFAULTS,
-                        new ClientConnection.Listener() {
-                            @Override
-                            public void connected(ClientConnection connection) {
-                                up.countDown();
-                            }
+    InetSocketAddress address() {
+        return placer.address();
+    }
 
-                            @Override
-                            public void message(ClientConnection connection, Frame frame) {
-                                got.add(frame);
-                            }
+    /** The task starts that nodes have reported, in order. */
+    List<TaskStart> starts() {
+        return starts;
+    }
 
-                            @Override
-                            public void closed(ClientConnection connection, String why) {
-                                up.countDown();
-                            }
-                        });
-        up.await(10, TimeUnit.SECONDS);
-        return c;
+    /** The task events that clients have received, in order. */
+    List<TaskNews> events() {
+        return events;
     }
 
     @Override
-    public void close() throws Exception {
-        for (AutoCloseable each : opened) {
-            each.close();
-        }
-        pool.close();
+    public void close() {
         placer.close();
-        loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
+    }
+
+    private final class StartRecorder implements NodeAgent.Watcher {
+        @Override
+        public void said(String node, Answer answer) {
+            if (answer.getKind() == Answer.Kind.RUNS) {
+                starts.add(new TaskStart(node, answer.getAttempt()));
+            }
+        }
     }
 }
