--- a/testbed/src/main/java/thornferry/testbed/load/LoadGenerator.java
+++ b/testbed/src/main/java/thornferry/testbed/load/LoadGenerator.java
@@ -2,286 +2,160 @@
 
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
-import java.net.SocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
-import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.locks.LockSupport;
-import org.HdrHistogram.ConcurrentHistogram;
-import org.HdrHistogram.Histogram;
-import thornferry.agent.AgentPool;
-import thornferry.agent.NodeAgent;
 import thornferry.agent.NodeBehavior;
-import thornferry.agent.NodeShape;
-import thornferry.agent.PlacerLogin;
-import thornferry.client.TaskClient;
-import thornferry.protocol.ClientConnection;
-import thornferry.protocol.Heartbeat;
-import thornferry.protocol.v1.Answer;
-import thornferry.protocol.v1.Effect;
-import thornferry.protocol.v1.Order;
 import thornferry.protocol.v1.Task;
 
 /**
- * Open-loop load on running placers: tasks are due at times fixed beforehand, and latency counts
- * from when a task was due, so that a placer that falls behind cannot slow down those who measure
- * it. Nodes are stand-ins of this process that answer at once; bounded in time.
+ * Generates open-loop load on running placers: tasks are due at times drawn beforehand, and
+ * latencies count from when a task was due. So a placer that falls behind cannot slow down the
+ * generator, and its own delays are measured (no "coordinated omission"). The emulated nodes of
+ * this process answer at once.
  */
 public final class LoadGenerator implements AutoCloseable {
-    /**
-     * @param nodes stand-in nodes to bring along; 0 where others run them
-     * @param cores of each node, and {@code memory}, as the placers' configuration has them for
-     *     {@code kind}
-     * @param beatMs heart-beats of clients and nodes
-     */
-    public record Fleet(int nodes, String kind, double cores, double memory, int beatMs) {}
-
-    /** Latencies are microseconds from when a task was due. Counts are of tasks. */
-    public record Report(
-            double rate,
-            long asked,
-            long placed,
-            long refused,
-            long failed,
-            long unanswered,
-            long excluded,
-            Histogram toOffer,
-            Histogram toPromisedOffer,
-            Histogram toResult,
-            long levyTwice,
-            double seconds) {}
-
-    private static final String[] HALLS = {"hall-a", "hall-b", "hall-c"};
-    private static final int CLIENT_AWAY_MS = 300;
-
-    private final List<TaskClient> clients = new ArrayList<>();
-    private final long[] vanishedAt;
-    private final MultiThreadIoEventLoopGroup loops;
-    private final AgentPool pool = new AgentPool(2);
-    private final Map<String, Due> due = new ConcurrentHashMap<>(); // by task, until it is offered
-    private final Map<String, AtomicLong> levyStarts = new ConcurrentHashMap<>();
-    private final Map<String, String> levyOf = new ConcurrentHashMap<>(); // attempt -> task
-    private volatile ConcurrentHistogram toOffer = histogram();
-    private volatile ConcurrentHistogram toPromisedOffer = histogram();
-    private final SplittableRandom random = new SplittableRandom(1);
+    private static final long SEED = 1;
+    private static final int CLIENT_THREADS = 2;
+    private static final double NANOS_PER_SECOND = 1e9;
+
+    /** A delay longer than any step; added to a reading of the clock, it does not overflow. */
+    private static final long NEVER_NANOS = Long.MAX_VALUE / 4;
+
+    private static final long POLL_NANOS = 100_000;
+
+    private static final int MAX_RESULT_POLLS = 150;
+    private static final long RESULT_POLL_MILLIS = 100;
+
+    private static final double TARGET_UTILIZATION = 0.5;
+    private static final double MILLIS_PER_SECOND = 1_000;
+    private static final long MIN_RUN_MILLIS = 50;
+    private static final long MAX_RUN_MILLIS = 10_000;
+
+    private static final int UNPLACEABLE_TASK_CORES = 1_000;
+    private static final int UNPLACEABLE_TASK_MAX_WAIT_MILLIS = 600_000;
+    private static final int UNPLACEABLE_BATCH_SIZE = 200;
+    private static final long UNPLACEABLE_BATCH_PAUSE_MILLIS = 20;
+    private static final long UNPLACEABLE_SETTLE_MILLIS = 2_000;
+
+    private final MultiThreadIoEventLoopGroup loops =
+            new MultiThreadIoEventLoopGroup(CLIENT_THREADS, NioIoHandler.newFactory());
+    private final OfferObserver observer = new OfferObserver();
+    private final SplittableRandom random = new SplittableRandom(SEED);
+    private final LoadTaskFactory tasks = new LoadTaskFactory(random);
+    private final List<LoadClient> clients = new ArrayList<>();
+    private final EmulatedNodes nodes;
     private final double totalCores;
-    private long number;
 
-    /**
-     * @param owners one client each, for the placers in turn
-     */
-    public LoadGenerator(
-            List<SocketAddress> placers,
-            List<String> owners,
-            String passcode,
-            String agent,
-            Fleet fleet) {
-        loops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-        Heartbeat beat = new Heartbeat(fleet.beatMs(), fleet.beatMs());
-        NodeBehavior behaviour = NodeBehavior.instant(Map.of("depot-sync", 5_000_000L));
-        for (int i = 0; i < fleet.nodes(); i++) {
-            pool.add(
-                    new NodeShape(
-                            "n" + i,
-                            fleet.kind(),
-                            HALLS[i % HALLS.length],
-                            i,
-                            fleet.cores(),
-                            fleet.memory()),
-                    behaviour,
-                    new PlacerLogin(placers, agent, passcode, beat),
-                    i,
-                    new Watch());
-        }
-        totalCores = fleet.cores() * Math.max(1, fleet.nodes());
-        for (int i = 0; i < owners.size(); i++) {
-            clients.add(
-                    TaskClient.connect(
-                            new ClientConnection.Target(
-                                    placers.get(i % placers.size()), owners.get(i), passcode, beat),
-                            loops.next(),
-                            event -> {}));
+    /** Connects nodes and clients, asynchronously. */
+    public LoadGenerator(LoadTarget target, NodeFleet fleet) {
+        NodeBehavior behavior = NodeBehavior.instant(TaskClasses.KEY_WINDOW_MICROS);
+        nodes = new EmulatedNodes(fleet, behavior, target.nodeLogin(), observer);
+        totalCores = fleet.totalCores();
+        for (int i = 0; i < target.owners().size(); i++) {
+            clients.add(new LoadClient(target.clientTarget(i), loops.next()));
         }
-        vanishedAt = new long[clients.size()];
-        java.util.Arrays.fill(vanishedAt, Long.MIN_VALUE / 2);
     }
 
-    private record Due(long at, int client) {}
-
-    /** Whether the client was away, or about to vanish, when a task of that time was in hand. */
-    private boolean away(int client, long at) {
-        return vanishedAt[client] + CLIENT_AWAY_MS * 2_000_000L > at;
-    }
-
-    private static ConcurrentHistogram histogram() {
-        return new ConcurrentHistogram(TimeUnit.MINUTES.toMicros(10), 3);
+    /**
+     * Generates one step of load and waits for the results, for a limited time. Tasks of a client
+     * whose connection breaks meanwhile are left out of the latencies.
+     */
+    public LoadReport run(LoadStep step) throws InterruptedException {
+        StepMeasurement measurement = new StepMeasurement();
+        observer.measureInto(measurement);
+        generate(step, measurement);
+        awaitResults(measurement);
+        return measurement.report(step.tasksPerSecond(), observer.duplicateStarts());
     }
 
-    private final class Watch implements NodeAgent.Watcher {
-        @Override
-        public void offered(String node, Order order) {
-            if (order.hasOffer()) {
-                String id = order.getOffer().getTask().getId();
-                Due task = due.remove(id);
-                if (task != null && !away(task.client(), task.at())) {
-                    long micros = Math.max(0, (System.nanoTime() - task.at()) / 1_000);
-                    toOffer.recordValue(micros);
-                    if (order.getOffer().getEffect() != Effect.SAFE) {
-                        toPromisedOffer.recordValue(micros);
-                    }
-                }
-                if (order.getOffer().getTask().getTaskClass().equals("levy-run")) {
-                    levyOf.put(order.getOffer().getAttempt(), id);
-                }
+    private void generate(LoadStep step, StepMeasurement measurement) {
+        long runMillis = runMillis(step.tasksPerSecond(), totalCores);
+        long beginNanos = System.nanoTime();
+        long endNanos = beginNanos + step.duration().toNanos();
+        long nextTaskNanos = beginNanos;
+        Optional<ConnectionBreaker> breaker = connectionBreaker(step, beginNanos);
+        for (long now = beginNanos; now < endNanos; now = System.nanoTime()) {
+            while (nextTaskNanos <= now && nextTaskNanos < endNanos) {
+                submit(nextTaskNanos, runMillis, measurement);
+                nextTaskNanos += drawDelayNanos(1 / step.tasksPerSecond());
             }
-        }
-
-        @Override
-        public void said(String node, Answer answer) {
-            String task =
-                    answer.getKind() == Answer.Kind.RUNS ? levyOf.get(answer.getAttempt()) : null;
-            if (task != null) {
-                levyStarts.computeIfAbsent(task, t -> new AtomicLong()).incrementAndGet();
+            if (breaker.isPresent()) {
+                breaker.get().tick(now);
             }
+            LockSupport.parkNanos(POLL_NANOS);
         }
     }
 
     /**
-     * One step of load.
-     *
-     * @param rate tasks a second, over all clients
-     * @param vanishEvery a client drawn at random breaks off about so often, seconds; 0 for never.
-     *     Tasks that were in hand then or asked for meanwhile are left out of the latencies and
-     *     counted as excluded
+     * Run time of a small task at which about half of the cores are used, so that free capacity is
+     * not what limits the placer.
      */
-    public Report run(double rate, int seconds, double vanishEvery) throws InterruptedException {
-        toOffer = histogram();
-        toPromisedOffer = histogram();
-        ConcurrentHistogram toResult = histogram();
-        AtomicLong placed = new AtomicLong();
-        AtomicLong refused = new AtomicLong();
-        AtomicLong failed = new AtomicLong();
-        AtomicLong unanswered = new AtomicLong();
-        AtomicLong excluded = new AtomicLong();
-        AtomicLong open = new AtomicLong();
-        long asked = 0;
-        // as long as half of the cores bear, so that room is not what is measured
-        long runsFor = (long) Math.max(50, Math.min(10_000, 500 * totalCores / rate));
-        long begin = System.nanoTime();
-        long next = begin;
-        long nextVanish = begin + exponential(vanishEvery);
-        long end = begin + seconds * 1_000_000_000L;
-        for (long now = begin; now < end; now = System.nanoTime()) {
-            while (next <= now && next < end) {
-                long at = next;
-                int c = random.nextInt(clients.size());
-                asked++;
-                open.incrementAndGet();
-                Task task = task(runsFor);
-                due.put(task.getId(), new Due(at, c));
-                clients.get(c)
-                        .submit(task)
-                        .whenComplete(
-                                (news, e) -> {
-                                    if (away(c, at)) {
-                                        excluded.incrementAndGet();
-                                    } else if (e == null) {
-                                        toResult.recordValue(
-                                                Math.max(0, (System.nanoTime() - at) / 1_000));
-                                    }
-                                    (e != null
-                                                    ? unanswered
-                                                    : news.getResult().equals("placed")
-                                                            ? placed
-                                                            : news.getResult().equals("refused")
-                                                                    ? refused
-                                                                    : failed)
-                                            .incrementAndGet();
-                                    open.decrementAndGet();
-                                });
-                next += exponential(1 / rate);
-            }
-            if (vanishEvery > 0 && nextVanish <= now) {
-                int c = random.nextInt(clients.size());
-                vanishedAt[c] = System.nanoTime();
-                clients.get(c).vanish(CLIENT_AWAY_MS);
-                nextVanish = now + exponential(vanishEvery);
-            }
-            LockSupport.parkNanos(100_000);
-        }
-        for (int i = 0; i < 150 && open.get() > 0; i++) {
-            Thread.sleep(100);
+    static long runMillis(double tasksPerSecond, double totalCores) {
+        double runMillis = TARGET_UTILIZATION * MILLIS_PER_SECOND * totalCores / tasksPerSecond;
+        return (long) Math.max(MIN_RUN_MILLIS, Math.min(MAX_RUN_MILLIS, runMillis));
+    }
+
+    private Optional<ConnectionBreaker> connectionBreaker(LoadStep step, long nowNanos) {
+        if (step.meanVanishSeconds().isEmpty()) {
+            return Optional.empty();
         }
-        double took = (System.nanoTime() - begin) / 1e9;
-        long twice = levyStarts.values().stream().filter(n -> n.get() > 1).count();
-        return new Report(
-                rate,
-                asked,
-                placed.get(),
-                refused.get(),
-                failed.get(),
-                unanswered.get() + open.get(),
-                excluded.get(),
-                toOffer,
-                toPromisedOffer,
-                toResult,
-                twice,
-                took);
+        double meanSeconds = step.meanVanishSeconds().getAsDouble();
+        return Optional.of(new ConnectionBreaker(clients, random, meanSeconds, nowNanos));
     }
 
-    /**
-     * Asks for so many tasks that no node can ever take, and waits until they are with the placer.
-     */
-    public void fill(int tasks) throws InterruptedException {
-        for (int i = 0; i < tasks; i++) {
-            clients.get(i % clients.size())
-                    .submit(
-                            Task.newBuilder()
-                                    .setId("w" + i)
-                                    .setTaskClass("gauge-relay")
-                                    .setService("s")
-                                    .setCores(1_000)
-                                    .setMemory(1)
-                                    .setPatienceMs(600_000)
-                                    .build());
-            if (i % 200 == 199) {
-                Thread.sleep(20);
-            }
+    private void submit(long dueNanos, long runMillis, StepMeasurement measurement) {
+        LoadClient client = clients.get(random.nextInt(clients.size()));
+        Task task = tasks.next(runMillis);
+        measurement.taskRequested();
+        observer.taskDue(task.getId(), client, dueNanos);
+        client.submit(task, dueNanos, measurement);
+    }
+
+    private long drawDelayNanos(double meanSeconds) {
+        return meanSeconds <= 0
+                ? NEVER_NANOS
+                : (long) (ExponentialDistribution.draw(random) * meanSeconds * NANOS_PER_SECOND);
+    }
+
+    private static void awaitResults(StepMeasurement measurement) throws InterruptedException {
+        for (int i = 0; i < MAX_RESULT_POLLS && measurement.hasOutstandingTasks(); i++) {
+            Thread.sleep(RESULT_POLL_MILLIS);
         }
-        Thread.sleep(tasks == 0 ? 0 : 2_000);
     }
 
-    private long exponential(double seconds) {
-        return seconds <= 0
-                ? Long.MAX_VALUE / 4
-                : (long) (-Math.log(1 - random.nextDouble()) * seconds * 1e9);
+    /** Requests tasks that fit no node, and waits until they are in the placer's queue. */
+    public void queueUnplaceableTasks(int count) throws InterruptedException {
+        if (count == 0) {
+            return;
+        }
+        for (int i = 0; i < count; i++) {
+            clients.get(i % clients.size()).submitUnmeasured(unplaceableTask(i));
+            if (i % UNPLACEABLE_BATCH_SIZE == UNPLACEABLE_BATCH_SIZE - 1) {
+                Thread.sleep(UNPLACEABLE_BATCH_PAUSE_MILLIS);
+            }
+        }
+        Thread.sleep(UNPLACEABLE_SETTLE_MILLIS);
     }
 
-    /** Half gauge-relay, nearly half depot-sync, one in a hundred levy-run. */
-    private Task task(long runsFor) {
-        double draw = random.nextDouble();
-        String cls = draw < 0.5 ? "gauge-relay" : draw < 0.99 ? "depot-sync" : "levy-run";
-        String id = "l" + ++number;
-        boolean large = cls.equals("levy-run");
+    private static Task unplaceableTask(int number) {
         return Task.newBuilder()
-                .setId(id)
-                .setTaskClass(cls)
-                .setService(cls + random.nextInt(8))
-                .setKey("k" + id)
-                .setCores(large ? 8 : 0.5 + 0.25 * random.nextInt(4))
-                .setMemory(large ? 16 : 1 + random.nextInt(2))
-                .setRunsForMs(large ? Math.min(2_000, 4 * runsFor) : runsFor)
+                .setId("w" + number)
+                .setTaskClass(TaskClasses.GAUGE_RELAY)
+                .setService("s")
+                .setCores(UNPLACEABLE_TASK_CORES)
+                .setMemory(1)
+                .setPatienceMs(UNPLACEABLE_TASK_MAX_WAIT_MILLIS)
                 .build();
     }
 
     @Override
     public void close() {
-        clients.forEach(TaskClient::close);
-        pool.close();
+        clients.forEach(LoadClient::close);
+        nodes.close();
         loops.shutdownGracefully(100, 2_000, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 }
