--- a/bench/durability.sh
+++ b/bench/durability.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# What a durable promise costs: time from SEND to the offer of keyed and unsafe tasks with durability none, os and disk, in
-# turn, and the ratios of the medians to none.
+# Cost of the write-ahead journal: time from a request to the offer of tasks that are not idempotent by themselves, with
+# durability none, os and disk in turn, and the ratios of the medians to none.
 # Usage: bench/durability.sh [ROUNDS [SECONDS]]; about 90 s a round with 10 s.
 rounds=${1:-3} seconds=${2:-10}
 root=$(cd "$(dirname "$0")/.." && pwd)
--- a/bench/many-placers.sh
+++ b/bench/many-placers.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# 380 placer instances and 100 nodes on one machine, connected and beating, at 130 tasks a second in all: what it
-# costs. Placers and nodes are spread over four processes each, for the sake of the limit of open files (20,000 here).
+# CPU time and memory of 380 placer instances and 100 nodes on one machine, all connected and exchanging heartbeats, at 130
+# tasks per second in all. Placers and nodes are spread over four processes each, so that none exceeds the usual limit of
+# open files.
 # Usage: bench/many-placers.sh [SECONDS]; needs ports 20000 to 20394 of loopback.
 seconds=${1:-60}
 root=$(cd "$(dirname "$0")/.." && pwd)
--- a/bench/stores/src/main/java/thornferry/bench/stores/StoreComparison.java
+++ b/bench/stores/src/main/java/thornferry/bench/stores/StoreComparison.java
@@ -1,225 +1,117 @@
 package thornferry.bench.stores;
 
+import org.HdrHistogram.Histogram;
+
 import java.io.IOException;
-import java.nio.ByteBuffer;
-import java.nio.channels.FileChannel;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.nio.file.StandardOpenOption;
-import java.sql.Connection;
-import java.sql.DriverManager;
-import java.sql.PreparedStatement;
-import java.sql.Statement;
-import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.locks.LockSupport;
-import java.util.zip.CRC32C;
-import org.HdrHistogram.Histogram;
-import org.h2.mvstore.MVMap;
-import org.h2.mvstore.MVStore;
-import org.rocksdb.Options;
-import org.rocksdb.RocksDB;
-import org.rocksdb.WriteBatch;
-import org.rocksdb.WriteOptions;
+import java.util.stream.Stream;
 
 /**
- * How long a promise of 200 octets takes to be on the disk, by store and rate, each with the same group commit: what comes up
- * during one force goes with the next. Open loop; times count from when a promise was due.
+ * Measures how long a record of 200 bytes takes to become durable, by store and rate, each with the
+ * same group commit. Records arrive in an open loop; latencies count from when a record was due.
  */
 public final class StoreComparison {
-    private interface Store extends AutoCloseable {
-        /** Writes these with numbers from {@code first} on and returns when they are on the disk. */
-        void commit(long first, List<byte[]> promises) throws Exception;
-    }
+    private static final List<Candidate> CANDIDATES =
+            List.of(
+                    new Candidate("own file", FileStore::open),
+                    new Candidate("H2 MVStore", MvStore::open),
+                    new Candidate("SQLite (WAL)", SqliteStore::open),
+                    new Candidate("RocksDB", RocksDbStore::open));
+    private static final List<Double> RECORDS_PER_SECOND = List.of(130.0, 5_000.0);
+    private static final int DEFAULT_SECONDS = 8;
+    private static final int RECORD_BYTES = 200;
+    private static final long SEED = 1;
+    private static final long POLL_NANOS = 50_000;
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final double NANOS_PER_MILLI = 1e6;
+    private static final int BYTES_TO_MEGABYTES_SHIFT = 20;
 
-    private static Store file(Path folder) throws IOException {
-        FileChannel out = FileChannel.open(folder.resolve("log"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-        return new Store() {
-            @Override
-            public void commit(long first, List<byte[]> promises) throws IOException {
-                ByteBuffer all = ByteBuffer.allocate(promises.stream().mapToInt(p -> p.length + 8).sum());
-                for (byte[] p : promises) {
-                    CRC32C crc = new CRC32C();
-                    crc.update(p);
-                    all.putInt(p.length).putInt((int) crc.getValue()).put(p);
-                }
-                all.flip();
-                while (all.hasRemaining()) {
-                    out.write(all);
-                }
-                out.force(false);
-            }
+    private record Candidate(String name, RecordStore.Factory factory) {}
 
-            @Override
-            public void close() throws IOException {
-                out.close();
-            }
-        };
+    private StoreComparison() {}
+
+    /** Runs the comparison; the only argument is the duration of each measurement in seconds. */
+    public static void main(String[] args) throws Exception {
+        int seconds = args.length > 0 ? Integer.parseInt(args[0]) : DEFAULT_SECONDS;
+        runAll(seconds, false); // warms up the JVM
+        runAll(seconds, true);
     }
 
-    private static Store mvstore(Path folder) {
-        MVStore store = new MVStore.Builder().fileName(folder.resolve("mv").toString()).autoCommitDisabled().open();
-        MVMap<Long, byte[]> map = store.openMap("promises");
-        return new Store() {
-            @Override
-            public void commit(long first, List<byte[]> promises) {
-                for (int i = 0; i < promises.size(); i++) {
-                    map.put(first + i, promises.get(i));
+    private static void runAll(int seconds, boolean print) throws Exception {
+        for (double rate : RECORDS_PER_SECOND) {
+            for (Candidate candidate : CANDIDATES) {
+                String line = run(candidate, rate, seconds);
+                if (print) {
+                    System.out.println(line);
                 }
-                store.commit();
-                store.sync();
             }
-
-            @Override
-            public void close() {
-                store.close();
-            }
-        };
+        }
     }
 
-    private static Store sqlite(Path folder) throws Exception {
-        Connection c = DriverManager.getConnection("jdbc:sqlite:" + folder.resolve("sqlite"));
-        try (Statement s = c.createStatement()) {
-            s.execute("pragma journal_mode=wal");
-            s.execute("pragma synchronous=full");
-            s.execute("create table promises (n integer primary key, p blob)");
+    private static String run(Candidate candidate, double rate, int seconds) throws Exception {
+        Path folder = Files.createTempDirectory("thornferry-stores");
+        String result;
+        try (RecordStore store = candidate.factory().open(folder)) {
+            result = measure(store, rate, seconds);
         }
-        c.setAutoCommit(false);
-        PreparedStatement insert = c.prepareStatement("insert into promises values (?, ?)");
-        return new Store() {
-            @Override
-            public void commit(long first, List<byte[]> promises) throws Exception {
-                for (int i = 0; i < promises.size(); i++) {
-                    insert.setLong(1, first + i);
-                    insert.setBytes(2, promises.get(i));
-                    insert.addBatch();
-                }
-                insert.executeBatch();
-                c.commit();
-            }
-
-            @Override
-            public void close() throws Exception {
-                c.close();
-            }
-        };
+        return String.format(
+                "%5.0f a second  %-13s %s, %d MB",
+                rate,
+                candidate.name(),
+                result,
+                deleteRecursively(folder) >> BYTES_TO_MEGABYTES_SHIFT);
     }
 
-    private static Store rocks(Path folder) throws Exception {
-        RocksDB db = RocksDB.open(new Options().setCreateIfMissing(true), folder.resolve("rocks").toString());
-        WriteOptions sync = new WriteOptions().setSync(true);
-        return new Store() {
-            @Override
-            public void commit(long first, List<byte[]> promises) throws Exception {
-                try (WriteBatch batch = new WriteBatch()) {
-                    for (int i = 0; i < promises.size(); i++) {
-                        batch.put(ByteBuffer.allocate(8).putLong(first + i).array(), promises.get(i));
-                    }
-                    db.write(sync, batch);
-                }
-            }
-
-            @Override
-            public void close() {
-                db.close();
-            }
-        };
+    private static String measure(RecordStore store, double rate, int seconds) {
+        GroupCommitWriter writer = new GroupCommitWriter(store);
+        writer.start();
+        generate(writer, rate, seconds);
+        try {
+            return format(writer.finish());
+        } catch (Exception e) {
+            return "failed: " + e;
+        }
     }
 
-    private record Due(long at, byte[] promise) { }
-
-    private static String measure(Store store, double rate, int seconds) throws Exception {
-        ArrayDeque<Due> queue = new ArrayDeque<>();
-        Histogram times = new Histogram(60_000_000_000L, 3);
-        long[] commits = {0, 0};
-        boolean[] over = {false};
-        Throwable[] failed = {null};
-        Thread writer = new Thread(() -> {
-            try {
-                while (true) {
-                    List<Due> batch = new ArrayList<>();
-                    synchronized (queue) {
-                        while (queue.isEmpty() && !over[0]) {
-                            queue.wait();
-                        }
-                        batch.addAll(queue);
-                        queue.clear();
-                    }
-                    if (batch.isEmpty()) {
-                        return;
-                    }
-                    store.commit(commits[1], batch.stream().map(Due::promise).toList());
-                    long now = System.nanoTime();
-                    batch.forEach(d -> times.recordValue(now - d.at()));
-                    commits[0]++;
-                    commits[1] += batch.size();
-                }
-            } catch (Exception e) {
-                failed[0] = e;
-            }
-        });
-        writer.start();
-        SplittableRandom random = new SplittableRandom(1);
-        byte[] promise = new byte[200];
-        long begin = System.nanoTime();
-        double next = begin;
-        while (next < begin + seconds * 1e9) {
+    private static void generate(GroupCommitWriter writer, double rate, int seconds) {
+        SplittableRandom random = new SplittableRandom(SEED);
+        byte[] record = new byte[RECORD_BYTES];
+        long beginNanos = System.nanoTime();
+        double nextNanos = beginNanos;
+        while (nextNanos < beginNanos + seconds * NANOS_PER_SECOND) {
             long now = System.nanoTime();
-            while (next <= now) {
-                synchronized (queue) {
-                    queue.add(new Due((long) next, promise));
-                    queue.notify();
-                }
-                next += -Math.log(1 - random.nextDouble()) / rate * 1e9;
+            while (nextNanos <= now) {
+                writer.add((long) nextNanos, record);
+                nextNanos += -Math.log(1 - random.nextDouble()) / rate * NANOS_PER_SECOND;
             }
-            LockSupport.parkNanos(50_000);
-        }
-        synchronized (queue) {
-            over[0] = true;
-            queue.notify();
+            LockSupport.parkNanos(POLL_NANOS);
         }
-        writer.join();
-        if (failed[0] != null) {
-            return "failed: " + failed[0];
-        }
-        return String.format("p50 %.2f ms, p99 %.2f ms, most %.1f ms, %.1f promises a commit", times.getValueAtPercentile(50) / 1e6,
-            times.getValueAtPercentile(99) / 1e6, times.getMaxValue() / 1e6, (double) commits[1] / commits[0]);
     }
 
-    private interface Opening {
-        Store open(Path folder) throws Exception;
+    private static String format(GroupCommitWriter.Result result) {
+        Histogram latencyNanos = result.latencyNanos();
+        return String.format(
+                "p50 %.2f ms, p99 %.2f ms, most %.1f ms, %.1f promises a commit",
+                latencyNanos.getValueAtPercentile(50) / NANOS_PER_MILLI,
+                latencyNanos.getValueAtPercentile(99) / NANOS_PER_MILLI,
+                latencyNanos.getMaxValue() / NANOS_PER_MILLI,
+                result.recordsPerCommit());
     }
 
-    public static void main(String[] args) throws Exception {
-        int seconds = args.length > 0 ? Integer.parseInt(args[0]) : 8;
-        for (int round = 0; round < 2; round++) { // the first warms up
-            for (double rate : new double[] {130, 5_000}) {
-                one("own file", StoreComparison::file, rate, seconds, round);
-                one("H2 MVStore", StoreComparison::mvstore, rate, seconds, round);
-                one("SQLite (WAL)", StoreComparison::sqlite, rate, seconds, round);
-                one("RocksDB", StoreComparison::rocks, rate, seconds, round);
+    /** Deletes a folder and returns the size of the files in it. */
+    private static long deleteRecursively(Path folder) throws IOException {
+        long bytes = 0;
+        try (Stream<Path> files = Files.walk(folder)) {
+            for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
+                bytes += Files.isRegularFile(file) ? Files.size(file) : 0;
+                Files.delete(file);
             }
         }
-    }
-
-    private static void one(String name, Opening opening, double rate, int seconds, int round) throws Exception {
-        Path folder = Files.createTempDirectory("thornferry-stores");
-        String line;
-        try (Store store = opening.open(folder)) {
-            line = measure(store, rate, seconds);
-        }
-        long octets = 0;
-        try (var all = Files.walk(folder)) {
-            for (Path p : all.sorted(Comparator.reverseOrder()).toList()) {
-                octets += Files.isRegularFile(p) ? Files.size(p) : 0;
-                Files.delete(p);
-            }
-        }
-        if (round > 0) {
-            System.out.printf("%5.0f a second  %-13s %s, %d MB%n", rate, name, line, octets >> 20);
-        }
+        return bytes;
     }
 }
--- /dev/null
+++ b/bench/stores/src/main/java/thornferry/bench/stores/package-info.java
@@ -0,0 +1,2 @@
+/** Compares stores for the journal records of a placer; not part of the build. */
+package thornferry.bench.stores;
--- a/bench/waiting-cost.sh
+++ b/bench/waiting-cost.sh
@@ -1,12 +1,12 @@
 #!/bin/sh
-# What the waiting line and reasons cost a task: the placer's CPU with and without them, in turn, and the ratio of the medians;
-# then with 1,000 and 100,000 tasks that wait in vain, and what stays resident.
-# Usage: bench/waiting-cost.sh [ROUNDS]; takes about a minute a round. Needs a quiet machine.
+# Cost of the admission queue and pending reasons: CPU time of the placer per task with and without them, in turn, and the
+# ratio of the medians; then with 1,000 and 100,000 tasks that fit no node and stay pending, and resident memory.
+# Usage: bench/waiting-cost.sh [ROUNDS]; takes about a minute a round. Needs an otherwise idle machine.
 rounds=${1:-3}
 root=$(cd "$(dirname "$0")/.." && pwd)
 jar="$root/app/target/thornferry.jar"
 [ -f "$jar" ] || { echo "build first: mvn -q -DskipTests package" >&2; exit 1; }
-cost() { # ARGS...: microseconds of CPU a task, and megabytes resident; the first step only warms up
+cost() { # ARGS...: CPU microseconds per task, and resident megabytes; the first step warms up
   java -jar "$jar" load --rate 500,1000 --seconds 6 --nodes 20 --heap 2g --json --log-level error "$@" \
     | tail -1 | sed 's/.*"cpuMicrosPerTask":\([0-9]*\),"residentMb":\([0-9]*\).*/\1 \2/'
 }
