--- a/protocol/src/main/java/thornferry/protocol/Frame.java
+++ b/protocol/src/main/java/thornferry/protocol/Frame.java
@@ -15,6 +15,7 @@
  * header, which is the valid one (specification, "Repeated Header Entries"). The body is not
  * copied: callers leave it unchanged.
  */
+@SuppressWarnings("ArrayRecordComponent") // frames are not compared, and bodies are large
 public record Frame(StompCommand command, List<Map.Entry<String, String>> headers, byte[] body) {
     private static final byte[] EMPTY = {};
 
--- a/protocol/src/main/java/thornferry/protocol/FrameDecoder.java
+++ b/protocol/src/main/java/thornferry/protocol/FrameDecoder.java
@@ -66,17 +66,15 @@
 
     /** Decodes one part; false if more bytes are needed. */
     private boolean step(ByteBuf in, List<Object> out) {
-        switch (state) {
-            case BETWEEN_FRAMES:
-                return skipBetweenFrames(in);
-            case HEADERS:
-                return readLine(in);
-            case BODY:
-                return readBody(in, out);
-            default:
+        return switch (state) {
+            case BETWEEN_FRAMES -> skipBetweenFrames(in);
+            case HEADERS -> readLine(in);
+            case BODY -> readBody(in, out);
+            case FAILED -> {
                 in.skipBytes(in.readableBytes());
-                return false;
-        }
+                yield false;
+            }
+        };
     }
 
     /** Line ends between frames are heartbeats, or padding that the specification allows. */
@@ -130,7 +128,7 @@
     private int find(ByteBuf in, byte wanted, int limit) {
         int index = in.indexOf(in.readerIndex() + scannedBytes, in.writerIndex(), wanted);
         int end = index < 0 ? -1 : index - in.readerIndex();
-        if (end >= limit || end < 0 && in.readableBytes() >= limit) {
+        if (end >= limit || (end < 0 && in.readableBytes() >= limit)) {
             throw new TooLongFrameException("over " + (limit - 1) + " octets");
         }
         scannedBytes = end < 0 ? in.readableBytes() : 0;
--- a/protocol/src/test/java/thornferry/protocol/ServerSessionTest.java
+++ b/protocol/src/test/java/thornferry/protocol/ServerSessionTest.java
@@ -160,15 +160,19 @@
     void acknowledgesSingleAndCumulative() {
         connect();
         send(
-                "SUBSCRIBE\n"
-                        + "id:1\n"
-                        + "destination:/a\n"
-                        + "ack:client\n\n"
-                        + "^SUBSCRIBE\n"
-                        + "id:2\n"
-                        + "destination:/b\n"
-                        + "ack:client-individual\n\n"
-                        + "^");
+                """
+                SUBSCRIBE
+                id:1
+                destination:/a
+                ack:client
+
+                ^SUBSCRIBE
+                id:2
+                destination:/b
+                ack:client-individual
+
+                ^\
+                """);
         for (String m : List.of("m1", "m2", "m3")) {
             session.message("/a", m, Frame.of(StompCommand.MESSAGE));
         }
--- a/state/src/main/java/thornferry/state/GroupCommitter.java
+++ b/state/src/main/java/thornferry/state/GroupCommitter.java
@@ -18,6 +18,7 @@
     /** How often an idle thread checks whether the file was closed. */
     private static final long CLOSE_CHECK_MILLIS = 100;
 
+    @SuppressWarnings("ArrayRecordComponent") // entries are not compared
     private record PendingAppend(byte[] frame, Consumer<String> done) {}
 
     private final ActiveFile file;
--- a/state/src/test/java/thornferry/state/CrashingStorage.java
+++ b/state/src/test/java/thornferry/state/CrashingStorage.java
@@ -42,6 +42,7 @@
         Change torn(SplittableRandom random);
     }
 
+    @SuppressWarnings("ArrayRecordComponent") // changes are not compared
     private record Write(long offset, byte[] bytes) implements Change {
         @Override
         public byte[] applyTo(byte[] content) {
