--- a/agent/src/main/java/thornferry/agent/AttemptHistory.java
+++ b/agent/src/main/java/thornferry/agent/AttemptHistory.java
@@ -136,14 +136,15 @@
         repeated.forEach(entry -> register.addRecent(entry.withAge(now)));
 
         nonIdempotent.dropEndedBefore(now - retentionMicros);
-        Selection unsafe = nonIdempotent.select(now, MAX_REGISTRATION_BYTES);
-        register.addAllRecent(unsafe.answers());
-        register.setForgotUnsafeMs(unsafe.droppedMillisAgo(now));
+        Selection selectedNonIdempotent = nonIdempotent.select(now, MAX_REGISTRATION_BYTES);
+        register.addAllRecent(selectedNonIdempotent.answers());
+        register.setForgotUnsafeMs(selectedNonIdempotent.droppedMillisAgo(now));
 
         idempotentWithKey.dropEndedBefore(now - retentionMicros);
-        Selection keyed = idempotentWithKey.select(now, unsafe.remainingBytes());
-        register.addAllRecent(keyed.answers());
-        register.setForgotKeyedMs(keyed.droppedMillisAgo(now));
+        Selection selectedWithKey =
+                idempotentWithKey.select(now, selectedNonIdempotent.remainingBytes());
+        register.addAllRecent(selectedWithKey.answers());
+        register.setForgotKeyedMs(selectedWithKey.droppedMillisAgo(now));
     }
 
     /** Forgets everything: the attempts belonged to a former incarnation of the node. */
--- a/agent/src/main/java/thornferry/agent/NodeAgent.java
+++ b/agent/src/main/java/thornferry/agent/NodeAgent.java
@@ -29,10 +29,10 @@
         Watcher NONE = new Watcher() {};
 
         /** The node has received an order from a placer. */
-        default void offered(String node, Order order) {}
+        default void orderReceived(String node, Order order) {}
 
         /** The node is about to send an answer, which fault injection or a disconnect may drop. */
-        default void said(String node, Answer answer) {}
+        default void answerSent(String node, Answer answer) {}
     }
 
     /**
@@ -179,7 +179,7 @@
 
         @Override
         public void orderReceived(PlacerConnection from, Order order) {
-            watcher.offered(shape.name(), order);
+            watcher.orderReceived(shape.name(), order);
             execute(from, order);
             afterChange();
         }
@@ -239,7 +239,7 @@
         if (report.silent()) {
             return;
         }
-        watcher.said(shape.name(), answer);
+        watcher.answerSent(shape.name(), answer);
         boolean dropped = isDropped(report.kind());
         if (connection != null && !dropped) {
             connection.send(answer);
--- a/agent/src/main/java/thornferry/agent/NodeBehavior.java
+++ b/agent/src/main/java/thornferry/agent/NodeBehavior.java
@@ -97,7 +97,7 @@
      */
     public NodeBehavior {
         keyWindowMicrosByClass = Map.copyOf(keyWindowMicrosByClass);
-        requireAtLeast("maxDecisionMicros", maxDecisionMicros, minDecisionMicros);
+        requireAtLeast("maxDecisionMicros", (double) maxDecisionMicros, (double) minDecisionMicros);
         requireAtLeast("maxUsageFraction", maxUsageFraction, minUsageFraction);
         requireAtLeast("offerQueueLength", offerQueueLength, 1);
         requireAtLeast("concurrentStarts", concurrentStarts, 1);
--- a/placer/src/main/java/thornferry/placer/JournalOpener.java
+++ b/placer/src/main/java/thornferry/placer/JournalOpener.java
@@ -34,7 +34,7 @@
             LOG.atInfo()
                     .addKeyValue("instance", instance)
                     .log(
-                            "journal in {}: {} lines of former lives{}",
+                            "journal in {}: {} records of earlier incarnations{}",
                             folder,
                             file.records().size(),
                             complete ? "" : "; " + file.incompleteBecause());
@@ -45,7 +45,9 @@
             String failure = "the journal in " + folder + " cannot be used: " + e;
             LOG.atError()
                     .addKeyValue("instance", instance)
-                    .log("{}; keyed and unsafe tasks are rejected", failure);
+                    .log(
+                            "{}; tasks that are not idempotent, or only with a key, are rejected",
+                            failure);
             return new RecoveredState(Journal.broken(failure), List.of(), false);
         }
     }
--- a/placer/src/main/java/thornferry/placer/Site.java
+++ b/placer/src/main/java/thornferry/placer/Site.java
@@ -85,15 +85,15 @@
     }
 
     /** This site with other settings of the admission queue. */
-    public Site withLine(AdmissionSettings newAdmission) {
+    public Site withAdmission(AdmissionSettings newAdmission) {
         Builder builder = new Builder(this);
         builder.admission = newAdmission;
         return builder.build();
     }
 
     /** This site without admission control and pending reasons, to measure what they cost. */
-    public Site withoutLine() {
-        return withLine(admission.disabled());
+    public Site withoutAdmissionQueue() {
+        return withAdmission(admission.disabled());
     }
 
     /** This site over TLS. */
--- a/placer/src/main/java/thornferry/placer/WriteAheadJournal.java
+++ b/placer/src/main/java/thornferry/placer/WriteAheadJournal.java
@@ -25,9 +25,9 @@
  *       that is cancelled while its record is being written is never sent.
  *   <li><b>Persist before notify.</b> A client is not notified of a result or an end before the
  *       record of it is durable. Without this, a placer that restarts could contradict what the
- *       client was told. Later notifications of the same task queue behind the first, so that the
- *       client sees them in order. A notification is sent even if the record could not be written,
- *       because each request must have a result.
+ *       client was notified of. Later notifications of the same task queue behind the first, so
+ *       that the client sees them in order. A notification is sent even if the record could not be
+ *       written, because each request must have a result.
  * </ul>
  *
  * <p>Records become durable in the order in which they are passed here. Callbacks run on the event
--- a/testbed/src/main/java/thornferry/testbed/load/OfferObserver.java
+++ b/testbed/src/main/java/thornferry/testbed/load/OfferObserver.java
@@ -32,7 +32,7 @@
     }
 
     @Override
-    public void offered(String node, Order order) {
+    public void orderReceived(String node, Order order) {
         if (!order.hasOffer()) {
             return;
         }
@@ -49,7 +49,7 @@
     }
 
     @Override
-    public void said(String node, Answer answer) {
+    public void answerSent(String node, Answer answer) {
         if (answer.getKind() == Answer.Kind.RUNS) {
             duplicateStarts.started(answer.getAttempt());
         }
--- a/testbed/src/main/java/thornferry/testbed/load/OverloadSetup.java
+++ b/testbed/src/main/java/thornferry/testbed/load/OverloadSetup.java
@@ -27,12 +27,12 @@
 
     /** The site with or without its admission queue. */
     Site siteWithAdmissionQueue(boolean enabled) {
-        return enabled ? site : site.withoutLine();
+        return enabled ? site : site.withoutAdmissionQueue();
     }
 
     /** The site with or without capacity reservations for large tasks. */
     Site siteWithReservations(boolean enabled) {
-        return enabled ? site : site.withLine(site.admission().withoutReservations());
+        return enabled ? site : site.withAdmission(site.admission().withoutReservations());
     }
 
     NodeFleet fleet() {
--- a/testbed/src/test/java/thornferry/testbed/TestCluster.java
+++ b/testbed/src/test/java/thornferry/testbed/TestCluster.java
@@ -225,7 +225,7 @@
 
     private final class StartRecorder implements NodeAgent.Watcher {
         @Override
-        public void said(String node, Answer answer) {
+        public void answerSent(String node, Answer answer) {
             if (answer.getKind() == Answer.Kind.RUNS) {
                 starts.add(new TaskStart(node, answer.getAttempt()));
             }
