--- /dev/null
+++ b/testbed/src/main/java/thornferry/testbed/capture/FrameRow.java
@@ -0,0 +1,87 @@
+package thornferry.testbed.capture;
+
+import com.fasterxml.jackson.core.JsonProcessingException;
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import com.google.protobuf.Message;
+import java.util.Base64;
+import java.util.Optional;
+import thornferry.protocol.Bodies;
+import thornferry.protocol.Destinations;
+import thornferry.protocol.Frame;
+import thornferry.protocol.ProtocolException;
+import thornferry.protocol.v1.Answer;
+import thornferry.protocol.v1.Drain;
+import thornferry.protocol.v1.Order;
+import thornferry.protocol.v1.ProbeReply;
+import thornferry.protocol.v1.Register;
+import thornferry.protocol.v1.StopTask;
+import thornferry.protocol.v1.Task;
+
+/** Turns a STOMP frame into a row of the capture. */
+final class FrameRow {
+    private static final ObjectMapper JSON = new ObjectMapper();
+    private static final String PASSCODE_HEADER = "passcode";
+    private static final String DESTINATION_HEADER = "destination";
+
+    private FrameRow() {}
+
+    static ObjectNode of(long connection, String placer, Direction direction, Frame frame) {
+        ObjectNode row =
+                JSON.createObjectNode()
+                        .put(CaptureFormat.ROW_KIND, CaptureFormat.FRAME_ROW)
+                        .put(CaptureFormat.CONNECTION, connection)
+                        .put(CaptureFormat.PLACER, placer)
+                        .put(CaptureFormat.DIRECTION, direction.captureName())
+                        .put(CaptureFormat.COMMAND, frame.command().name());
+        putHeaders(row.putObject(CaptureFormat.HEADERS), frame);
+        if (frame.body().length > 0) {
+            row.set(CaptureFormat.BODY, body(frame, direction));
+        }
+        return row;
+    }
+
+    /** Of a repeated header the first counts. Passcodes are left out. */
+    private static void putHeaders(ObjectNode headers, Frame frame) {
+        frame.headers()
+                .forEach(
+                        header -> {
+                            String name = header.getKey();
+                            if (!headers.has(name) && !name.equals(PASSCODE_HEADER)) {
+                                headers.put(name, header.getValue());
+                            }
+                        });
+    }
+
+    /** The body as JSON; as a text in base 64 if it cannot be read. */
+    private static JsonNode body(Frame frame, Direction direction) {
+        try {
+            Optional<Message.Builder> type =
+                    bodyType(frame.header(DESTINATION_HEADER, ""), direction);
+            if (type.isPresent()) {
+                return JSON.readTree(Bodies.json(Bodies.read(frame, type.get())));
+            }
+            return JSON.readTree(frame.text());
+        } catch (ProtocolException | JsonProcessingException e) {
+            return JSON.getNodeFactory().textNode(Base64.getEncoder().encodeToString(frame.body()));
+        }
+    }
+
+    /** The protobuf message that a body of this destination holds; empty if it is JSON. */
+    private static Optional<Message.Builder> bodyType(String destination, Direction direction) {
+        if (direction == Direction.FROM_PLACER) {
+            return Optional.ofNullable(Destinations.nodeOfOffers(destination))
+                    .map(node -> Order.newBuilder());
+        }
+        return switch (destination) {
+            case Destinations.TASKS -> Optional.of(Task.newBuilder());
+            case Destinations.STOP -> Optional.of(StopTask.newBuilder());
+            case Destinations.REGISTER -> Optional.of(Register.newBuilder());
+            case Destinations.ANSWERS -> Optional.of(Answer.newBuilder());
+            case Destinations.PROBES -> Optional.of(ProbeReply.newBuilder());
+            case Destinations.DRAIN -> Optional.of(Drain.newBuilder());
+            default -> Optional.empty();
+        };
+    }
+}
--- a/testbed/src/main/java/thornferry/testbed/capture/package-info.java
+++ b/testbed/src/main/java/thornferry/testbed/capture/package-info.java
@@ -1,2 +1,6 @@
-/** The recording proxy between a placer and its peers, and the capture file that it writes. */
+/**
+ * The recording proxy between a placer and its peers ({@link
+ * thornferry.testbed.capture.RecordingProxy}), and the capture file that it writes ({@link
+ * thornferry.testbed.capture.Capture}, {@link thornferry.testbed.capture.CaptureFormat}).
+ */
 package thornferry.testbed.capture;
