--- a/app/src/main/java/thornferry/app/AuditCommand.java
+++ b/app/src/main/java/thornferry/app/AuditCommand.java
@@ -7,6 +7,7 @@
 import picocli.CommandLine.Parameters;
 import thornferry.testbed.audit.TraceAuditor;
 
+/** {@code thornferry audit}: checks the five rules from a capture and prints each violation. */
 @Command(
         name = "audit",
         description = "Judge the five rules from a capture alone.",
@@ -18,44 +19,54 @@
             "Exit codes: 0 clean, 1 a rule is broken."
         })
 final class AuditCommand implements Callable<Integer> {
-    private static final int MOST_PRINTED = 50;
+    private static final int MAX_PRINTED_VIOLATIONS = 50;
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final double MICROS_PER_SECOND = 1e6;
 
     @Parameters(paramLabel = "CAPTURE")
     Path capture;
 
     @Option(
             names = "--slack-ms",
+            paramLabel = "<slack>",
             defaultValue = "250",
             description =
                     "How much later than the rule's grace a result may be seen; ${DEFAULT-VALUE}.")
-    long slack;
+    long slackMillis;
 
     @Override
     public Integer call() throws Exception {
-        return print(capture, TraceAuditor.audit(capture, slack * 1_000));
+        return print(capture, TraceAuditor.audit(capture, slackMillis * MICROS_PER_MILLI));
     }
 
-    static int print(Path capture, TraceAuditor.Verdict v) {
-        v.violations().stream()
-                .limit(MOST_PRINTED)
-                .forEach(
-                        b ->
-                                System.out.printf(
-                                        "%s:%d: at %.3f s: %s: %s%n",
-                                        capture,
-                                        b.line(),
-                                        b.atMicros() / 1e6,
-                                        b.rule() == 0 ? "unreadable" : "rule " + b.rule(),
-                                        b.description()));
+    /**
+     * Prints a verdict.
+     *
+     * @return the exit code
+     */
+    static int print(Path capture, TraceAuditor.Verdict verdict) {
+        verdict.violations().stream()
+                .limit(MAX_PRINTED_VIOLATIONS)
+                .forEach(violation -> print(capture, violation));
         System.out.printf(
                 "%s: %d frames and marks, %d asks, %d results, %d offers, %d starts: %s%n",
                 capture,
-                v.lines(),
-                v.requests(),
-                v.results(),
-                v.offers(),
-                v.starts(),
-                v.isClean() ? "clean" : v.violations().size() + " breaches");
-        return v.isClean() ? 0 : Main.FAILED;
+                verdict.lines(),
+                verdict.requests(),
+                verdict.results(),
+                verdict.offers(),
+                verdict.starts(),
+                verdict.isClean() ? "clean" : verdict.violations().size() + " breaches");
+        return verdict.isClean() ? 0 : Main.FAILED;
+    }
+
+    private static void print(Path capture, TraceAuditor.Violation violation) {
+        System.out.printf(
+                "%s:%d: at %.3f s: %s: %s%n",
+                capture,
+                violation.line(),
+                violation.atMicros() / MICROS_PER_SECOND,
+                violation.rule() == 0 ? "unreadable" : "rule " + violation.rule(),
+                violation.description());
     }
 }
--- a/testbed/src/test/java/thornferry/testbed/audit/TraceAuditorTest.java
+++ b/testbed/src/test/java/thornferry/testbed/audit/TraceAuditorTest.java
@@ -12,47 +12,48 @@
 import org.junit.jupiter.api.io.TempDir;
 import thornferry.testbed.audit.TraceAuditor.Violation;
 
-/** A good capture is clean; doctored in one place, the auditor finds just that breach. */
+/** A clean capture has no violations; changed in one place, it has exactly that one. */
 class TraceAuditorTest {
-    private static final long MS = 1_000;
+    private static final long MICROS_PER_MILLI = 1_000;
 
     @TempDir Path folder;
     private final List<String> lines = new ArrayList<>();
 
-    private void line(long ms, String rest) {
-        lines.add("{\"t\":" + ms * MS + "," + rest + "}");
+    private void addRow(long millis, String rest) {
+        lines.add("{\"t\":" + millis * MICROS_PER_MILLI + "," + rest + "}");
     }
 
-    private static String frame(int link, String dir, String cmd, String headers, String body) {
+    private static String frame(
+            int connection, String direction, String command, String headers, String body) {
         return "\"k\":\"frame\",\"link\":"
-                + link
+                + connection
                 + ",\"placer\":\"p\",\"dir\":\""
-                + dir
+                + direction
                 + "\",\"cmd\":\""
-                + cmd
+                + command
                 + "\",\"h\":{"
                 + headers
                 + "},\"b\":"
                 + body;
     }
 
-    private static String send(int link, String destination, String body) {
+    private static String send(int connection, String destination, String body) {
         return frame(
-                link,
+                connection,
                 "up",
                 "SEND",
                 "\"destination\":\"" + destination + "\",\"receipt\":\"r" + body.hashCode() + "\"",
                 body);
     }
 
-    private static String ask(String id, String cls) {
+    private static String request(String id, String taskClass) {
         return send(
                 1,
                 "/tasks",
                 "{\"id\":\""
                         + id
                         + "\",\"taskClass\":\""
-                        + cls
+                        + taskClass
                         + "\",\"service\":\"s\",\"key\":\"k-"
                         + id
                         + "\",\"patienceMs\":\"2000\"}");
@@ -73,7 +74,7 @@
                 "{}");
     }
 
-    private static String offer(String node, String attempt, String id, String cls) {
+    private static String offer(String node, String attempt, String id, String taskClass) {
         return frame(
                 node.equals("a1") ? 2 : 3,
                 "down",
@@ -84,13 +85,13 @@
                         + "\",\"owner\":\"o\",\"task\":{\"id\":\""
                         + id
                         + "\",\"taskClass\":\""
-                        + cls
+                        + taskClass
                         + "\",\"service\":\"s\",\"key\":\"k-"
                         + id
                         + "\"}}}");
     }
 
-    private static String answer(String node, String attempt, String kind) {
+    private static String report(String node, String attempt, String kind) {
         return send(
                 node.equals("a1") ? 2 : 3,
                 "/nodes/answers",
@@ -103,9 +104,9 @@
                         + "\"}");
     }
 
-    private static String register(int link, String node, String zone, long uptimeMs) {
+    private static String register(int connection, String node, String zone, long uptimeMs) {
         return send(
-                link,
+                connection,
                 "/nodes/register",
                 "{\"node\":\""
                         + node
@@ -117,8 +118,8 @@
     }
 
     @BeforeEach
-    void aGoodCapture() {
-        line(
+    void writeCleanCapture() {
+        addRow(
                 0,
                 "\"k\":\"site\",\"rules\":{\"answerGrace\":8000,\"drainGrace\":500000,\"ramp\":10000000,"
                     + "\"coldFrom\":0.25,\"coldMultiple\":2,\"coldWindow\":3000000,\"coldOffers\":2,\"startsPerSecond\":0.1},"
@@ -130,18 +131,18 @@
                     + "\"spread\":\"NONE\"},"
                     + "{\"name\":\"wide\",\"effect\":\"SAFE\",\"keyScope\":\"ALL\",\"deadline\":8000000,\"spread\":\"ZONE\","
                     + "\"spreadMost\":1}]");
-        for (int link = 1; link <= 4; link++) {
-            line(1, "\"k\":\"open\",\"link\":" + link + ",\"placer\":\"p\"");
-            line(
+        for (int connection = 1; connection <= 4; connection++) {
+            addRow(1, "\"k\":\"open\",\"link\":" + connection + ",\"placer\":\"p\"");
+            addRow(
                     1,
                     frame(
-                            link,
+                            connection,
                             "up",
                             "CONNECT",
-                            "\"login\":\"" + (link == 1 ? "o" : "x") + "\"",
+                            "\"login\":\"" + (connection == 1 ? "o" : "x") + "\"",
                             "{}"));
         }
-        line(
+        addRow(
                 2,
                 frame(
                         1,
@@ -149,33 +150,33 @@
                         "SUBSCRIBE",
                         "\"id\":\"1\",\"destination\":\"/tasks/results\"",
                         "{}"));
-        line(3, register(2, "a1", "a", 3_600_000));
-        line(3, register(3, "b1", "b", 3_600_000));
-        line(10, ask("t1", "unsafe"));
-        line(11, offer("a1", "x1", "t1", "unsafe"));
-        line(12, answer("a1", "x1", "REFUSED"));
-        line(13, offer("b1", "x2", "t1", "unsafe"));
-        line(14, answer("b1", "x2", "ACCEPTED"));
-        line(15, result(1, "t1", "placed"));
-        line(20, answer("b1", "x2", "RUNS"));
-        line(30, ask("t2", "keyed"));
-        line(31, offer("a1", "x3", "t2", "keyed"));
-        line(32, answer("a1", "x3", "ACCEPTED"));
-        line(33, result(2, "t2", "placed"));
-        line(34, answer("a1", "x3", "RUNS"));
-        line(40, ask("t3", "wide"));
-        line(41, offer("a1", "x4", "t3", "wide"));
-        line(42, answer("a1", "x4", "ACCEPTED"));
-        line(43, result(3, "t3", "placed"));
-        line(50, ask("t4", "safe"));
-        line(51, offer("a1", "x5", "t4", "safe"));
-        line(52, answer("a1", "x5", "REFUSED"));
-        line(2_040, result(4, "t4", "refused"));
-        line(60_000, "\"k\":\"mark\",\"what\":\"end\"");
+        addRow(3, register(2, "a1", "a", 3_600_000));
+        addRow(3, register(3, "b1", "b", 3_600_000));
+        addRow(10, request("t1", "unsafe"));
+        addRow(11, offer("a1", "x1", "t1", "unsafe"));
+        addRow(12, report("a1", "x1", "REFUSED"));
+        addRow(13, offer("b1", "x2", "t1", "unsafe"));
+        addRow(14, report("b1", "x2", "ACCEPTED"));
+        addRow(15, result(1, "t1", "placed"));
+        addRow(20, report("b1", "x2", "RUNS"));
+        addRow(30, request("t2", "keyed"));
+        addRow(31, offer("a1", "x3", "t2", "keyed"));
+        addRow(32, report("a1", "x3", "ACCEPTED"));
+        addRow(33, result(2, "t2", "placed"));
+        addRow(34, report("a1", "x3", "RUNS"));
+        addRow(40, request("t3", "wide"));
+        addRow(41, offer("a1", "x4", "t3", "wide"));
+        addRow(42, report("a1", "x4", "ACCEPTED"));
+        addRow(43, result(3, "t3", "placed"));
+        addRow(50, request("t4", "safe"));
+        addRow(51, offer("a1", "x5", "t4", "safe"));
+        addRow(52, report("a1", "x5", "REFUSED"));
+        addRow(2_040, result(4, "t4", "refused"));
+        addRow(60_000, "\"k\":\"mark\",\"what\":\"end\"");
     }
 
-    /** Where the one line that holds {@code part} stands. */
-    private int at(String part) {
+    /** Index of the only line that contains {@code part}. */
+    private int indexOf(String part) {
         List<Integer> found = new ArrayList<>();
         for (int i = 0; i < lines.size(); i++) {
             if (lines.get(i).contains(part)) {
@@ -186,73 +187,74 @@
         return found.get(0);
     }
 
-    /** Puts a line after the one that holds {@code part}, at its time. */
-    private void after(String part, String rest) {
-        int at = at(part);
-        String time = lines.get(at).substring(5, lines.get(at).indexOf(','));
-        lines.add(at + 1, "{\"t\":" + time + "," + rest + "}");
+    /** Inserts a line after the only one that contains {@code part}, with the same time. */
+    private void insertAfter(String part, String rest) {
+        int index = indexOf(part);
+        String time = lines.get(index).substring(5, lines.get(index).indexOf(','));
+        lines.add(index + 1, "{\"t\":" + time + "," + rest + "}");
     }
 
-    private void replace(String part, String by) {
-        int at = -1;
+    /** Replaces {@code part} in the last line that contains it. */
+    private void replace(String part, String replacement) {
+        int index = -1;
         for (int i = 0; i < lines.size(); i++) {
-            at = lines.get(i).contains(part) ? i : at;
+            index = lines.get(i).contains(part) ? i : index;
         }
-        lines.set(at, lines.get(at).replace(part, by));
+        lines.set(index, lines.get(index).replace(part, replacement));
     }
 
     private List<Violation> audit() throws IOException {
         Path file = folder.resolve("capture.jsonl");
         Files.write(file, lines);
-        return TraceAuditor.audit(file, 250 * MS).violations();
+        return TraceAuditor.audit(file, 250 * MICROS_PER_MILLI).violations();
     }
 
-    private void finds(int rule, String what) throws IOException {
+    private void assertOnlyViolation(int rule, String description) throws IOException {
         assertThat(audit())
                 .singleElement()
                 .satisfies(
-                        b -> {
-                            assertThat(b.rule()).isEqualTo(rule);
-                            assertThat(b.description()).contains(what);
-                            assertThat(b.line()).isPositive();
+                        violation -> {
+                            assertThat(violation.rule()).isEqualTo(rule);
+                            assertThat(violation.description()).contains(description);
+                            assertThat(violation.line()).isPositive();
                         });
     }
 
     @Test
-    void theGoodCaptureIsClean() throws IOException {
+    void acceptsCleanCapture() throws IOException {
         assertThat(audit()).isEmpty();
     }
 
     @Test
-    void rule1AResultThatNeverCame() throws IOException {
-        lines.remove(at("\"message-id\":\"n4\""));
-        finds(1, "task t4 of o at p never had a result");
+    void reportsMissingResult() throws IOException {
+        lines.remove(indexOf("\"message-id\":\"n4\""));
+        assertOnlyViolation(1, "task t4 of o at p never had a result");
     }
 
     @Test
-    void rule1AResultTooLate() throws IOException {
+    void reportsLateResult() throws IOException {
         replace("\"t\":2040000", "\"t\":2500000");
-        finds(1, "too late");
+        assertOnlyViolation(1, "too late");
     }
 
     @Test
-    void rule1TwoResultsForOneAsk() throws IOException {
-        after("\"message-id\":\"n1\"", result(9, "t1", "placed"));
-        finds(1, "2 results for 1 asks");
+    void reportsTwoResultsForOneRequest() throws IOException {
+        insertAfter("\"message-id\":\"n1\"", result(9, "t1", "placed"));
+        assertOnlyViolation(1, "2 results for 1 asks");
     }
 
     @Test
-    void rule1AnOfferAfterTheResult() throws IOException {
+    void reportsOfferAfterResult() throws IOException {
         lines.add(
-                at("\"message-id\":\"n4\"") + 1,
+                indexOf("\"message-id\":\"n4\"") + 1,
                 "{\"t\":4000000," + offer("b1", "x9", "t4", "safe") + "}");
-        finds(1, "after its result refused");
+        assertOnlyViolation(1, "after its result refused");
     }
 
     @Test
-    void rule2AnUnsafeTaskOfferedAgainWithoutProof() throws IOException {
+    void reportsRetryOfNonIdempotentTaskWithoutProof() throws IOException {
         lines.set(
-                at(answer("a1", "x1", "REFUSED")),
+                indexOf(report("a1", "x1", "REFUSED")),
                 "{\"t\":12000,"
                         + frame(
                                 2,
@@ -261,20 +263,20 @@
                                 "\"destination\":\"/nodes/a1/offers\"",
                                 "{\"withdraw\":{\"attempt\":\"x1\"}}")
                         + "}");
-        finds(2, "though it may have run on a1");
+        assertOnlyViolation(2, "though it may have run on a1");
     }
 
     @Test
-    void rule2TwoAttemptsOutAtOnce() throws IOException {
+    void reportsOverlappingAttempts() throws IOException {
         replace("\"attempt\":\"x5\",\"kind\":\"REFUSED\"", "\"attempt\":\"x5\",\"kind\":\"USES\"");
-        after("\"attempt\":\"x5\",\"kind\":\"USES\"", offer("b1", "x9", "t4", "safe"));
-        finds(2, "while its attempt on a1 is out");
+        insertAfter("\"attempt\":\"x5\",\"kind\":\"USES\"", offer("b1", "x9", "t4", "safe"));
+        assertOnlyViolation(2, "while its attempt on a1 is out");
     }
 
     @Test
-    void rule2AKeyedTaskOutsideItsHall() throws IOException {
+    void reportsRetryOutsideZoneOfIdempotencyKey() throws IOException {
         lines.set(
-                at(answer("a1", "x3", "ACCEPTED")),
+                indexOf(report("a1", "x3", "ACCEPTED")),
                 "{\"t\":32000,"
                         + frame(
                                 2,
@@ -283,13 +285,13 @@
                                 "\"destination\":\"/nodes/a1/offers\"",
                                 "{\"withdraw\":{\"attempt\":\"x3\"}}")
                         + "}");
-        after("{\"withdraw\":{\"attempt\":\"x3\"}}", offer("b1", "x9", "t2", "keyed"));
-        finds(2, "outside the group that drops its repeats");
+        insertAfter("{\"withdraw\":{\"attempt\":\"x3\"}}", offer("b1", "x9", "t2", "keyed"));
+        assertOnlyViolation(2, "outside the group that drops its repeats");
     }
 
     @Test
-    void rule1OneMessageThatSaysTwoThings() throws IOException {
-        after(
+    void reportsMessageWithTwoContents() throws IOException {
+        insertAfter(
                 "\"message-id\":\"n1\"",
                 frame(
                         1,
@@ -298,81 +300,104 @@
                         "\"destination\":\"/tasks/results\",\"message-id\":"
                                 + "\"n1\",\"task\":\"t1\",\"result\":\"failed\"",
                         "{}"));
-        finds(1, "says 't1 failed' to one session of o and 't1 placed' to another");
+        assertOnlyViolation(1, "says 't1 failed' to one session of o and 't1 placed' to another");
     }
 
     @Test
-    void rule1AResultThatDoesNotOutlastAKill() throws IOException {
+    void reportsResultThatChangesAfterPlacerKill() throws IOException {
         lines.set(0, lines.get(0).replace("\"k\":\"site\"", "\"k\":\"site\",\"lasting\":true"));
-        String told = "\"message-id\":\"n1\"";
-        int number = at("\"task\":\"t1\",\"result\"");
-        assertThat(lines.get(number)).contains(told).contains("\"result\":\"placed\"");
+        String messageId = "\"message-id\":\"n1\"";
+        int number = indexOf("\"task\":\"t1\",\"result\"");
+        assertThat(lines.get(number)).contains(messageId).contains("\"result\":\"placed\"");
         long last = lines.size();
         lines.add("{\"t\":9000000,\"k\":\"mark\",\"what\":\"placer-killed\",\"placer\":\"p\"}");
-        lines.add("{\"t\":9010000," + ask("t1", "unsafe") + "}");
+        lines.add("{\"t\":9010000," + request("t1", "unsafe") + "}");
         lines.add("{\"t\":9020000," + result(1, "t1", "failed") + "}");
         assertThat(lines).hasSize((int) last + 3);
         assertThat(audit())
                 .anyMatch(
-                        b ->
-                                b.rule() == 1
-                                        && b.description()
+                        violation ->
+                                violation.rule() == 1
+                                        && violation
+                                                .description()
                                                 .contains(
                                                         "is told failed after it was told placed"));
     }
 
     @Test
-    void rule2AnUnsafeTaskThatRanTwice() throws IOException {
-        after("\"attempt\":\"x2\",\"kind\":\"RUNS\"", answer("a1", "x1", "RUNS"));
-        finds(2, "started twice");
+    void reportsSecondStartOfNonIdempotentTask() throws IOException {
+        insertAfter("\"attempt\":\"x2\",\"kind\":\"RUNS\"", report("a1", "x1", "RUNS"));
+        assertOnlyViolation(2, "started twice");
     }
 
     @Test
-    void rule2ARefusalThatIsNotHarmless() throws IOException {
+    void reportsRejectionAfterPossibleStart() throws IOException {
         replace(
                 "\"message-id\":\"n1\",\"task\":\"t1\",\"result\":\"placed\"",
                 "\"message-id\":\"n1\",\"task\":\"t1\",\"result\":\"refused\"");
-        finds(2, "trying again is harmless");
+        assertOnlyViolation(2, "trying again is harmless");
     }
 
     @Test
-    void rule3AnOfferToADrainedNode() throws IOException {
+    void reportsOfferToDrainingNode() throws IOException {
         lines.add(
-                at(
+                indexOf(
                         "\"id\":\"t2\",\"taskClass\":\"keyed\",\"service\":\"s\",\"key\":\"k-t2\",\"patienceMs\""),
                 "{\"t\":20000," + send(4, "/nodes/drain", "{\"node\":\"a1\",\"on\":true}") + "}");
-        lines.subList(at("\"t\":30000"), lines.size())
+        lines.subList(indexOf("\"t\":30000"), lines.size())
                 .replaceAll(
-                        l -> {
-                            long t = Long.parseLong(l.substring(5, l.indexOf(',')));
-                            return l.replaceFirst(
-                                    "\"t\":" + t,
-                                    "\"t\":" + (t < 50_000 ? t + 600_000 : t + 700_000));
+                        line -> {
+                            long micros = Long.parseLong(line.substring(5, line.indexOf(',')));
+                            return line.replaceFirst(
+                                    "\"t\":" + micros,
+                                    "\"t\":"
+                                            + (micros < 50_000
+                                                    ? micros + 600_000
+                                                    : micros + 700_000));
                         });
         assertThat(audit())
                 .hasSize(3)
-                .allMatch(b -> b.rule() == 3 && b.description().contains("a1, which drains"));
+                .allMatch(
+                        violation ->
+                                violation.rule() == 3
+                                        && violation.description().contains("a1, which drains"));
     }
 
     @Test
-    void rule4AColdNodePushedOver() throws IOException {
+    void reportsTooManyOffersToWarmingNode() throws IOException {
         replace("\"zone\":\"a\",\"uptimeMs\":\"3600000\"", "\"zone\":\"a\",\"uptimeMs\":\"0\"");
         assertThat(audit())
                 .hasSize(2)
-                .allMatch(b -> b.rule() == 4 && b.description().contains("a1 is cold"));
+                .allMatch(
+                        violation ->
+                                violation.rule() == 4
+                                        && violation.description().contains("a1 is cold"));
     }
 
     @Test
-    void rule5AServiceNotSpread() throws IOException {
-        after("\"message-id\":\"n3\"", ask("t6", "wide"));
-        after("\"id\":\"t6\",\"taskClass\":\"wide\"", offer("a1", "x9", "t6", "wide"));
-        after("\"attempt\":\"x9\"", result(9, "t6", "placed"));
-        finds(5, "2 tasks in the zone of a1");
+    void reportsServiceNotSpread() throws IOException {
+        insertAfter("\"message-id\":\"n3\"", request("t6", "wide"));
+        insertAfter("\"id\":\"t6\",\"taskClass\":\"wide\"", offer("a1", "x9", "t6", "wide"));
+        insertAfter("\"attempt\":\"x9\"", result(9, "t6", "placed"));
+        assertOnlyViolation(5, "2 tasks in the zone of a1");
     }
 
     @Test
-    void whatCannotBeReadIsSaid() throws IOException {
+    void reportsUnreadableLine() throws IOException {
         lines.add("not json");
-        finds(0, "not JSON");
+        assertOnlyViolation(0, "not JSON");
+    }
+
+    @Test
+    void reportsOffersOfTasksWhoseOwnerIsUnknown() throws IOException {
+        lines.remove(indexOf("\"login\":\"o\""));
+        assertThat(audit())
+                .hasSize(5)
+                .allMatch(
+                        violation ->
+                                violation.rule() == 1
+                                        && violation
+                                                .description()
+                                                .contains("but nobody asked for it"));
     }
 }
