--- a/app/src/main/java/thornferry/app/KeysCommand.java
+++ b/app/src/main/java/thornferry/app/KeysCommand.java
@@ -13,6 +13,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
+import thornferry.security.CertificateStatus;
 import thornferry.security.Keys;
 import thornferry.security.Passcodes;
 
@@ -164,21 +165,25 @@
                     "%-20s %-10s %-17s %-17s %s%n", "NAME", "FOR", "FROM", "UNTIL", "STATE");
             DateTimeFormatter time =
                     DateTimeFormatter.ofPattern("yyyy-MM-dd HH:mm").withZone(ZoneOffset.UTC);
-            for (Keys.Entry e : keys().list()) {
+            for (CertificateStatus e : keys().list()) {
                 boolean expired = e.left().isNegative();
                 boolean late = e.left().compareTo(Duration.ofDays(soon)) < 0;
                 String state =
-                        !e.oursStill()
+                        !e.signedByAuthority()
                                 ? "not signed by this authority"
                                 : expired
                                         ? "EXPIRED"
                                         : e.left().toDays()
                                                 + " days left"
                                                 + (late ? ", renew it" : "");
-                good &= e.oursStill() && !late;
+                good &= e.signedByAuthority() && !late;
                 System.out.printf(
                         "%-20s %-10s %-17s %-17s %s%n",
-                        e.name(), e.use(), time.format(e.from()), time.format(e.until()), state);
+                        e.name(),
+                        e.use(),
+                        time.format(e.notBefore()),
+                        time.format(e.notAfter()),
+                        state);
             }
             return good ? 0 : Main.FAILED;
         }
--- a/security/src/main/java/thornferry/security/Keys.java
+++ b/security/src/main/java/thornferry/security/Keys.java
@@ -1,56 +1,25 @@
 package thornferry.security;
 
 import java.io.IOException;
-import java.io.StringWriter;
-import java.math.BigInteger;
-import java.net.InetAddress;
-import java.nio.charset.StandardCharsets;
-import java.nio.file.Files;
 import java.nio.file.Path;
-import java.nio.file.StandardCopyOption;
-import java.nio.file.attribute.PosixFilePermissions;
 import java.security.GeneralSecurityException;
 import java.security.KeyPair;
-import java.security.KeyPairGenerator;
-import java.security.PrivateKey;
-import java.security.SecureRandom;
+import java.security.cert.CertificateParsingException;
 import java.security.cert.X509Certificate;
-import java.security.spec.ECGenParameterSpec;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
-import java.util.Date;
+import java.util.Collection;
 import java.util.List;
-import org.bouncycastle.asn1.x500.X500Name;
-import org.bouncycastle.asn1.x500.X500NameBuilder;
-import org.bouncycastle.asn1.x500.style.BCStyle;
-import org.bouncycastle.asn1.x509.BasicConstraints;
-import org.bouncycastle.asn1.x509.ExtendedKeyUsage;
-import org.bouncycastle.asn1.x509.Extension;
-import org.bouncycastle.asn1.x509.GeneralName;
-import org.bouncycastle.asn1.x509.GeneralNames;
-import org.bouncycastle.asn1.x509.KeyPurposeId;
-import org.bouncycastle.asn1.x509.KeyUsage;
-import org.bouncycastle.cert.X509CertificateHolder;
-import org.bouncycastle.cert.jcajce.JcaX509CertificateConverter;
-import org.bouncycastle.cert.jcajce.JcaX509ExtensionUtils;
-import org.bouncycastle.cert.jcajce.JcaX509v3CertificateBuilder;
-import org.bouncycastle.openssl.PEMKeyPair;
-import org.bouncycastle.openssl.PEMParser;
-import org.bouncycastle.openssl.jcajce.JcaPEMKeyConverter;
-import org.bouncycastle.openssl.jcajce.JcaPEMWriter;
-import org.bouncycastle.openssl.jcajce.JcaPKCS8Generator;
-import org.bouncycastle.operator.OperatorCreationException;
-import org.bouncycastle.operator.jcajce.JcaContentSignerBuilder;
+import java.util.Locale;
 
 /**
- * A site's certificates in one directory: {@code ca.pem} and {@code ca.key}, and {@code NAME.pem}
- * and {@code NAME.key} for each server, agent, owner and operator. Keys are P-256, unencrypted PKCS
- * 8, readable by their user alone. A file is written whole and then moved into place, so that one
- * who reloads never reads half of it.
+ * The certificate authority of a site and the certificates that it has signed, in one directory:
+ * {@code ca.pem} and {@code ca.key} of the authority, and {@code NAME.pem} and {@code NAME.key} for
+ * each server, agent, owner and operator. Keys are P-256 and readable by their user alone.
  */
 public final class Keys {
-    /** What a certificate is for; peers are known by the common name, their login. */
+    /** What a certificate is for; peers are identified by the common name, which is their login. */
     public enum Use {
         AUTHORITY,
         SERVER,
@@ -59,316 +28,165 @@
         OPERATOR
     }
 
-    /** One certificate as it stands. {@code left} is negative where it has expired. */
-    public record Entry(
-            String name,
-            String use,
-            Instant from,
-            Instant until,
-            Duration left,
-            boolean oursStill) {}
+    private static final String UNKNOWN_USE = "unknown";
+    private static final String ORGANIZATIONAL_UNIT = "OU=";
 
-    private static final String CA = "ca";
+    /** Index of the value in an entry of {@link X509Certificate#getSubjectAlternativeNames}. */
+    private static final int ALTERNATIVE_NAME_VALUE = 1;
 
-    /** Clocks of a site's machines may differ by so much. */
-    private static final Duration SKEW = Duration.ofMinutes(5);
-
-    private final Path directory;
+    private final KeyFiles files;
 
     public Keys(Path directory) {
-        this.directory = directory;
+        files = new KeyFiles(directory);
     }
 
     /** The file of a certificate. */
     public Path certificate(String name) {
-        return directory.resolve(name + ".pem");
+        return files.certificate(name);
     }
 
     /** The file of a private key. */
     public Path key(String name) {
-        return directory.resolve(name + ".key");
+        return files.key(name);
     }
 
     /** The file of the authority's certificate. */
     public Path authority() {
-        return certificate(CA);
+        return certificate(KeyFiles.AUTHORITY);
     }
 
-    /** Makes the site's authority. @throws IOException where there is one already */
+    /**
+     * Creates the site's authority.
+     *
+     * @throws IOException if there is one already, or its files cannot be written
+     */
     public void init(String site, Duration validFor) throws IOException {
-        if (Files.exists(authority())) {
-            throw new IOException(
-                    authority()
-                            + ": there is an authority already; its certificates would be void");
+        if (files.hasAuthority()) {
+            throw new KeyFileException.AuthorityExists(authority());
         }
-        Files.createDirectories(directory);
-        KeyPair pair = pair();
-        X500Name name = name(site + " authority", Use.AUTHORITY);
-        write(
-                CA,
-                pair.getPrivate(),
-                build(
-                        name,
-                        name,
-                        pair,
-                        pair.getPrivate(),
-                        Use.AUTHORITY,
-                        List.of(),
-                        Instant.now().minus(SKEW),
-                        validFor));
+        files.createDirectory();
+        KeyPair keyPair = CertificateSigner.generateKeyPair();
+        CertificateRequest request =
+                CertificateRequest.validNow(
+                        site + " authority", Use.AUTHORITY, List.of(), validFor);
+        files.write(
+                KeyFiles.AUTHORITY,
+                keyPair.getPrivate(),
+                CertificateSigner.selfSign(request, keyPair));
     }
 
     /**
-     * Makes, or renews, a certificate signed by the site's authority; a renewed one keeps its key.
+     * Issues a certificate that is valid from now on.
      *
-     * @param hosts names and addresses of a server; unused for others
+     * @param hosts names and addresses of a server; unused for other uses
+     * @throws IOException as {@link #issue(CertificateRequest)}
      */
     public void issue(String name, Use use, List<String> hosts, Duration validFor)
             throws IOException {
-        issue(name, use, hosts, Instant.now().minus(SKEW), validFor);
+        issue(CertificateRequest.validNow(name, use, hosts, validFor));
     }
 
-    /** The same, good only from a time on. */
-    public void issue(String name, Use use, List<String> hosts, Instant from, Duration validFor)
+    /**
+     * Issues a certificate that is valid from a given time on.
+     *
+     * @throws IOException as {@link #issue(CertificateRequest)}
+     */
+    public void issue(
+            String name, Use use, List<String> hosts, Instant notBefore, Duration validFor)
             throws IOException {
-        if (!name.matches("[A-Za-z0-9._-]{1,64}") || name.equals(CA)) {
-            throw new IOException(
-                    name
-                            + ": a name has 1 to 64 letters, digits, dots, hyphens or underscores,"
-                            + " and is not ca");
-        }
-        X509Certificate authority = read(CA);
-        KeyPair pair =
-                Files.exists(key(name))
-                        ? new KeyPair(read(name).getPublicKey(), readKey(name))
-                        : pair();
-        X500Name issuer = new X509CertificateHolder(encoded(authority)).getSubject();
-        write(
-                name,
-                pair.getPrivate(),
-                build(issuer, name(name, use), pair, readKey(CA), use, hosts, from, validFor));
-    }
-
-    /** The same for as long as before, with the same use and hosts. */
-    public void renew(String name) throws IOException {
-        X509Certificate old = read(name);
-        Duration life =
-                Duration.between(
-                        old.getNotBefore().toInstant().plus(SKEW), old.getNotAfter().toInstant());
-        List<String> hosts = new ArrayList<>();
-        try {
-            if (old.getSubjectAlternativeNames() != null) {
-                old.getSubjectAlternativeNames().forEach(n -> hosts.add(String.valueOf(n.get(1))));
-            }
-        } catch (GeneralSecurityException e) {
-            throw new IOException(certificate(name) + ": " + e.getMessage(), e);
-        }
-        issue(name, Use.valueOf(use(old).toUpperCase(java.util.Locale.ROOT)), hosts, life);
+        issue(new CertificateRequest(name, use, hosts, notBefore, validFor));
     }
 
-    /** All certificates of the directory, the authority first. */
-    public List<Entry> list() throws IOException {
-        X509Certificate authority = read(CA);
-        List<Entry> entries = new ArrayList<>();
-        List<Path> files;
-        try (var all = Files.list(directory)) {
-            files =
-                    all.filter(f -> f.toString().endsWith(".pem"))
-                            .sorted(
-                                    (a, b) ->
-                                            a.equals(authority())
-                                                    ? -1
-                                                    : b.equals(authority()) ? 1 : a.compareTo(b))
-                            .toList();
-        }
-        for (Path file : files) {
-            String name = file.getFileName().toString().replaceAll("\\.pem$", "");
-            X509Certificate c = read(name);
-            boolean ours;
-            try {
-                c.verify(authority.getPublicKey());
-                ours = true;
-            } catch (GeneralSecurityException e) {
-                ours = false;
-            }
-            entries.add(
-                    new Entry(
-                            name,
-                            use(c),
-                            c.getNotBefore().toInstant(),
-                            c.getNotAfter().toInstant(),
-                            Duration.between(Instant.now(), c.getNotAfter().toInstant()),
-                            ours));
-        }
-        return entries;
-    }
-
-    private static String use(X509Certificate c) {
-        for (String part : c.getSubjectX500Principal().getName().split(",")) {
-            if (part.startsWith("OU=")) {
-                return part.substring(3);
-            }
-        }
-        return "unknown";
-    }
-
-    private static X500Name name(String commonName, Use use) {
-        return new X500NameBuilder(BCStyle.INSTANCE)
-                .addRDN(BCStyle.OU, use.name().toLowerCase(java.util.Locale.ROOT))
-                .addRDN(BCStyle.CN, commonName)
-                .build();
+    /**
+     * Issues a certificate signed by the site's authority, and replaces one of the same name, whose
+     * key is kept.
+     *
+     * @throws IOException if the name is invalid, there is no authority, or a file cannot be read
+     *     or written
+     */
+    public void issue(CertificateRequest request) throws IOException {
+        request.checkName();
+        X509Certificate authority = files.readCertificate(KeyFiles.AUTHORITY);
+        KeyPair keyPair =
+                files.hasKey(request.name())
+                        ? files.readKeyPair(request.name())
+                        : CertificateSigner.generateKeyPair();
+        CertificateSigner signer =
+                CertificateSigner.of(authority, files.readKey(KeyFiles.AUTHORITY));
+        files.write(
+                request.name(), keyPair.getPrivate(), signer.sign(request, keyPair.getPublic()));
     }
 
-    private static KeyPair pair() throws IOException {
-        try {
-            KeyPairGenerator generator = KeyPairGenerator.getInstance("EC");
-            generator.initialize(new ECGenParameterSpec("secp256r1"));
-            return generator.generateKeyPair();
-        } catch (GeneralSecurityException e) {
-            throw new IOException("no key could be made: " + e.getMessage(), e);
-        }
+    /**
+     * Issues a certificate again, with the same key, use, hosts and period of validity.
+     *
+     * @throws IOException as {@link #issue(CertificateRequest)}
+     */
+    public void renew(String name) throws IOException {
+        X509Certificate old = files.readCertificate(name);
+        Instant validFrom = old.getNotBefore().toInstant().plus(CertificateSigner.MAX_CLOCK_SKEW);
+        Duration validFor = Duration.between(validFrom, old.getNotAfter().toInstant());
+        List<String> hosts = hosts(name, old);
+        Use use = Use.valueOf(use(old).toUpperCase(Locale.ROOT));
+        issue(CertificateRequest.validNow(name, use, hosts, validFor));
     }
 
-    private static X509Certificate build(
-            X500Name issuer,
-            X500Name subject,
-            KeyPair pair,
-            PrivateKey signer,
-            Use use,
-            List<String> hosts,
-            Instant from,
-            Duration validFor)
-            throws IOException {
+    private List<String> hosts(String name, X509Certificate certificate) throws KeyFileException {
         try {
-            JcaX509ExtensionUtils utils = new JcaX509ExtensionUtils();
-            JcaX509v3CertificateBuilder b =
-                    new JcaX509v3CertificateBuilder(
-                            issuer,
-                            new BigInteger(159, new SecureRandom()),
-                            Date.from(from),
-                            Date.from(from.plus(SKEW).plus(validFor)),
-                            subject,
-                            pair.getPublic());
-            b.addExtension(
-                    Extension.subjectKeyIdentifier,
-                    false,
-                    utils.createSubjectKeyIdentifier(pair.getPublic()));
-            b.addExtension(
-                    Extension.basicConstraints, true, new BasicConstraints(use == Use.AUTHORITY));
-            if (use == Use.AUTHORITY) {
-                b.addExtension(
-                        Extension.keyUsage,
-                        true,
-                        new KeyUsage(KeyUsage.keyCertSign | KeyUsage.cRLSign));
-            } else {
-                b.addExtension(Extension.keyUsage, true, new KeyUsage(KeyUsage.digitalSignature));
-                b.addExtension(
-                        Extension.extendedKeyUsage,
-                        false,
-                        new ExtendedKeyUsage(
-                                use == Use.SERVER
-                                        ? KeyPurposeId.id_kp_serverAuth
-                                        : KeyPurposeId.id_kp_clientAuth));
-            }
-            if (use == Use.SERVER) {
-                GeneralName[] names =
-                        hosts.stream()
-                                .map(
-                                        h ->
-                                                new GeneralName(
-                                                        address(h)
-                                                                ? GeneralName.iPAddress
-                                                                : GeneralName.dNSName,
-                                                        h))
-                                .toArray(GeneralName[]::new);
-                b.addExtension(Extension.subjectAlternativeName, false, new GeneralNames(names));
+            Collection<List<?>> alternativeNames = certificate.getSubjectAlternativeNames();
+            if (alternativeNames == null) {
+                return List.of();
             }
-            return new JcaX509CertificateConverter()
-                    .getCertificate(
-                            b.build(new JcaContentSignerBuilder("SHA256withECDSA").build(signer)));
-        } catch (GeneralSecurityException | OperatorCreationException e) {
-            throw new IOException("no certificate could be made: " + e.getMessage(), e);
-        }
-    }
-
-    private static boolean address(String host) {
-        try {
-            return host.matches("[0-9.]+|.*:.*") && InetAddress.getByName(host) != null;
-        } catch (java.net.UnknownHostException e) {
-            return false;
+            return alternativeNames.stream()
+                    .map(entry -> String.valueOf(entry.get(ALTERNATIVE_NAME_VALUE)))
+                    .toList();
+        } catch (CertificateParsingException e) {
+            throw new KeyFileException.InvalidContent(certificate(name), e);
         }
     }
 
-    private static byte[] encoded(X509Certificate c) throws IOException {
-        try {
-            return c.getEncoded();
-        } catch (GeneralSecurityException e) {
-            throw new IOException(e);
+    /**
+     * The state of all certificates of the directory, that of the authority first.
+     *
+     * @throws IOException if one of them cannot be read
+     */
+    public List<CertificateStatus> list() throws IOException {
+        X509Certificate authority = files.readCertificate(KeyFiles.AUTHORITY);
+        List<CertificateStatus> statuses = new ArrayList<>();
+        for (String name : files.names()) {
+            statuses.add(status(name, files.readCertificate(name), authority));
         }
+        return statuses;
     }
 
-    private Object parse(Path file) throws IOException {
-        if (!Files.isReadable(file)) {
-            throw new IOException(
-                    file
-                            + ": no such file, or it cannot be read"
-                            + (file.equals(authority()) ? "; make an authority first" : ""));
-        }
-        try (PEMParser parser = new PEMParser(Files.newBufferedReader(file))) {
-            Object got = parser.readObject();
-            if (got == null) {
-                throw new IOException(file + ": not PEM");
-            }
-            return got;
-        }
+    private static CertificateStatus status(
+            String name, X509Certificate certificate, X509Certificate authority) {
+        Instant notAfter = certificate.getNotAfter().toInstant();
+        return new CertificateStatus(
+                name,
+                use(certificate),
+                certificate.getNotBefore().toInstant(),
+                notAfter,
+                Duration.between(Instant.now(), notAfter),
+                isSignedBy(authority, certificate));
     }
 
-    private X509Certificate read(String name) throws IOException {
-        if (!(parse(certificate(name)) instanceof X509CertificateHolder holder)) {
-            throw new IOException(certificate(name) + ": not a certificate");
-        }
+    private static boolean isSignedBy(X509Certificate authority, X509Certificate certificate) {
         try {
-            return new JcaX509CertificateConverter().getCertificate(holder);
+            certificate.verify(authority.getPublicKey());
+            return true;
         } catch (GeneralSecurityException e) {
-            throw new IOException(certificate(name) + ": " + e.getMessage(), e);
-        }
-    }
-
-    private PrivateKey readKey(String name) throws IOException {
-        Object got = parse(key(name));
-        JcaPEMKeyConverter converter = new JcaPEMKeyConverter();
-        if (got instanceof PEMKeyPair pair) {
-            return converter.getPrivateKey(pair.getPrivateKeyInfo());
-        } else if (got instanceof org.bouncycastle.asn1.pkcs.PrivateKeyInfo info) {
-            return converter.getPrivateKey(info);
-        }
-        throw new IOException(key(name) + ": not a private key");
-    }
-
-    private void write(String name, PrivateKey key, X509Certificate certificate)
-            throws IOException {
-        StringWriter keyText = new StringWriter();
-        try (JcaPEMWriter pem = new JcaPEMWriter(keyText)) {
-            pem.writeObject(new JcaPKCS8Generator(key, null));
-        }
-        StringWriter certificateText = new StringWriter();
-        try (JcaPEMWriter pem = new JcaPEMWriter(certificateText)) {
-            pem.writeObject(certificate);
+            return false;
         }
-        replace(key(name), keyText.toString(), true);
-        replace(certificate(name), certificateText.toString(), false);
     }
 
-    private static void replace(Path file, String text, boolean secret) throws IOException {
-        Path part = file.resolveSibling(file.getFileName() + ".part");
-        Files.deleteIfExists(part);
-        if (secret && file.getFileSystem().supportedFileAttributeViews().contains("posix")) {
-            Files.createFile(
-                    part,
-                    PosixFilePermissions.asFileAttribute(
-                            PosixFilePermissions.fromString("rw-------")));
+    private static String use(X509Certificate certificate) {
+        String[] subject = certificate.getSubjectX500Principal().getName().split(",");
+        for (String attribute : subject) {
+            if (attribute.startsWith(ORGANIZATIONAL_UNIT)) {
+                return attribute.substring(ORGANIZATIONAL_UNIT.length());
+            }
         }
-        Files.write(part, text.getBytes(StandardCharsets.UTF_8));
-        Files.move(part, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+        return UNKNOWN_USE;
     }
 }
--- a/security/src/main/java/thornferry/security/Tls.java
+++ b/security/src/main/java/thornferry/security/Tls.java
@@ -9,6 +9,7 @@
 import java.nio.file.Path;
 import java.security.cert.Certificate;
 import java.security.cert.X509Certificate;
+import java.util.Optional;
 import javax.naming.InvalidNameException;
 import javax.naming.ldap.LdapName;
 import javax.naming.ldap.Rdn;
@@ -16,11 +17,12 @@
 import javax.net.ssl.SSLPeerUnverifiedException;
 import javax.net.ssl.SSLSession;
 
-/** TLS 1.3 contexts from PEM files, by the JDK's provider, and who a peer's certificate names. */
+/** TLS 1.3 contexts from PEM files, by the JDK's provider, and the identity of a peer. */
 public final class Tls {
     private static final String PROTOCOL = "TLSv1.3";
+    private static final String COMMON_NAME = "CN";
 
-    /** Whether a server asks its peers for certificates. */
+    /** Whether a server requests certificates from its clients. */
     public enum Clients {
         NONE,
         WANTED,
@@ -28,58 +30,68 @@
     }
 
     /**
-     * @param authorities may be null where peers need no certificate, or where the system's are
-     *     meant
+     * The files of one side of a connection.
+     *
+     * @param certificate of this side; null for a client without one
+     * @param key of the certificate; null if that is
+     * @param authorities that sign the certificates of peers; null if peers need none, or if the
+     *     authorities of the system are meant
      */
     public record Pem(Path certificate, Path key, Path authorities) {}
 
     private Tls() {}
 
     /**
-     * @throws IOException with a message that names the file
+     * The context of a server.
+     *
+     * @throws IOException with a message that names the file that cannot be used
      */
     public static SslContext server(Pem files, Clients clients) throws IOException {
         try {
-            SslContextBuilder b =
+            SslContextBuilder builder =
                     SslContextBuilder.forServer(
-                                    readable(files.certificate()).toFile(),
-                                    readable(files.key()).toFile())
-                            .sslProvider(SslProvider.JDK)
-                            .protocols(PROTOCOL);
-            if (files.authorities() != null) {
-                b.trustManager(readable(files.authorities()).toFile());
-            }
-            return b.clientAuth(
-                            switch (clients) {
-                                case NONE -> ClientAuth.NONE;
-                                case WANTED -> ClientAuth.OPTIONAL;
-                                case NEEDED -> ClientAuth.REQUIRE;
-                            })
-                    .build();
+                            readable(files.certificate()).toFile(), readable(files.key()).toFile());
+            return configure(builder, files).clientAuth(clientAuth(clients)).build();
         } catch (SSLException | IllegalArgumentException e) {
             throw new IOException(
-                    "TLS: " + files.certificate() + " and " + files.key() + ": " + cause(e), e);
+                    "TLS: " + files.certificate() + " and " + files.key() + ": " + rootCause(e), e);
         }
     }
 
     /**
-     * A client that trusts the authorities; with a certificate of its own where the files name one.
+     * The context of a client that trusts the authorities, with a certificate of its own if the
+     * files name one.
+     *
+     * @throws IOException with a message that names the file that cannot be used
      */
     public static SslContext client(Pem files) throws IOException {
         try {
-            SslContextBuilder b =
-                    SslContextBuilder.forClient().sslProvider(SslProvider.JDK).protocols(PROTOCOL);
-            if (files.authorities() != null) {
-                b.trustManager(readable(files.authorities()).toFile());
-            }
+            SslContextBuilder builder = configure(SslContextBuilder.forClient(), files);
             if (files.certificate() != null) {
-                b.keyManager(
+                builder.keyManager(
                         readable(files.certificate()).toFile(), readable(files.key()).toFile());
             }
-            return b.build();
+            return builder.build();
         } catch (SSLException | IllegalArgumentException e) {
-            throw new IOException("TLS: " + files.authorities() + ": " + cause(e), e);
+            throw new IOException("TLS: " + files.authorities() + ": " + rootCause(e), e);
+        }
+    }
+
+    private static SslContextBuilder configure(SslContextBuilder builder, Pem files)
+            throws IOException {
+        builder.sslProvider(SslProvider.JDK).protocols(PROTOCOL);
+        if (files.authorities() != null) {
+            builder.trustManager(readable(files.authorities()).toFile());
         }
+        return builder;
+    }
+
+    private static ClientAuth clientAuth(Clients clients) {
+        return switch (clients) {
+            case NONE -> ClientAuth.NONE;
+            case WANTED -> ClientAuth.OPTIONAL;
+            case NEEDED -> ClientAuth.REQUIRE;
+        };
     }
 
     private static Path readable(Path file) throws IOException {
@@ -89,40 +101,41 @@
         return file;
     }
 
-    private static String cause(Exception e) {
-        Throwable deepest = e;
-        while (deepest.getCause() != null) {
-            deepest = deepest.getCause();
+    private static String rootCause(Exception exception) {
+        Throwable root = exception;
+        while (root.getCause() != null) {
+            root = root.getCause();
         }
-        return deepest.getMessage() == null ? deepest.toString() : deepest.getMessage();
+        return root.getMessage() == null ? root.toString() : root.getMessage();
     }
 
     /**
-     * The common name of the peer's certificate, checked against the authorities by the handshake;
-     * null for none.
+     * The common name of the peer's certificate, which the handshake has verified against the
+     * authorities.
+     *
+     * @return null if the peer has presented no certificate, or one without a common name
      */
     public static String peer(SSLSession session) {
         try {
-            for (Certificate c : session.getPeerCertificates()) {
-                return c instanceof X509Certificate x ? commonName(x) : null;
-            }
+            Certificate[] chain = session.getPeerCertificates();
+            return chain.length > 0 && chain[0] instanceof X509Certificate certificate
+                    ? commonName(certificate).orElse(null)
+                    : null;
         } catch (SSLPeerUnverifiedException e) {
-            // it gave none
+            return null; // the peer has presented no certificate
         }
-        return null;
     }
 
-    static String commonName(X509Certificate certificate) {
+    private static Optional<String> commonName(X509Certificate certificate) {
         try {
-            for (Rdn rdn :
-                    new LdapName(certificate.getSubjectX500Principal().getName()).getRdns()) {
-                if (rdn.getType().equalsIgnoreCase("CN")) {
-                    return rdn.getValue().toString();
-                }
-            }
+            LdapName subject = new LdapName(certificate.getSubjectX500Principal().getName());
+            return subject.getRdns().stream()
+                    .filter(rdn -> rdn.getType().equalsIgnoreCase(COMMON_NAME))
+                    .map(Rdn::getValue)
+                    .map(Object::toString)
+                    .findFirst();
         } catch (InvalidNameException e) {
-            return null;
+            return Optional.empty();
         }
-        return null;
     }
 }
