--- a/app/src/main/java/thornferry/app/AgentCommand.java
+++ b/app/src/main/java/thornferry/app/AgentCommand.java
@@ -1,14 +1,15 @@
 package thornferry.app;
 
 import java.net.SocketAddress;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import java.util.stream.Collectors;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 import thornferry.agent.AgentPool;
 import thornferry.agent.NodeAgent;
@@ -17,6 +18,7 @@
 import thornferry.agent.PlacerLogin;
 import thornferry.protocol.Heartbeat;
 
+/** Runs agents of emulated nodes in the foreground. */
 @Command(
         name = "agent",
         description = "Run one or many nodes with stand-in work until interrupted.",
@@ -36,112 +38,124 @@
             split = ",",
             paramLabel = "HOST:PORT",
             description = "Each placer to dial; HOST:PORT-PORT for a range.")
-    List<String> placers;
+    private List<String> placers;
 
     @Option(
             names = "--node",
             required = true,
             description = "Its name, or the start of their names with --count.")
-    String node;
+    private String node;
 
     @Option(
             names = "--count",
             defaultValue = "1",
             description = "How many nodes; ${DEFAULT-VALUE}.")
-    int count;
+    private int count;
 
     @Option(names = "--kind", required = true, description = "A kind of the site's configuration.")
-    String kind;
+    private String kind;
 
     @Option(
             names = "--zone",
             required = true,
             split = ",",
+            paramLabel = "<zones>",
             description = "Its zone; several are used in turn.")
-    List<String> zones;
+    private List<String> zones;
 
     @Option(names = "--cores", required = true)
-    double cores;
+    private double cores;
 
     @Option(names = "--memory", required = true)
-    double memory;
+    private double memory;
 
     @Option(names = "--login", description = "With --cert the certificate tells.")
-    String login;
+    private String login;
 
     @Option(
             names = "--passcode",
             defaultValue = "${env:THORNFERRY_PASSCODE:-}",
             description = "THORNFERRY_PASSCODE.")
-    String passcode;
+    private String passcode;
 
-    @CommandLine.Mixin TlsOptions tls;
+    @Mixin private TlsOptions tls;
 
     @Option(
             names = "--heart-beat-ms",
+            paramLabel = "<beat>",
             defaultValue = "2000",
             description = "Offered both ways; ${DEFAULT-VALUE}.")
-    int beat;
+    private int heartbeatMillis;
 
     @Option(
             names = "--key-window",
             split = ",",
             paramLabel = "CLASS=MS",
             description = "Repeats of a key of this class are dropped in a hall for so long.")
-    Map<String, Long> keyWindows = new HashMap<>();
+    private Map<String, Long> keyWindowMillisByClass = new HashMap<>();
 
     @Option(
             names = "--instant",
             description = "Answer and start without delay: to measure a placer.")
-    boolean instant;
+    private boolean instant;
 
     @Option(names = "--seed", defaultValue = "1")
-    long seed;
+    private long seed;
 
     @Override
     public Integer call() throws Exception {
-        if (!tls.certified() && (login == null || passcode.isEmpty())) {
+        if (!tls.hasCertificate() && (login == null || passcode.isEmpty())) {
             throw new CommandLine.ParameterException(
                     spec.commandLine(), "--login and --passcode, or --cert, are needed");
         }
-        List<SocketAddress> targets = new ArrayList<>();
-        placers.forEach(p -> targets.addAll(Addresses.parse(spec, "--placer", p)));
-        Map<String, Long> windows = new HashMap<>();
-        keyWindows.forEach((k, ms) -> windows.put(k, ms * 1_000));
-        NodeBehavior behaviour =
-                instant ? NodeBehavior.instant(windows) : NodeBehavior.usual(windows);
-        AgentPool pool =
-                new AgentPool(
-                        Math.min(Runtime.getRuntime().availableProcessors(), count), tls.context());
-        for (int i = 0; i < count; i++) {
-            String name = count == 1 ? node : node + "-" + (i + 1);
-            pool.add(
-                    new NodeShape(name, kind, zones.get(i % zones.size()), i, cores, memory),
-                    behaviour,
-                    new PlacerLogin(
-                            targets,
-                            login,
-                            tls.certified() ? null : passcode,
-                            new Heartbeat(beat, beat)),
-                    seed + i,
-                    NodeAgent.Watcher.NONE);
-        }
+        List<SocketAddress> targets =
+                placers.stream()
+                        .flatMap(text -> Addresses.parse(spec, "--placer", text).stream())
+                        .toList();
+        int threads = Math.min(Runtime.getRuntime().availableProcessors(), count);
+        AgentPool pool = new AgentPool(threads, tls.context());
+        startNodes(pool, targets);
         System.out.println(
-                count
-                        + (count == 1 ? " node" : " nodes")
+                counted(count, "node", "nodes")
                         + " for "
-                        + targets.size()
-                        + " placer"
-                        + (targets.size() == 1 ? "" : "s"));
-        CountDownLatch end = new CountDownLatch(1);
-        Runtime.getRuntime()
-                .addShutdownHook(
-                        new Thread(
-                                () -> {
-                                    pool.close();
-                                    end.countDown();
-                                }));
-        end.await();
-        return 0;
+                        + counted(targets.size(), "placer", "placers"));
+        UntilShutdown.await(pool::close);
+        return ExitCode.OK;
+    }
+
+    private void startNodes(AgentPool pool, List<SocketAddress> targets) {
+        NodeBehavior behavior = behavior();
+        PlacerLogin placerLogin =
+                new PlacerLogin(
+                        targets,
+                        login,
+                        tls.hasCertificate() ? null : passcode,
+                        new Heartbeat(heartbeatMillis, heartbeatMillis));
+        for (int index = 0; index < count; index++) {
+            pool.add(shape(index), behavior, placerLogin, seed + index, NodeAgent.Watcher.NONE);
+        }
+    }
+
+    private NodeShape shape(int index) {
+        String name = count == 1 ? node : node + "-" + (index + 1);
+        String zone = zones.get(index % zones.size());
+        return new NodeShape(name, kind, zone, index, cores, memory);
+    }
+
+    private NodeBehavior behavior() {
+        Map<String, Long> keyWindowMicrosByClass =
+                keyWindowMillisByClass.entrySet().stream()
+                        .collect(
+                                Collectors.toMap(
+                                        Map.Entry::getKey,
+                                        window ->
+                                                TimeUnit.MILLISECONDS.toMicros(window.getValue())));
+        return instant
+                ? NodeBehavior.instant(keyWindowMicrosByClass)
+                : NodeBehavior.usual(keyWindowMicrosByClass);
+    }
+
+    private static String counted(int number, String singular, String plural) {
+        return number + " " + (number == 1 ? singular : plural);
     }
 }
--- a/app/src/main/java/thornferry/app/DemoCommand.java
+++ b/app/src/main/java/thornferry/app/DemoCommand.java
@@ -1,104 +1,46 @@
 package thornferry.app;
 
-import java.io.IOException;
-import java.io.InputStream;
-import java.net.InetSocketAddress;
-import java.net.SocketAddress;
-import java.nio.charset.StandardCharsets;
-import java.util.List;
-import java.util.Map;
 import java.util.concurrent.Callable;
-import java.util.concurrent.CountDownLatch;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import thornferry.agent.AgentPool;
-import thornferry.agent.NodeAgent;
-import thornferry.agent.NodeBehavior;
-import thornferry.agent.NodeShape;
-import thornferry.agent.PlacerLogin;
-import thornferry.config.ConfigException;
-import thornferry.config.SiteFile;
-import thornferry.config.TomlFile;
-import thornferry.placer.Placer;
-import thornferry.protocol.Heartbeat;
 
-/** Everything in one process, to look at and play with. */
+/** Runs a placer and emulated nodes in one process, to try the other commands with. */
 @Command(
         name = "demo",
         description = "Run a placer and three stand-in nodes on loopback until interrupted.",
         footer = {"", "Example:", "  thornferry demo --port 61613"})
 final class DemoCommand implements Callable<Integer> {
+    private static final String DEFAULT_PORT = "61613";
+
+    private static final String INTRODUCTION =
+            """
+            A placer listens on 127.0.0.1:%1$d (STOMP 1.2, login and passcode demo) with three stand-in nodes.
+            Try in another terminal:
+              bin/thornferry nodes%2$s
+              bin/thornferry submit%2$s --class gauge-relay
+              bin/thornferry submit%2$s --class depot-sync --key depot-7 --follow
+              bin/thornferry submit%2$s --class levy-run --cores 10 --memory 20 --json
+              bin/thornferry drain%2$s node-2
+            Ctrl-C ends it.\
+            """;
+
     @Option(
             names = "--port",
-            defaultValue = "61613",
+            defaultValue = DEFAULT_PORT,
             description = "Where to listen; ${DEFAULT-VALUE}, 0 for any.")
-    int port;
-
-    /** A running demo. */
-    record Running(Placer placer, AgentPool nodes, InetSocketAddress address)
-            implements AutoCloseable {
-        @Override
-        public void close() {
-            nodes.close();
-            placer.close();
-        }
-    }
-
-    static Running start(int port) throws IOException, ConfigException {
-        String text;
-        try (InputStream in = DemoCommand.class.getResourceAsStream("/demo.toml")) {
-            text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
-        }
-        SiteFile site = SiteFile.of(TomlFile.parse("demo.toml", text));
-        Placer placer = Placer.start(site.site(), site.host(), port, 1);
-        InetSocketAddress address = placer.addresses().get(0);
-        AgentPool nodes = new AgentPool(1);
-        NodeBehavior behaviour = NodeBehavior.usual(Map.of("depot-sync", 5_000_000L));
-        for (int i = 1; i <= 3; i++) {
-            NodeShape shape =
-                    new NodeShape(
-                            "node-" + i, "std-node", "hall-" + (char) ('a' + i - 1), i, 24, 48);
-            nodes.add(
-                    shape,
-                    behaviour,
-                    new PlacerLogin(
-                            List.<SocketAddress>of(address),
-                            "demo-node",
-                            "demo",
-                            new Heartbeat(2_000, 2_000)),
-                    i,
-                    NodeAgent.Watcher.NONE);
-        }
-        return new Running(placer, nodes, address);
-    }
+    private int port;
 
     @Override
     public Integer call() throws Exception {
-        Running running = start(port);
-        int at = running.address().getPort();
-        String more = at == 61613 ? "" : " --port " + at;
-        System.out.println(
-                """
-                A placer listens on 127.0.0.1:%d (STOMP 1.2, login and passcode demo) with three stand-in nodes.
-                Try in another terminal:
-                  bin/thornferry nodes%s
-                  bin/thornferry submit%s --class gauge-relay
-                  bin/thornferry submit%s --class depot-sync --key depot-7 --follow
-                  bin/thornferry submit%s --class levy-run --cores 10 --memory 20 --json
-                  bin/thornferry drain%s node-2
-                Ctrl-C ends it.\
-                """
-                        .formatted(at, more, more, more, more, more));
+        DemoCluster cluster = DemoCluster.start(port);
+        System.out.println(introduction(cluster.address().getPort()));
         System.out.flush();
-        CountDownLatch end = new CountDownLatch(1);
-        Runtime.getRuntime()
-                .addShutdownHook(
-                        new Thread(
-                                () -> {
-                                    running.close();
-                                    end.countDown();
-                                }));
-        end.await();
-        return 0;
+        UntilShutdown.await(cluster::close);
+        return ExitCode.OK;
+    }
+
+    private static String introduction(int actualPort) {
+        boolean isDefault = Integer.toString(actualPort).equals(DEFAULT_PORT);
+        return INTRODUCTION.formatted(actualPort, isDefault ? "" : " --port " + actualPort);
     }
 }
--- a/app/src/main/java/thornferry/app/DrainCommand.java
+++ b/app/src/main/java/thornferry/app/DrainCommand.java
@@ -1,5 +1,6 @@
 package thornferry.app;
 
+import java.io.IOException;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
@@ -8,24 +9,24 @@
 import thornferry.protocol.Destinations;
 import thornferry.protocol.v1.Drain;
 
+/** Drains a node, or ends its drain. */
 @Command(
         name = "drain",
         description = "Drain a node: nothing new goes there and it sends away what it runs.",
         footer = {"", "Example:", "  thornferry drain node-2", "  thornferry drain --off node-2"})
 final class DrainCommand implements Callable<Integer> {
-    @Mixin PlacerOptions placer;
+    @Mixin private PlacerOptions placer;
 
     @Option(names = "--off", description = "End the drain.")
-    boolean off;
+    private boolean off;
 
     @Parameters(paramLabel = "NODE")
-    String node;
+    private String node;
 
     @Override
-    public Integer call() throws Exception {
-        return placer.send(
-                Destinations.DRAIN,
-                Drain.newBuilder().setNode(node).setOn(!off).build(),
-                "node " + node + (off ? " no longer drains" : " drains"));
+    public Integer call() throws IOException {
+        Drain request = Drain.newBuilder().setNode(node).setOn(!off).build();
+        String successText = "node " + node + (off ? " no longer drains" : " drains");
+        return placer.client().request(Destinations.DRAIN, request, successText);
     }
 }
--- a/app/src/main/java/thornferry/app/LimitsCommand.java
+++ b/app/src/main/java/thornferry/app/LimitsCommand.java
@@ -1,73 +1,77 @@
 package thornferry.app;
 
-import java.util.concurrent.Callable;
+import java.io.IOException;
 import picocli.CommandLine.Command;
-import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
-import thornferry.protocol.Bodies;
 import thornferry.protocol.Destinations;
 import thornferry.protocol.v1.Limits;
 import thornferry.protocol.v1.LimitsQuery;
 import thornferry.protocol.v1.Reload;
 
+/** Prints quotas and their usage, if requested after a reload of the configuration. */
 @Command(
         name = "limits",
         description =
                 "One's own limits and their use; for operators the tenants' and the site's too.",
         footer = {"", "Examples:", "  thornferry limits", "  thornferry limits --reload"})
-final class LimitsCommand implements Callable<Integer> {
-    @Mixin PlacerOptions placer;
-
-    @Option(names = "--json", description = "Print one line of JSON.")
-    boolean json;
+final class LimitsCommand extends QueryCommand<Limits> {
+    private static final String ABSENT = "-";
 
     @Option(
             names = "--reload",
             description =
                     "First have the placer read its file anew; a mistake in it keeps the former.")
-    boolean reload;
+    private boolean reload;
 
     @Override
-    public Integer call() throws Exception {
+    public Integer call() throws IOException {
         if (reload) {
-            int code = placer.send(Destinations.RELOAD, Reload.getDefaultInstance(), "reloaded");
-            if (code != 0) {
-                return code;
+            int exitCode =
+                    client().request(Destinations.RELOAD, Reload.getDefaultInstance(), "reloaded");
+            if (exitCode != ExitCode.OK) {
+                return exitCode;
             }
         }
-        Limits limits =
-                placer.ask(
-                        Destinations.LIMITS, LimitsQuery.getDefaultInstance(), Limits.newBuilder());
-        if (json) {
-            System.out.println(Bodies.json(limits));
-            return 0;
-        }
+        return super.call();
+    }
+
+    @Override
+    Limits query(PlacerClient client) throws IOException {
+        return client.query(
+                Destinations.LIMITS, LimitsQuery.getDefaultInstance(), Limits.newBuilder());
+    }
+
+    @Override
+    void printTable(Limits limits) {
         System.out.printf(
                 "%-7s %-16s %15s %15s %17s %17s %10s %6s%n",
                 "SCOPE", "NAME", "WAITING", "TASKS", "CORES", "MEMORY", "PER SECOND", "SHARE");
-        for (Limits.Use u : limits.getUsesList()) {
-            System.out.printf(
-                    "%-7s %-16s %15s %15s %17s %17s %10s %5.1f%%%n",
-                    u.getScope(),
-                    u.getName().isEmpty() ? "-" : u.getName(),
-                    of(u.getWaiting(), u.hasMostWaiting(), u.getMostWaiting()),
-                    of(u.getTasks(), u.hasMostTasks(), u.getMostTasks()),
-                    of(u.getCores(), u.hasMostCores(), u.getMostCores()),
-                    of(u.getMemory(), u.hasMostMemory(), u.getMostMemory()),
-                    u.hasMostPerSecond() ? "of " + number(u.getMostPerSecond()) : "-",
-                    100 * u.getShare());
-        }
+        limits.getUsesList().forEach(LimitsCommand::printRow);
         if (!limits.getLoaded().isEmpty()) {
             System.out.println("last reload: " + limits.getLoaded());
         }
-        return 0;
     }
 
-    private static String of(double used, boolean limited, double most) {
-        return number(used) + (limited ? " of " + number(most) : "");
+    private static void printRow(Limits.Use use) {
+        System.out.printf(
+                "%-7s %-16s %15s %15s %17s %17s %10s %5.1f%%%n",
+                use.getScope(),
+                use.getName().isEmpty() ? ABSENT : use.getName(),
+                usage(use.getWaiting(), use.hasMostWaiting(), use.getMostWaiting()),
+                usage(use.getTasks(), use.hasMostTasks(), use.getMostTasks()),
+                usage(use.getCores(), use.hasMostCores(), use.getMostCores()),
+                usage(use.getMemory(), use.hasMostMemory(), use.getMostMemory()),
+                use.hasMostPerSecond() ? "of " + number(use.getMostPerSecond()) : ABSENT,
+                100 * use.getShare());
+    }
+
+    private static String usage(double used, boolean limited, double limit) {
+        return number(used) + (limited ? " of " + number(limit) : "");
     }
 
-    private static String number(double x) {
-        return x == Math.rint(x) ? Long.toString((long) x) : String.format("%.2f", x);
+    /** A number without decimals if it has none, else with two. */
+    private static String number(double value) {
+        boolean isWhole = value == Math.rint(value);
+        return isWhole ? Long.toString((long) value) : String.format("%.2f", value);
     }
 }
--- a/app/src/main/java/thornferry/app/Logging.java
+++ b/app/src/main/java/thornferry/app/Logging.java
@@ -10,24 +10,42 @@
 import ch.qos.logback.core.encoder.Encoder;
 import org.slf4j.LoggerFactory;
 
-/** Logs go to standard error, as lines of text or of JSON; standard output is the commands'. */
+/** Logs to standard error, as lines of text or of JSON; standard output is for results. */
 final class Logging {
+    private static final String TEXT_PATTERN = "%d{HH:mm:ss.SSS} %-5level %kvp{NONE} %msg%n%ex";
+    private static final String STANDARD_ERROR = "System.err";
+    private static final String NETTY_LOGGER = "io.netty";
+
     private Logging() {}
 
-    static void form(boolean json) {
-        LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
+    static void setFormat(LogFormat format) {
+        LoggerContext context = context();
         Logger root = context.getLogger(Logger.ROOT_LOGGER_NAME);
         root.detachAndStopAllAppenders();
-        ConsoleAppender<ILoggingEvent> out = new ConsoleAppender<>();
-        out.setContext(context);
-        out.setTarget("System.err");
-        out.setEncoder(json ? json(context) : text(context));
-        out.start();
-        root.addAppender(out);
-        context.getLogger("io.netty").setLevel(Level.WARN);
+        root.addAppender(appender(context, format));
+        context.getLogger(NETTY_LOGGER).setLevel(Level.WARN);
+    }
+
+    /** Sets the level of the log; an unknown name sets the default, INFO. */
+    static void setLevel(String level) {
+        context().getLogger(Logger.ROOT_LOGGER_NAME).setLevel(Level.toLevel(level, Level.INFO));
+    }
+
+    private static LoggerContext context() {
+        return (LoggerContext) LoggerFactory.getILoggerFactory();
     }
 
-    private static Encoder<ILoggingEvent> json(LoggerContext context) {
+    private static ConsoleAppender<ILoggingEvent> appender(
+            LoggerContext context, LogFormat format) {
+        ConsoleAppender<ILoggingEvent> appender = new ConsoleAppender<>();
+        appender.setContext(context);
+        appender.setTarget(STANDARD_ERROR);
+        appender.setEncoder(format == LogFormat.json ? jsonEncoder(context) : textEncoder(context));
+        appender.start();
+        return appender;
+    }
+
+    private static Encoder<ILoggingEvent> jsonEncoder(LoggerContext context) {
         JsonEncoder encoder = new JsonEncoder();
         encoder.setContext(context);
         encoder.setWithContext(false);
@@ -37,16 +55,11 @@
         return encoder;
     }
 
-    private static Encoder<ILoggingEvent> text(LoggerContext context) {
+    private static Encoder<ILoggingEvent> textEncoder(LoggerContext context) {
         PatternLayoutEncoder encoder = new PatternLayoutEncoder();
         encoder.setContext(context);
-        encoder.setPattern("%d{HH:mm:ss.SSS} %-5level %kvp{NONE} %msg%n%ex");
+        encoder.setPattern(TEXT_PATTERN);
         encoder.start();
         return encoder;
     }
-
-    static void level(String level) {
-        LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
-        context.getLogger(Logger.ROOT_LOGGER_NAME).setLevel(Level.toLevel(level, Level.INFO));
-    }
 }
--- a/app/src/main/java/thornferry/app/Main.java
+++ b/app/src/main/java/thornferry/app/Main.java
@@ -1,17 +1,15 @@
 package thornferry.app;
 
-import java.util.concurrent.Callable;
+import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
+import picocli.CommandLine.ParseResult;
 import picocli.CommandLine.ScopeType;
 import thornferry.config.ConfigException;
 
-/**
- * The command line. Exit codes: 0 good, 1 the run failed, 2 bad use or configuration; submit has
- * more.
- */
+/** The command line: runs one command and exits with its code, see {@link ExitCode}. */
 @Command(
         name = "thornferry",
         scope = ScopeType.INHERIT,
@@ -49,37 +47,32 @@
             ServeCommand.class
         })
 public final class Main implements Runnable {
-    static final int FAILED = 1;
-    static final int BAD_USE = 2;
+    /** For commands that do not use {@link ExitCode} yet. */
+    static final int FAILED = ExitCode.FAILED;
 
-    enum LogForm {
-        text,
-        json
-    }
+    private static final Logger LOG = LoggerFactory.getLogger(Main.class);
+    private static final String DEFAULT_LOG_LEVEL = "info";
+
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Option(
             names = "--log",
             scope = ScopeType.INHERIT,
+            paramLabel = "<log>",
             defaultValue = "text",
             description = "Form of the log on standard error: ${COMPLETION-CANDIDATES}.")
-    void log(LogForm form) {
-        Logging.form(form == LogForm.json);
+    void setLogFormat(LogFormat format) {
+        Logging.setFormat(format);
     }
 
     @Option(
             names = "--log-level",
             scope = ScopeType.INHERIT,
-            defaultValue = "info",
+            paramLabel = "<level>",
+            defaultValue = DEFAULT_LOG_LEVEL,
             description = "error, warn, info or debug.")
-    void level(String level) {
-        Logging.level(level);
-    }
-
-    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
-
-    @Override
-    public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a command is needed");
+    void setLogLevel(String level) {
+        Logging.setLevel(level);
     }
 
     /** Runs the command line and exits with its code. */
@@ -87,34 +80,33 @@
         System.exit(run(args));
     }
 
-    /** Runs one command and gives its exit code. */
+    /** Runs one command and returns its exit code. */
     static int run(String... args) {
-        Logging.form(false);
-        Logging.level("info");
-        CommandLine line = new CommandLine(new Main());
-        line.setCaseInsensitiveEnumValuesAllowed(true);
-        line.setExecutionExceptionHandler(
-                (e, command, parsed) -> {
-                    if (e instanceof ConfigException bad) {
-                        bad.complaints().forEach(command.getErr()::println);
-                        return BAD_USE;
-                    }
-                    command.getErr()
-                            .println(
-                                    "thornferry: " + (e.getMessage() == null ? e : e.getMessage()));
-                    LoggerFactory.getLogger(Main.class).debug("the command failed", e);
-                    return FAILED;
-                });
-        return line.execute(args);
+        Logging.setFormat(LogFormat.text);
+        Logging.setLevel(DEFAULT_LOG_LEVEL);
+        return new CommandLine(new Main())
+                .setCaseInsensitiveEnumValuesAllowed(true)
+                .setExecutionExceptionHandler(Main::reportFailure)
+                .execute(args);
     }
 
-    /** The parent of commands that only group others. */
-    abstract static class Group implements Callable<Integer> {
-        @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
-
-        @Override
-        public Integer call() {
-            throw new CommandLine.ParameterException(spec.commandLine(), "a command is needed");
+    private static int reportFailure(
+            Exception failure, CommandLine command, ParseResult parseResult) {
+        if (failure instanceof ConfigException invalidFile) {
+            invalidFile.complaints().forEach(command.getErr()::println);
+            return ExitCode.INVALID_USAGE;
         }
+        Object message = failure.getMessage() == null ? failure : failure.getMessage();
+        command.getErr().println("thornferry: " + message);
+        LOG.debug("the command failed", failure);
+        return ExitCode.FAILED;
+    }
+
+    @Override
+    public void run() {
+        throw new CommandLine.ParameterException(spec.commandLine(), "a command is needed");
     }
+
+    /** For commands that do not use {@link CommandGroup} yet. */
+    abstract static class Group extends CommandGroup {}
 }
--- /dev/null
+++ b/app/src/main/java/thornferry/app/PasscodeCommand.java
@@ -0,0 +1,39 @@
+package thornferry.app;
+
+import java.io.Console;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.util.concurrent.Callable;
+import picocli.CommandLine;
+import picocli.CommandLine.Command;
+import thornferry.security.Passcodes;
+
+/** Prints the hash of a passcode. */
+@Command(
+        name = "passcode",
+        description =
+                "Hash a passcode for passcode-hash; read from the terminal or standard input.")
+final class PasscodeCommand implements Callable<Integer> {
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
+
+    @Override
+    public Integer call() throws IOException {
+        String passcode = readPasscode();
+        if (passcode.isEmpty() || passcode.length() > Passcodes.MOST_LENGTH) {
+            throw new CommandLine.ParameterException(
+                    spec.commandLine(),
+                    "a passcode has 1 to " + Passcodes.MOST_LENGTH + " characters");
+        }
+        System.out.println(Passcodes.hash(passcode));
+        return ExitCode.OK;
+    }
+
+    /** Reads from the terminal without echo, or from standard input if there is no terminal. */
+    private static String readPasscode() throws IOException {
+        Console console = System.console();
+        if (console != null) {
+            return new String(console.readPassword("passcode: "));
+        }
+        return new String(System.in.readAllBytes(), StandardCharsets.UTF_8).strip();
+    }
+}
--- a/app/src/main/java/thornferry/app/PlacerCommand.java
+++ b/app/src/main/java/thornferry/app/PlacerCommand.java
@@ -1,15 +1,19 @@
 package thornferry.app;
 
+import java.net.InetSocketAddress;
 import java.nio.file.Path;
+import java.util.List;
 import java.util.concurrent.Callable;
-import java.util.concurrent.CountDownLatch;
+import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
+import sun.misc.Signal;
 import thornferry.config.SiteFile;
 import thornferry.placer.Placer;
 
+/** Runs the placer of a site in the foreground. */
 @Command(
         name = "placer",
         description = "Run a placer until interrupted.",
@@ -21,13 +25,15 @@
             "SIGHUP has it read the file anew: limits, shares, accounts and certificates."
         })
 final class PlacerCommand implements Callable<Integer> {
+    private static final Logger LOG = LoggerFactory.getLogger(PlacerCommand.class);
+
     @Parameters(
             paramLabel = "CONFIG",
             description = "The site's TOML file; examples/site.toml explains the keys.")
-    Path config;
+    private Path config;
 
     @Option(names = "--port", description = "In place of the file's.")
-    Integer port;
+    private Integer port;
 
     @Override
     public Integer call() throws Exception {
@@ -39,30 +45,25 @@
                         port == null ? file.port() : port,
                         file.instances());
         placer.reloadFrom(() -> SiteFile.read(config).site());
-        onHangUp(placer::reload);
+        reloadOnHangUp(placer);
+        printAddresses(placer);
+        UntilShutdown.await(placer::close);
+        return ExitCode.OK;
+    }
+
+    private static void printAddresses(Placer placer) {
+        List<InetSocketAddress> addresses = placer.addresses();
+        int others = addresses.size() - 1;
         System.out.println(
-                "listens on "
-                        + placer.addresses().get(0)
-                        + (file.instances() > 1 ? " and " + (file.instances() - 1) + " more" : ""));
-        CountDownLatch end = new CountDownLatch(1);
-        Runtime.getRuntime()
-                .addShutdownHook(
-                        new Thread(
-                                () -> {
-                                    placer.close();
-                                    end.countDown();
-                                }));
-        end.await();
-        return 0;
+                "listens on " + addresses.get(0) + (others > 0 ? " and " + others + " more" : ""));
     }
 
-    /** Reads the file anew on SIGHUP, where the system has that signal. */
-    private static void onHangUp(Runnable reload) {
+    /** Reloads the configuration on SIGHUP, if the operating system has that signal. */
+    private static void reloadOnHangUp(Placer placer) {
         try {
-            sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> reload.run());
+            Signal.handle(new Signal("HUP"), signal -> placer.reload());
         } catch (IllegalArgumentException e) {
-            LoggerFactory.getLogger(PlacerCommand.class)
-                    .info("no reload on a signal here; use thornferry limits --reload");
+            LOG.info("no reload on a signal here; use thornferry limits --reload");
         }
     }
 }
--- a/app/src/main/java/thornferry/app/ServeCommand.java
+++ b/app/src/main/java/thornferry/app/ServeCommand.java
@@ -4,6 +4,7 @@
 import picocli.CommandLine.Command;
 import thornferry.platform.PlatformServer;
 
+/** Runs the placer of the platform in the foreground. */
 @Command(
         name = "serve",
         description = {
--- a/app/src/main/java/thornferry/app/SimHostCommand.java
+++ b/app/src/main/java/thornferry/app/SimHostCommand.java
@@ -4,6 +4,7 @@
 import picocli.CommandLine.Command;
 import thornferry.bench.SimHost;
 
+/** Hosts the placement policy for the simulator, over standard input and output. */
 @Command(
         name = "simhost",
         description = "Host the module for the simulator on standard input and output.")
--- /dev/null
+++ b/app/src/main/java/thornferry/app/StateCompactCommand.java
@@ -0,0 +1,63 @@
+package thornferry.app;
+
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Parameters;
+import thornferry.decisions.recovery.JournalRecord;
+import thornferry.state.Durability;
+import thornferry.state.JournalContents;
+import thornferry.state.JournalFile;
+
+/** Replaces the journal of a stopped instance by a snapshot of it. */
+@Command(
+        name = "compact",
+        description =
+                "Write one instance's journal anew with only what still counts; not while it"
+                        + " runs.")
+final class StateCompactCommand implements Callable<Integer> {
+    @Parameters(paramLabel = "FOLDER", description = "Of one instance.")
+    private Path folder;
+
+    @Override
+    public Integer call() throws IOException {
+        JournalContents contents = readIntactJournal();
+        try (JournalFile journal =
+                JournalFile.open(folder, contents.placer(), durability(contents))) {
+            List<JournalRecord> snapshot = JournalReplay.snapshot(journal.records());
+            journal.startIncarnation(snapshot);
+            System.out.println(
+                    folder
+                            + ": "
+                            + journal.records().size()
+                            + " lines before, "
+                            + snapshot.size()
+                            + " now");
+        }
+        return ExitCode.OK;
+    }
+
+    private JournalContents readIntactJournal() throws IOException {
+        Path file = JournalFolder.newestJournals(folder).get(0);
+        if (!file.getParent().equals(folder)) {
+            throw new IOException(
+                    folder
+                            + " holds folders of instances; name one of them, such as "
+                            + file.getParent());
+        }
+        JournalContents contents = JournalContents.of(file, null);
+        if (contents.foreign() || !contents.complete()) {
+            throw new IOException(file + " " + contents.problem() + "; it is left as it is");
+        }
+        return contents;
+    }
+
+    /** The durability with which the journal was last written. */
+    private static Durability durability(JournalContents contents) {
+        return contents.lastIncarnation() == null
+                ? Durability.OS
+                : Durability.valueOf(contents.lastIncarnation().getDurability());
+    }
+}
--- a/app/src/main/java/thornferry/app/StopCommand.java
+++ b/app/src/main/java/thornferry/app/StopCommand.java
@@ -1,5 +1,6 @@
 package thornferry.app;
 
+import java.io.IOException;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
@@ -7,23 +8,23 @@
 import thornferry.protocol.Destinations;
 import thornferry.protocol.v1.StopTask;
 
+/** Stops a task. */
 @Command(
         name = "stop",
         description = "Stop a task of one's own.",
         footer = {"", "Example:", "  thornferry stop my-task"})
 final class StopCommand implements Callable<Integer> {
-    @Mixin PlacerOptions placer;
+    @Mixin private PlacerOptions placer;
 
     @Parameters(
             paramLabel = "TASK",
             description = "Its name, as given to submit --id or drawn by it.")
-    String task;
+    private String task;
 
     @Override
-    public Integer call() throws Exception {
-        return placer.send(
-                Destinations.STOP,
-                StopTask.newBuilder().setId(task).build(),
-                "task " + task + " is being stopped");
+    public Integer call() throws IOException {
+        StopTask request = StopTask.newBuilder().setId(task).build();
+        String successText = "task " + task + " is being stopped";
+        return placer.client().request(Destinations.STOP, request, successText);
     }
 }
--- a/app/src/main/java/thornferry/app/SubmitCommand.java
+++ b/app/src/main/java/thornferry/app/SubmitCommand.java
@@ -1,5 +1,6 @@
 package thornferry.app;
 
+import java.io.IOException;
 import java.util.UUID;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CompletableFuture;
@@ -12,6 +13,7 @@
 import thornferry.protocol.v1.Task;
 import thornferry.protocol.v1.TaskNews;
 
+/** Submits a task, waits for its result, and if requested for its end. */
 @Command(
         name = "submit",
         description = "Place a task and wait for its result.",
@@ -23,110 +25,127 @@
             "Exit codes: 0 placed, 3 refused, 4 failed, 1 not taken or no answer, 2 bad use."
         })
 final class SubmitCommand implements Callable<Integer> {
-    private static final int REFUSED = 3;
-    private static final int FAILED = 4;
+    /** Results of a request, as the protocol names them. */
+    private static final String PLACED = "placed";
 
-    @Mixin PlacerOptions placer;
+    private static final String REJECTED = "refused";
+
+    @Mixin private PlacerOptions placer;
 
     @Option(
             names = "--class",
             required = true,
             description = "A class of the site's configuration.")
-    String taskClass;
+    private String taskClass;
 
     @Option(
             names = "--id",
             description = "The task's name; drawn where absent. The same one is the same task.")
-    String id;
+    private String id;
 
     @Option(
             names = "--service",
             description = "Tasks of one service share a program; the class where absent.")
-    String service;
+    private String service;
 
     @Option(names = "--key", defaultValue = "", description = "For keyed classes.")
-    String key;
+    private String key;
 
     @Option(names = "--cores", defaultValue = "1")
-    double cores;
+    private double cores;
 
     @Option(names = "--memory", defaultValue = "1")
-    double memory;
+    private double memory;
 
     @Option(
             names = "--patience-ms",
+            paramLabel = "<patience>",
             description = "How long to wait for a place; the class's where absent.")
-    Long patience;
+    private Long maxWaitMillis;
 
     @Option(
             names = "--runs-for-ms",
+            paramLabel = "<runsFor>",
             defaultValue = "0",
             description = "How long it will run, where known.")
-    long runsFor;
+    private long expectedRunMillis;
 
     @Option(
             names = "--follow",
             description = "Stay until the placed task is over and print that too.")
-    boolean follow;
+    private boolean follow;
 
     @Option(names = "--json", description = "Print what is told as lines of JSON.")
-    boolean json;
+    private boolean json;
 
     @Override
-    public Integer call() throws Exception {
-        String name = id == null ? UUID.randomUUID().toString() : id;
-        Task.Builder task =
-                Task.newBuilder()
-                        .setId(name)
-                        .setTaskClass(taskClass)
-                        .setKey(key)
-                        .setCores(cores)
-                        .setService(service == null ? taskClass : service)
-                        .setMemory(memory)
-                        .setRunsForMs(runsFor);
-        if (patience != null) {
-            task.setPatienceMs(patience);
-        }
-        CompletableFuture<TaskNews> over = new CompletableFuture<>();
+    public Integer call() throws IOException, InterruptedException {
+        Task task = task();
+        CompletableFuture<TaskNews> end = new CompletableFuture<>();
         try (TaskClient client =
                 TaskClient.connect(
                         placer.target(),
-                        news -> {
-                            if (news.getTask().equals(name)) {
-                                over.complete(news);
+                        event -> {
+                            if (event.getTask().equals(task.getId())) {
+                                end.complete(event);
                             }
                         })) {
-            TaskNews result = client.submit(task.build()).get();
+            TaskNews result = client.submit(task).get();
             print(result);
-            if (follow && result.getResult().equals("placed")) {
-                print(over.get());
+            if (follow && result.getResult().equals(PLACED)) {
+                print(end.get());
             }
-            return switch (result.getResult()) {
-                case "placed" -> 0;
-                case "refused" -> REFUSED;
-                default -> FAILED;
-            };
+            return exitCode(result);
         } catch (ExecutionException e) {
             System.err.println("thornferry: " + e.getCause().getMessage());
-            return Main.FAILED;
+            return ExitCode.FAILED;
         }
     }
 
-    private void print(TaskNews news) {
-        if (json) {
-            System.out.println(Bodies.json(news));
-            return;
+    private Task task() {
+        Task.Builder task =
+                Task.newBuilder()
+                        .setId(id == null ? UUID.randomUUID().toString() : id)
+                        .setTaskClass(taskClass)
+                        .setKey(key)
+                        .setCores(cores)
+                        .setService(service == null ? taskClass : service)
+                        .setMemory(memory)
+                        .setRunsForMs(expectedRunMillis);
+        if (maxWaitMillis != null) {
+            task.setPatienceMs(maxWaitMillis);
+        }
+        return task.build();
+    }
+
+    private static int exitCode(TaskNews result) {
+        return switch (result.getResult()) {
+            case PLACED -> ExitCode.OK;
+            case REJECTED -> ExitCode.TASK_REJECTED;
+            default -> ExitCode.TASK_FAILED;
+        };
+    }
+
+    private void print(TaskNews notification) {
+        System.out.println(json ? Bodies.json(notification) : sentence(notification));
+    }
+
+    private static String sentence(TaskNews notification) {
+        String result = notification.getResult();
+        StringBuilder sentence =
+                new StringBuilder("task ")
+                        .append(notification.getTask())
+                        .append(' ')
+                        .append(result.isEmpty() ? notification.getEvent() : result);
+        if (!notification.getNode().isEmpty()) {
+            sentence.append(" on ").append(notification.getNode());
+        }
+        if (!notification.getReason().isEmpty()) {
+            sentence.append(": ").append(notification.getReason());
+        }
+        if (notification.getRetryAfterMs() > 0) {
+            sentence.append("; try again in ").append(notification.getRetryAfterMs()).append(" ms");
         }
-        String what = news.getResult().isEmpty() ? news.getEvent() : news.getResult();
-        System.out.println(
-                "task "
-                        + news.getTask()
-                        + " "
-                        + what
-                        + (news.getNode().isEmpty() ? "" : " on " + news.getNode())
-                        + (news.getReason().isEmpty() ? "" : ": " + news.getReason())
-                        + (news.getRetryAfterMs() > 0
-                                ? "; try again in " + news.getRetryAfterMs() + " ms"
-                                : ""));
+        return sentence.toString();
     }
 }
--- a/app/src/main/java/thornferry/app/TlsOptions.java
+++ b/app/src/main/java/thornferry/app/TlsOptions.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Option;
 import thornferry.security.Tls;
 
-/** TLS towards a placer: none of the options means plain text. */
+/** Options for TLS towards a placer; without any of them connections are plain text. */
 final class TlsOptions {
     @Option(
             names = "--ca",
@@ -15,7 +15,7 @@
             description =
                     "Speak TLS with a placer whose certificate this authority signed;"
                             + " THORNFERRY_CA.")
-    String authority;
+    private String authority;
 
     @Option(
             names = "--cert",
@@ -24,33 +24,47 @@
             description =
                     "Your certificate, in place of login and passcode; THORNFERRY_CERT. Its key is"
                             + " beside it as .key unless --cert-key says otherwise.")
-    String certificate;
+    private String certificate;
 
     @Option(
             names = "--cert-key",
             paramLabel = "FILE",
             defaultValue = "${env:THORNFERRY_KEY:-}",
             description = "The certificate's key; THORNFERRY_KEY.")
-    String key;
+    private String key;
 
-    boolean certified() {
-        return certificate != null && !certificate.isEmpty();
+    /** Whether a certificate identifies the client, in place of login and passcode. */
+    boolean hasCertificate() {
+        return isGiven(certificate);
     }
 
-    /** Null for plain text. */
+    /**
+     * The context of connections to the placer.
+     *
+     * @return null for plain text
+     * @throws IOException if a file cannot be used
+     */
     SslContext context() throws IOException {
-        boolean trusting = authority != null && !authority.isEmpty();
-        if (!trusting && !certified()) {
+        if (!isGiven(authority) && !hasCertificate()) {
             return null;
         }
-        String keyFile =
-                key != null && !key.isEmpty()
-                        ? key
-                        : certified() ? certificate.replaceAll("\\.pem$", ".key") : null;
         return Tls.client(
-                new Tls.Pem(
-                        certified() ? Path.of(certificate) : null,
-                        keyFile == null ? null : Path.of(keyFile),
-                        trusting ? Path.of(authority) : null));
+                new Tls.Pem(pathOrNull(certificate), pathOrNull(keyFile()), pathOrNull(authority)));
+    }
+
+    /** The file of the key: as given, or beside the certificate. */
+    private String keyFile() {
+        if (isGiven(key) || !hasCertificate()) {
+            return key;
+        }
+        return certificate.replaceAll("\\.pem$", ".key");
+    }
+
+    private static Path pathOrNull(String file) {
+        return isGiven(file) ? Path.of(file) : null;
+    }
+
+    private static boolean isGiven(String value) {
+        return value != null && !value.isEmpty();
     }
 }
--- a/app/src/main/java/thornferry/app/WaitingCommand.java
+++ b/app/src/main/java/thornferry/app/WaitingCommand.java
@@ -1,52 +1,47 @@
 package thornferry.app;
 
-import java.util.Locale;
-import java.util.concurrent.Callable;
+import java.io.IOException;
 import picocli.CommandLine.Command;
-import picocli.CommandLine.Mixin;
-import picocli.CommandLine.Option;
-import thornferry.protocol.Bodies;
 import thornferry.protocol.Destinations;
 import thornferry.protocol.v1.WaitingQuery;
 import thornferry.protocol.v1.WaitingTable;
 
+/** Prints how many tasks are pending for each reason. */
 @Command(
         name = "waiting",
         description =
                 "How many tasks wait for which reason: one's own; for operators all, by tenant.",
         footer = {"", "Example:", "  thornferry waiting"})
-final class WaitingCommand implements Callable<Integer> {
-    @Mixin PlacerOptions placer;
-
-    @Option(names = "--json", description = "Print one line of JSON.")
-    boolean json;
+final class WaitingCommand extends QueryCommand<WaitingTable> {
+    @Override
+    WaitingTable query(PlacerClient client) throws IOException {
+        return client.query(
+                Destinations.WAITING, WaitingQuery.getDefaultInstance(), WaitingTable.newBuilder());
+    }
 
     @Override
-    public Integer call() throws Exception {
-        WaitingTable table =
-                placer.ask(
-                        Destinations.WAITING,
-                        WaitingQuery.getDefaultInstance(),
-                        WaitingTable.newBuilder());
-        if (json) {
-            System.out.println(Bodies.json(table));
-            return 0;
-        }
+    void printTable(WaitingTable table) {
         System.out.printf("%-20s %-16s %8s%n", "TENANT", "REASON", "TASKS");
-        for (WaitingTable.Row r : table.getRowsList()) {
-            System.out.printf(
-                    "%-20s %-16s %8d%n",
-                    r.getTenant().isEmpty() ? "-" : r.getTenant(),
-                    r.getKind().name().toLowerCase(Locale.ROOT).replace('_', ' '),
-                    r.getTasks());
+        table.getRowsList().forEach(WaitingCommand::printRow);
+        System.out.println(summary(table));
+    }
+
+    private static void printRow(WaitingTable.Row row) {
+        System.out.printf(
+                "%-20s %-16s %8d%n",
+                row.getTenant().isEmpty() ? "-" : row.getTenant(),
+                ReasonNames.of(row.getKind()),
+                row.getTasks());
+    }
+
+    private static String summary(WaitingTable table) {
+        StringBuilder summary = new StringBuilder().append(table.getWaiting()).append(" wait");
+        if (table.getOverload()) {
+            summary.append("; overloaded: tasks are being shed");
+        }
+        if (table.getShed() > 0) {
+            summary.append("; ").append(table.getShed()).append(" refused early since the start");
         }
-        System.out.println(
-                table.getWaiting()
-                        + " wait"
-                        + (table.getOverload() ? "; overloaded: tasks are being shed" : "")
-                        + (table.getShed() > 0
-                                ? "; " + table.getShed() + " refused early since the start"
-                                : ""));
-        return 0;
+        return summary.toString();
     }
 }
--- /dev/null
+++ b/app/src/test/java/thornferry/app/CommandResult.java
@@ -0,0 +1,4 @@
+package thornferry.app;
+
+/** The exit code of a command, and what it printed on standard output and standard error. */
+record CommandResult(int code, String out, String err) {}
