--- a/client/src/main/java/thornferry/client/OutstandingRequest.java
+++ b/client/src/main/java/thornferry/client/OutstandingRequest.java
@@ -55,11 +55,11 @@
     }
 
     /** Completes this request with the outcome of an earlier one for the same task. */
-    void follow(OutstandingRequest earlier) {
+    void completeWith(OutstandingRequest earlier) {
         earlier.result.whenComplete(
-                (news, failure) -> {
+                (notification, failure) -> {
                     if (failure == null) {
-                        result.complete(news);
+                        result.complete(notification);
                     } else {
                         result.completeExceptionally(failure);
                     }
--- a/client/src/main/java/thornferry/client/OutstandingRequests.java
+++ b/client/src/main/java/thornferry/client/OutstandingRequests.java
@@ -30,12 +30,13 @@
     /**
      * Adds a request.
      *
-     * @return false if the task is outstanding already; the request then follows the earlier one
+     * @return false if the task is outstanding already; the request is then completed with the
+     *     outcome of the earlier one
      */
     boolean add(OutstandingRequest request) {
         OutstandingRequest earlier = requestByTask.putIfAbsent(request.taskId(), request);
         if (earlier != null) {
-            request.follow(earlier);
+            request.completeWith(earlier);
             return false;
         }
         return true;
--- a/client/src/main/java/thornferry/client/PlacerLink.java
+++ b/client/src/main/java/thornferry/client/PlacerConnection.java
@@ -18,7 +18,7 @@
  * The connection of a client to its placer: reconnects with exponential backoff, sends the
  * outstanding requests again, and dispatches received messages. Runs on the client's event loop.
  */
-final class PlacerLink implements ClientConnection.Listener {
+final class PlacerConnection implements ClientConnection.Listener {
     private static final long MIN_BACKOFF_MILLIS = 50;
     private static final long MAX_BACKOFF_MILLIS = 2_000;
 
@@ -35,7 +35,7 @@
     private long backoffMillis = MIN_BACKOFF_MILLIS;
     private boolean closed;
 
-    PlacerLink(
+    PlacerConnection(
             ClientConnection.Target target,
             EventLoop loop,
             OutstandingRequests requests,
@@ -48,7 +48,7 @@
         this.events = events;
     }
 
-    /** Connects, unless the link is closed. */
+    /** Connects, unless it was closed. */
     void open() {
         if (!closed) {
             connection = ClientConnection.open(loop, target, FrameLimits.DEFAULTS, this);
@@ -63,7 +63,7 @@
     /** Passes the reasons of the client's pending tasks to a listener, also after a reconnect. */
     void watchReasons(Consumer<Why> listener) {
         reasonListener = listener;
-        openConnection().ifPresent(PlacerLink::subscribeToReasons);
+        openConnection().ifPresent(PlacerConnection::subscribeToReasons);
     }
 
     private static void subscribeToReasons(ClientConnection connection) {
@@ -103,7 +103,7 @@
             switch (frame.header("destination", "")) {
                 case QueryCalls.REPLIES -> queries.replyReceived(frame);
                 case Destinations.WAITING -> reasonReceived(frame);
-                default -> taskNewsReceived(frame);
+                default -> notificationReceived(frame);
             }
         } catch (ProtocolException unsupported) {
             return; // a message of a later protocol version, which this client does not support
@@ -116,12 +116,12 @@
         }
     }
 
-    private void taskNewsReceived(Frame frame) throws ProtocolException {
-        TaskNews news = Bodies.read(frame, TaskNews.newBuilder());
-        if (news.getResult().isEmpty()) {
-            events.accept(news);
+    private void notificationReceived(Frame frame) throws ProtocolException {
+        TaskNews notification = Bodies.read(frame, TaskNews.newBuilder());
+        if (notification.getResult().isEmpty()) {
+            events.accept(notification);
         } else {
-            requests.complete(news);
+            requests.complete(notification);
         }
     }
 
--- a/client/src/main/java/thornferry/client/TaskClient.java
+++ b/client/src/main/java/thornferry/client/TaskClient.java
@@ -48,7 +48,7 @@
     private final MultiThreadIoEventLoopGroup ownLoops; // null if the loop is the caller's
     private final OutstandingRequests requests;
     private final QueryCalls queries = new QueryCalls();
-    private final PlacerLink link;
+    private final PlacerConnection placerConnection;
 
     private TaskClient(
             ClientConnection.Target target,
@@ -58,8 +58,8 @@
         this.loop = loop;
         this.ownLoops = ownLoops;
         requests = new OutstandingRequests(loop);
-        link = new PlacerLink(target, loop, requests, queries, events);
-        loop.execute(link::open);
+        placerConnection = new PlacerConnection(target, loop, requests, queries, events);
+        loop.execute(placerConnection::open);
     }
 
     /**
@@ -96,7 +96,8 @@
         loop.execute(
                 () -> {
                     if (requests.add(request)) {
-                        link.openConnection()
+                        placerConnection
+                                .openConnection()
                                 .ifPresent(connection -> requests.send(connection, request));
                         requests.startTimeout(request);
                     }
@@ -155,7 +156,7 @@
      * this side reads, intermediate ones are skipped.
      */
     public void watchReasons(Consumer<Why> listener) {
-        loop.execute(() -> link.watchReasons(listener));
+        loop.execute(() -> placerConnection.watchReasons(listener));
     }
 
     private <M extends Message> CompletableFuture<M> query(
@@ -171,7 +172,7 @@
     private void whenConnected(CompletableFuture<?> future, Consumer<ClientConnection> action) {
         loop.execute(
                 () -> {
-                    Optional<ClientConnection> connection = link.openConnection();
+                    Optional<ClientConnection> connection = placerConnection.openConnection();
                     if (connection.isPresent()) {
                         action.accept(connection.get());
                     } else {
@@ -186,13 +187,13 @@
      * reconnects after about {@code awayMillis}.
      */
     public void vanish(long awayMillis) {
-        loop.execute(() -> link.abort(awayMillis));
+        loop.execute(() -> placerConnection.abort(awayMillis));
     }
 
     /** Disconnects, and shuts down the event loop if it is the client's own. */
     @Override
     public void close() {
-        loop.execute(link::close);
+        loop.execute(placerConnection::close);
         if (ownLoops != null) {
             ownLoops.shutdownGracefully(
                             SHUTDOWN_QUIET_MILLIS, SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
