--- a/config/src/main/java/thornferry/config/AccountTables.java
+++ b/config/src/main/java/thornferry/config/AccountTables.java
@@ -16,7 +16,7 @@
 /** The tables {@code [[account]]}: who may connect, and as what. */
 final class AccountTables {
     private static final Map<String, Account.Role> ROLES =
-            Words.of(
+            NamedValues.of(
                     entry("owner", Account.Role.OWNER),
                     entry("agent", Account.Role.AGENT),
                     entry("operator", Account.Role.OPERATOR));
--- a/config/src/main/java/thornferry/config/AdmissionSection.java
+++ b/config/src/main/java/thornferry/config/AdmissionSection.java
@@ -28,7 +28,7 @@
     }
 
     private static final Map<String, AtLimit> AT_LIMIT =
-            Words.of(entry("wait", AtLimit.WAIT), entry("refuse", AtLimit.SHED));
+            NamedValues.of(entry("wait", AtLimit.WAIT), entry("refuse", AtLimit.SHED));
 
     private AdmissionSection() {}
 
--- a/config/src/main/java/thornferry/config/ClassTables.java
+++ b/config/src/main/java/thornferry/config/ClassTables.java
@@ -18,7 +18,7 @@
 /** The tables {@code [[class]]}: the classes of tasks. */
 final class ClassTables {
     private static final Map<String, Idempotency> IDEMPOTENCIES =
-            Words.of(
+            NamedValues.of(
                     entry("safe", Idempotency.IDEMPOTENT),
                     entry("keyed", Idempotency.IDEMPOTENT_WITH_KEY),
                     entry("unsafe", Idempotency.NON_IDEMPOTENT));
@@ -47,12 +47,13 @@
 
     private static TaskClass taskClass(Section section, String name, List<String> kindNames) {
         Idempotency idempotency = section.requiredChoice("effect", IDEMPOTENCIES);
-        TopologyScope keyScope = section.choice("key-scope", Words.SCOPES, TopologyScope.ALL);
+        TopologyScope keyScope = section.choice("key-scope", NamedValues.SCOPES, TopologyScope.ALL);
         long keyWindowMicros = keyWindowMicros(section, idempotency);
         long latencyObjectiveMicros = section.millis("aim-ms", 1, HOUR_MILLIS, 1_000);
         long deadlineMicros = deadlineMicros(section, latencyObjectiveMicros);
         int requiredKind = requiredKind(section, kindNames);
-        TopologyScope spreadScope = section.choice("spread", Words.SCOPES, TopologyScope.NONE);
+        TopologyScope spreadScope =
+                section.choice("spread", NamedValues.SCOPES, TopologyScope.NONE);
         int maxTasksPerScope = maxTasksPerScope(section, spreadScope);
         return new TaskClass(
                 name,
@@ -107,7 +108,7 @@
         return maxTasks;
     }
 
-    /** Stands in for the classes of a file that has none, so that reading can go on. */
+    /** Substitute for the classes of a file that has none, so that reading can go on. */
     static TaskClass placeholder() {
         return new TaskClass(
                 "none",
--- a/config/src/main/java/thornferry/config/KindTables.java
+++ b/config/src/main/java/thornferry/config/KindTables.java
@@ -30,7 +30,7 @@
         return kinds;
     }
 
-    /** Stands in for the kinds of a file that has none, so that reading can go on. */
+    /** Substitute for the kinds of a file that has none, so that reading can go on. */
     static MachineKind placeholder() {
         return new MachineKind("none", 1, 1);
     }
--- a/config/src/main/java/thornferry/config/Words.java
+++ b/config/src/main/java/thornferry/config/NamedValues.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import thornferry.decisions.placement.Placement.TopologyScope;
 
-/** Words that stand for values, in the order in which complaints list them. */
-final class Words {
-    /** The words of {@code key-scope} and {@code spread}. */
+/** Values by their names in the file, in the order in which complaints list the names. */
+final class NamedValues {
+    /** The values of {@code key-scope} and {@code spread}. */
     static final Map<String, TopologyScope> SCOPES =
             of(
                     entry("none", TopologyScope.NONE),
@@ -18,15 +18,15 @@
                     entry("zone", TopologyScope.ZONE),
                     entry("all", TopologyScope.ALL));
 
-    private Words() {}
+    private NamedValues() {}
 
     /** A map that, unlike {@link Map#ofEntries}, keeps the order. */
     @SafeVarargs
     static <T> Map<String, T> of(Map.Entry<String, T>... entries) {
-        Map<String, T> words = new LinkedHashMap<>();
+        Map<String, T> valuesByName = new LinkedHashMap<>();
         for (Map.Entry<String, T> entry : entries) {
-            words.put(entry.getKey(), entry.getValue());
+            valuesByName.put(entry.getKey(), entry.getValue());
         }
-        return Collections.unmodifiableMap(words);
+        return Collections.unmodifiableMap(valuesByName);
     }
 }
--- a/config/src/main/java/thornferry/config/StateSection.java
+++ b/config/src/main/java/thornferry/config/StateSection.java
@@ -11,7 +11,7 @@
 /** The table {@code [state]}: what outlasts a restart, and where it is stored. */
 final class StateSection {
     private static final Map<String, Durability> DURABILITIES =
-            Words.of(
+            NamedValues.of(
                     entry("none", Durability.NONE),
                     entry("os", Durability.OS),
                     entry("disk", Durability.DISK));
--- a/config/src/main/java/thornferry/config/TlsSection.java
+++ b/config/src/main/java/thornferry/config/TlsSection.java
@@ -15,7 +15,7 @@
  */
 final class TlsSection {
     private static final Map<String, Tls.Clients> CLIENT_CERTIFICATES =
-            Words.of(
+            NamedValues.of(
                     entry("none", Tls.Clients.NONE),
                     entry("wanted", Tls.Clients.WANTED),
                     entry("needed", Tls.Clients.NEEDED));
--- a/config/src/main/java/thornferry/config/TomlFile.java
+++ b/config/src/main/java/thornferry/config/TomlFile.java
@@ -163,14 +163,14 @@
         /**
          * A text.
          *
-         * @param otherwise the default; null if the key is required
+         * @param defaultValue the default; null if the key is required
          */
-        public String text(String key, String otherwise) {
-            if (otherwise == null) {
+        public String text(String key, String defaultValue) {
+            if (defaultValue == null) {
                 return requiredText(key);
             }
             JsonNode value = value(key);
-            return value == null ? otherwise : checkedText(key, value, true);
+            return value == null ? defaultValue : checkedText(key, value, true);
         }
 
         /** A text that must be there and not be empty. */
@@ -194,14 +194,14 @@
         /**
          * A number within bounds.
          *
-         * @param otherwise the default; NaN if the key is required
+         * @param defaultValue the default; NaN if the key is required
          */
-        public double number(String key, double least, double most, double otherwise) {
-            if (Double.isNaN(otherwise)) {
-                return requiredNumber(key, least, most);
+        public double number(String key, double min, double max, double defaultValue) {
+            if (Double.isNaN(defaultValue)) {
+                return requiredNumber(key, min, max);
             }
             JsonNode value = value(key);
-            return value == null ? otherwise : checkedNumber(key, value, least, most);
+            return value == null ? defaultValue : checkedNumber(key, value, min, max);
         }
 
         /** A number within bounds that must be there. */
@@ -225,24 +225,24 @@
         }
 
         /** A whole number within bounds. */
-        public int whole(String key, int least, int most, int otherwise) {
+        public int whole(String key, int min, int max, int defaultValue) {
             JsonNode value = value(key);
             if (value != null && value.isNumber() && !value.isIntegralNumber()) {
                 complain(key, "must be a whole number, not " + value.asText());
-                return otherwise;
+                return defaultValue;
             }
-            return (int) number(key, least, most, otherwise);
+            return (int) number(key, min, max, defaultValue);
         }
 
         /**
          * A duration: milliseconds in the file, returned in microseconds.
          *
-         * @param least the minimum, in milliseconds
-         * @param most the maximum, in milliseconds
-         * @param otherwise the default, in milliseconds; NaN if the key is required
+         * @param min the minimum, in milliseconds
+         * @param max the maximum, in milliseconds
+         * @param defaultValue the default, in milliseconds; NaN if the key is required
          */
-        public long millis(String key, long least, long most, double otherwise) {
-            return millisToMicros(number(key, (double) least, (double) most, otherwise));
+        public long millis(String key, long min, long max, double defaultValue) {
+            return millisToMicros(number(key, (double) min, (double) max, defaultValue));
         }
 
         /** A duration that must be there: milliseconds in the file, returned in microseconds. */
@@ -251,57 +251,57 @@
         }
 
         /** True or false. */
-        public boolean flag(String key, boolean otherwise) {
+        public boolean flag(String key, boolean defaultValue) {
             JsonNode value = value(key);
             if (value != null && !value.isBoolean()) {
                 complain(key, "must be true or false");
             }
-            return value == null ? otherwise : value.asBoolean();
+            return value == null ? defaultValue : value.asBoolean();
         }
 
         /**
          * One of the constants of an enum, written in lower case with hyphens.
          *
-         * @param otherwise the default; null if the key is required
+         * @param defaultValue the default; null if the key is required
          */
-        public <E extends Enum<E>> E choice(String key, Class<E> of, E otherwise) {
-            Map<String, E> words = new LinkedHashMap<>();
-            for (E constant : of.getEnumConstants()) {
-                words.put(wordOf(constant), constant);
+        public <E extends Enum<E>> E choice(String key, Class<E> type, E defaultValue) {
+            Map<String, E> valuesByName = new LinkedHashMap<>();
+            for (E constant : type.getEnumConstants()) {
+                valuesByName.put(nameOf(constant), constant);
             }
-            return choice(key, words, otherwise);
+            return choice(key, valuesByName, defaultValue);
         }
 
         /**
-         * One of some words, each with its value; the first value if the file has another word.
+         * One of some named values; the first one if the file has another name.
          *
-         * @param words in the order in which complaints list them
-         * @param otherwise the default; null if the key is required
+         * @param valuesByName in the order in which complaints list them
+         * @param defaultValue the default; null if the key is required
          */
-        public <T> T choice(String key, Map<String, T> words, T otherwise) {
-            if (otherwise == null) {
-                return requiredChoice(key, words);
+        public <T> T choice(String key, Map<String, T> valuesByName, T defaultValue) {
+            if (defaultValue == null) {
+                return requiredChoice(key, valuesByName);
             }
             JsonNode value = value(key);
-            return value == null ? otherwise : checkedChoice(key, value, words);
+            return value == null ? defaultValue : checkedChoice(key, value, valuesByName);
         }
 
-        /** One of some words, each with its value, which must be there. */
-        <T> T requiredChoice(String key, Map<String, T> words) {
+        /** One of some named values, which must be there. */
+        <T> T requiredChoice(String key, Map<String, T> valuesByName) {
             JsonNode value = value(key);
             if (value == null) {
-                complain(key, "is missing; one of " + String.join(", ", words.keySet()));
-                return words.values().iterator().next();
+                complain(key, "is missing; one of " + String.join(", ", valuesByName.keySet()));
+                return valuesByName.values().iterator().next();
             }
-            return checkedChoice(key, value, words);
+            return checkedChoice(key, value, valuesByName);
         }
 
-        private <T> T checkedChoice(String key, JsonNode value, Map<String, T> words) {
-            T chosen = value.isTextual() ? words.get(value.textValue()) : null;
+        private <T> T checkedChoice(String key, JsonNode value, Map<String, T> valuesByName) {
+            T chosen = value.isTextual() ? valuesByName.get(value.textValue()) : null;
             if (chosen == null) {
-                String known = String.join(", ", words.keySet());
+                String known = String.join(", ", valuesByName.keySet());
                 complain(key, "must be one of " + known + ", not " + value.asText());
-                return words.values().iterator().next();
+                return valuesByName.values().iterator().next();
             }
             return chosen;
         }
@@ -322,7 +322,7 @@
         return Math.round(millis * MICROS_PER_MILLI);
     }
 
-    private static String wordOf(Enum<?> constant) {
+    private static String nameOf(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
