--- a/agent/src/main/java/thornferry/agent/PlacerConnection.java
+++ b/agent/src/main/java/thornferry/agent/PlacerConnection.java
@@ -150,7 +150,7 @@
         }
         long pauseMicros = node.remainingPauseMicros();
         try {
-            Order order = Bodies.read(frame, Order.newBuilder());
+            Order order = Bodies.read(frame, Order.getDefaultInstance());
             if (pauseMicros > 0) {
                 loop.schedule(() -> message(source, frame), pauseMicros, TimeUnit.MICROSECONDS);
             } else {
--- a/app/src/main/java/thornferry/app/LimitsCommand.java
+++ b/app/src/main/java/thornferry/app/LimitsCommand.java
@@ -38,7 +38,7 @@
     @Override
     Limits query(PlacerClient client) throws IOException {
         return client.query(
-                Destinations.LIMITS, LimitsQuery.getDefaultInstance(), Limits.newBuilder());
+                Destinations.LIMITS, LimitsQuery.getDefaultInstance(), Limits.getDefaultInstance());
     }
 
     @Override
--- a/app/src/main/java/thornferry/app/NodesCommand.java
+++ b/app/src/main/java/thornferry/app/NodesCommand.java
@@ -14,7 +14,7 @@
 final class NodesCommand extends QueryCommand<Nodes> {
     @Override
     Nodes query(PlacerClient client) throws IOException {
-        return client.firstMessage("nodes", Destinations.NODES, Nodes.newBuilder());
+        return client.firstMessage("nodes", Destinations.NODES, Nodes.getDefaultInstance());
     }
 
     @Override
--- a/app/src/main/java/thornferry/app/PlacerClient.java
+++ b/app/src/main/java/thornferry/app/PlacerClient.java
@@ -60,8 +60,7 @@
     }
 
     /** Sends a query and waits for its reply. */
-    <M extends Message> M query(String destination, Message query, Message.Builder replyType)
-            throws IOException {
+    <M extends Message> M query(String destination, Message query, M replyType) throws IOException {
         Frame header = Frame.of(StompCommand.SEND, "destination", destination, "reply-to", REPLIES);
         PlacerExchange<M> exchange =
                 new PlacerExchange<>(
@@ -74,8 +73,7 @@
     }
 
     /** Subscribes to a destination and waits for its first message. */
-    <M extends Message> M firstMessage(
-            String subscription, String destination, Message.Builder messageType)
+    <M extends Message> M firstMessage(String subscription, String destination, M messageType)
             throws IOException {
         return subscribe(
                 subscription,
--- a/app/src/main/java/thornferry/app/WaitingCommand.java
+++ b/app/src/main/java/thornferry/app/WaitingCommand.java
@@ -16,7 +16,9 @@
     @Override
     WaitingTable query(PlacerClient client) throws IOException {
         return client.query(
-                Destinations.WAITING, WaitingQuery.getDefaultInstance(), WaitingTable.newBuilder());
+                Destinations.WAITING,
+                WaitingQuery.getDefaultInstance(),
+                WaitingTable.getDefaultInstance());
     }
 
     @Override
--- a/app/src/main/java/thornferry/app/WhyCommand.java
+++ b/app/src/main/java/thornferry/app/WhyCommand.java
@@ -49,7 +49,7 @@
     @Override
     public Integer call() throws IOException {
         WhyQuery query = WhyQuery.newBuilder().setTask(task).build();
-        Why why = placer.client().query(Destinations.WHY, query, Why.newBuilder());
+        Why why = placer.client().query(Destinations.WHY, query, Why.getDefaultInstance());
         if (why.getState().equals(UNKNOWN)) {
             System.err.println("thornferry: no task " + task + " of yours is known");
             return ExitCode.TASK_UNKNOWN;
@@ -68,7 +68,7 @@
     }
 
     private Optional<Why> printIfOfThisTask(Frame message) throws ProtocolException {
-        Why why = Bodies.read(message, Why.newBuilder());
+        Why why = Bodies.read(message, Why.getDefaultInstance());
         if (!why.getTask().equals(task)) {
             return Optional.empty();
         }
--- a/client/src/main/java/thornferry/client/PlacerConnection.java
+++ b/client/src/main/java/thornferry/client/PlacerConnection.java
@@ -112,12 +112,12 @@
 
     private void reasonReceived(Frame frame) throws ProtocolException {
         if (reasonListener != null) {
-            reasonListener.accept(Bodies.read(frame, Why.newBuilder()));
+            reasonListener.accept(Bodies.read(frame, Why.getDefaultInstance()));
         }
     }
 
     private void notificationReceived(Frame frame) throws ProtocolException {
-        TaskNews notification = Bodies.read(frame, TaskNews.newBuilder());
+        TaskNews notification = Bodies.read(frame, TaskNews.getDefaultInstance());
         if (notification.getResult().isEmpty()) {
             events.accept(notification);
         } else {
--- a/client/src/main/java/thornferry/client/QueryCalls.java
+++ b/client/src/main/java/thornferry/client/QueryCalls.java
@@ -35,7 +35,7 @@
             ClientConnection connection,
             String destination,
             Message query,
-            Message.Builder replyType,
+            M replyType,
             CompletableFuture<M> answer) {
         lastQueryNumber++;
         String id = "c" + lastQueryNumber;
@@ -62,10 +62,7 @@
     }
 
     private static <M extends Message> void complete(
-            CompletableFuture<M> answer,
-            Frame frame,
-            Message.Builder replyType,
-            Throwable failure) {
+            CompletableFuture<M> answer, Frame frame, M replyType, Throwable failure) {
         if (failure instanceof RequestNotAcceptedException) {
             answer.completeExceptionally(failure);
             return;
@@ -75,7 +72,7 @@
             return;
         }
         try {
-            answer.complete(Bodies.<M>read(frame, replyType));
+            answer.complete(Bodies.read(frame, replyType));
         } catch (ProtocolException invalid) {
             answer.completeExceptionally(invalid);
         }
--- a/client/src/main/java/thornferry/client/TaskClient.java
+++ b/client/src/main/java/thornferry/client/TaskClient.java
@@ -133,7 +133,9 @@
      */
     public CompletableFuture<Why> why(String task) {
         return query(
-                Destinations.WHY, WhyQuery.newBuilder().setTask(task).build(), Why.newBuilder());
+                Destinations.WHY,
+                WhyQuery.newBuilder().setTask(task).build(),
+                Why.getDefaultInstance());
     }
 
     /**
@@ -142,12 +144,15 @@
      */
     public CompletableFuture<WaitingTable> waiting() {
         return query(
-                Destinations.WAITING, WaitingQuery.getDefaultInstance(), WaitingTable.newBuilder());
+                Destinations.WAITING,
+                WaitingQuery.getDefaultInstance(),
+                WaitingTable.getDefaultInstance());
     }
 
     /** Queries the client's quotas and their usage; for an operator, also those of all tenants. */
     public CompletableFuture<Limits> limits() {
-        return query(Destinations.LIMITS, LimitsQuery.getDefaultInstance(), Limits.newBuilder());
+        return query(
+                Destinations.LIMITS, LimitsQuery.getDefaultInstance(), Limits.getDefaultInstance());
     }
 
     /**
@@ -160,7 +165,7 @@
     }
 
     private <M extends Message> CompletableFuture<M> query(
-            String destination, Message query, Message.Builder replyType) {
+            String destination, Message query, M replyType) {
         CompletableFuture<M> answer = new CompletableFuture<>();
         whenConnected(
                 answer,
--- a/placer/src/main/java/thornferry/placer/ClientHandler.java
+++ b/placer/src/main/java/thornferry/placer/ClientHandler.java
@@ -65,7 +65,7 @@
     // ---- what clients send ----
 
     void submit(ServerSession session, Frame frame) throws ProtocolException {
-        Task task = Bodies.read(frame, Task.newBuilder());
+        Task task = Bodies.read(frame, Task.getDefaultInstance());
         requestCount++;
         try {
             core.submit(session.login(), ProtocolMapper.taskSpec(task));
@@ -75,7 +75,7 @@
     }
 
     void stop(ServerSession session, Frame frame) throws ProtocolException {
-        StopTask stop = Bodies.read(frame, StopTask.newBuilder());
+        StopTask stop = Bodies.read(frame, StopTask.getDefaultInstance());
         try {
             core.stop(session.login(), stop.getId());
         } catch (InvalidRequestException e) {
@@ -84,14 +84,14 @@
     }
 
     void explain(ServerSession session, Frame frame) throws ProtocolException {
-        WhyQuery query = Bodies.read(frame, WhyQuery.newBuilder());
+        WhyQuery query = Bodies.read(frame, WhyQuery.getDefaultInstance());
         PendingReasons.Explanation explanation = explain(session.login(), query.getTask());
         replies.reply(session, frame, ProtocolMapper.why(explanation, true));
     }
 
     /** Counts the waiting tasks: those of all owners for an operator, else the client's own. */
     void countWaiting(ServerSession session, Frame frame) throws ProtocolException {
-        Bodies.<WaitingQuery>read(frame, WaitingQuery.newBuilder());
+        Bodies.read(frame, WaitingQuery.getDefaultInstance());
         boolean operator = connections.stateOf(session).account.role() == Account.Role.OPERATOR;
         replies.reply(
                 session,
@@ -102,7 +102,7 @@
     }
 
     void showLimits(ServerSession session, Frame frame) throws ProtocolException {
-        Bodies.<LimitsQuery>read(frame, LimitsQuery.newBuilder());
+        Bodies.read(frame, LimitsQuery.getDefaultInstance());
         Account account = connections.stateOf(session).account;
         replies.reply(
                 session,
--- a/placer/src/main/java/thornferry/placer/NodeHandler.java
+++ b/placer/src/main/java/thornferry/placer/NodeHandler.java
@@ -39,7 +39,7 @@
     void register(ServerSession session, Frame frame) throws ProtocolException {
         ConnectionState state = connections.stateOf(session);
         state.binary = Bodies.PROTOBUF.equals(frame.header("content-type"));
-        Register register = Bodies.read(frame, Register.newBuilder());
+        Register register = Bodies.read(frame, Register.getDefaultInstance());
         String offers = Destinations.offers(register.getNode());
         if (!session.subscribedTo(offers)) {
             throw new ProtocolException("subscribe to " + offers + " before registering");
@@ -49,7 +49,7 @@
     }
 
     void report(ServerSession session, Frame frame) throws ProtocolException {
-        Answer answer = Bodies.read(frame, Answer.newBuilder());
+        Answer answer = Bodies.read(frame, Answer.getDefaultInstance());
         String machine = requireRegistered(session, answer.getNode());
         if (answer.getKind() == Answer.Kind.USES) {
             core.usageReported(
@@ -60,7 +60,7 @@
     }
 
     void answerHealthCheck(ServerSession session, Frame frame) throws ProtocolException {
-        ProbeReply reply = Bodies.read(frame, ProbeReply.newBuilder());
+        ProbeReply reply = Bodies.read(frame, ProbeReply.getDefaultInstance());
         core.healthCheckAnswered(
                 requireRegistered(session, reply.getNode()),
                 reply.getNumber(),
--- a/placer/src/main/java/thornferry/placer/OperatorHandler.java
+++ b/placer/src/main/java/thornferry/placer/OperatorHandler.java
@@ -50,7 +50,7 @@
     }
 
     void drain(ServerSession session, Frame frame) throws ProtocolException {
-        Drain drain = Bodies.read(frame, Drain.newBuilder());
+        Drain drain = Bodies.read(frame, Drain.getDefaultInstance());
         ConnectionState state = connections.stateOf(session);
         boolean itself = drain.getNode().equals(core.membership().machineOf(state.connection));
         if (state.account.role() != Account.Role.OPERATOR && !itself) {
--- a/protocol/src/main/java/thornferry/protocol/Bodies.java
+++ b/protocol/src/main/java/thornferry/protocol/Bodies.java
@@ -16,16 +16,17 @@
     private Bodies() {}
 
     /**
-     * Reads the body of {@code frame} into {@code builder}.
+     * Reads the body of a frame.
      *
+     * @param type any message of the type that the body holds, such as its default instance
      * @throws ProtocolException naming the content type or what is malformed
      */
     @SuppressWarnings("unchecked")
-    public static <M extends Message> M read(Frame frame, Message.Builder builder)
-            throws ProtocolException {
-        String type = frame.header("content-type", JSON);
-        int end = type.indexOf(';');
-        String plain = (end < 0 ? type : type.substring(0, end)).trim();
+    public static <M extends Message> M read(Frame frame, M type) throws ProtocolException {
+        Message.Builder builder = type.newBuilderForType();
+        String contentType = frame.header("content-type", JSON);
+        int end = contentType.indexOf(';');
+        String plain = (end < 0 ? contentType : contentType.substring(0, end)).trim();
         try {
             switch (plain) {
                 case PROTOBUF -> builder.mergeFrom(frame.body());
--- a/testbed/src/main/java/thornferry/testbed/capture/FrameRow.java
+++ b/testbed/src/main/java/thornferry/testbed/capture/FrameRow.java
@@ -57,8 +57,7 @@
     /** The body as JSON; as a text in base 64 if it cannot be read. */
     private static JsonNode body(Frame frame, Direction direction) {
         try {
-            Optional<Message.Builder> type =
-                    bodyType(frame.header(DESTINATION_HEADER, ""), direction);
+            Optional<Message> type = bodyType(frame.header(DESTINATION_HEADER, ""), direction);
             if (type.isPresent()) {
                 return JSON.readTree(Bodies.json(Bodies.read(frame, type.get())));
             }
@@ -69,18 +68,18 @@
     }
 
     /** The protobuf message that a body of this destination holds; empty if it is JSON. */
-    private static Optional<Message.Builder> bodyType(String destination, Direction direction) {
+    private static Optional<Message> bodyType(String destination, Direction direction) {
         if (direction == Direction.FROM_PLACER) {
             return Optional.ofNullable(Destinations.nodeOfOffers(destination))
-                    .map(node -> Order.newBuilder());
+                    .map(node -> Order.getDefaultInstance());
         }
         return switch (destination) {
-            case Destinations.TASKS -> Optional.of(Task.newBuilder());
-            case Destinations.STOP -> Optional.of(StopTask.newBuilder());
-            case Destinations.REGISTER -> Optional.of(Register.newBuilder());
-            case Destinations.ANSWERS -> Optional.of(Answer.newBuilder());
-            case Destinations.PROBES -> Optional.of(ProbeReply.newBuilder());
-            case Destinations.DRAIN -> Optional.of(Drain.newBuilder());
+            case Destinations.TASKS -> Optional.of(Task.getDefaultInstance());
+            case Destinations.STOP -> Optional.of(StopTask.getDefaultInstance());
+            case Destinations.REGISTER -> Optional.of(Register.getDefaultInstance());
+            case Destinations.ANSWERS -> Optional.of(Answer.getDefaultInstance());
+            case Destinations.PROBES -> Optional.of(ProbeReply.getDefaultInstance());
+            case Destinations.DRAIN -> Optional.of(Drain.getDefaultInstance());
             default -> Optional.empty();
         };
     }
--- a/testbed/src/main/java/thornferry/testbed/diagnosis/ScriptedNode.java
+++ b/testbed/src/main/java/thornferry/testbed/diagnosis/ScriptedNode.java
@@ -142,7 +142,7 @@
     public void message(ClientConnection receiver, Frame frame) {
         Order order;
         try {
-            order = Bodies.read(frame, Order.newBuilder());
+            order = Bodies.read(frame, Order.getDefaultInstance());
         } catch (ProtocolException e) {
             throw new IllegalStateException("the placer sent a malformed order", e);
         }
--- a/testbed/src/test/java/thornferry/testbed/TenantIsolationTest.java
+++ b/testbed/src/test/java/thornferry/testbed/TenantIsolationTest.java
@@ -65,7 +65,7 @@
         WaitingTable table =
                 Bodies.read(
                         otherOwner.query(Destinations.WAITING, WaitingQuery.getDefaultInstance()),
-                        WaitingTable.newBuilder());
+                        WaitingTable.getDefaultInstance());
         assertThat(table.getWaiting()).isZero();
         assertThat(state(owner, "t1")).as("nobody stopped it").isEqualTo(WAITING);
     }
