--- a/app/src/main/java/thornferry/app/ScenarioCommand.java
+++ b/app/src/main/java/thornferry/app/ScenarioCommand.java
@@ -3,20 +3,24 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
+import java.util.concurrent.TimeUnit;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
+import thornferry.config.ConfigException;
 import thornferry.state.Durability;
 import thornferry.testbed.audit.TraceAuditor;
 import thornferry.testbed.diagnosis.PendingReasonScenarios;
 import thornferry.testbed.scenario.ScenarioFile;
 import thornferry.testbed.scenario.ScenarioRunner;
 
+/** Plays scripted scenarios; the command and its words on the command line are {@code day}. */
 @Command(
         name = "day",
         description = "Scripted days on loopback.",
         subcommands = {ScenarioCommand.Run.class, ScenarioCommand.Reasons.class})
 final class ScenarioCommand extends Main.Group {
+    /** Checks for each pending reason that it is shown when it is the true one. */
     @Command(
             name = "reasons",
             description =
@@ -34,13 +38,15 @@
         public Integer call() throws Exception {
             System.out.printf(
                     "%-46s %-14s %10s %10s%n", "SCENARIO", "SHOWN", "AFTER ms", "PLACED ms");
-            for (PendingReasonScenarios.Shown s : PendingReasonScenarios.play()) {
+            for (PendingReasonScenarios.Shown shown : PendingReasonScenarios.play()) {
                 System.out.printf(
                         "%-46s %-14s %10.1f %10s%n",
-                        s.scenario(),
-                        s.kind(),
-                        s.shownMicros() / 1e3,
-                        s.placedMicros() < 0 ? "-" : String.format("%.1f", s.placedMicros() / 1e3));
+                        shown.scenario(),
+                        shown.kind(),
+                        shown.shownMicros() / 1e3,
+                        shown.placedMicros() < 0
+                                ? "-"
+                                : String.format("%.1f", shown.placedMicros() / 1e3));
             }
             long[] medians = PendingReasonScenarios.timing(2_000);
             System.out.printf(
@@ -51,6 +57,7 @@
         }
     }
 
+    /** Plays one scenario and audits its capture. */
     @Command(
             name = "run",
             description = "Play a scripted day and audit what passed on its sockets.",
@@ -84,39 +91,49 @@
                 description =
                         "How much later than the rule's grace a result may be seen;"
                                 + " ${DEFAULT-VALUE}.")
-        long slack;
+        long slackMillis;
 
         @Override
         public Integer call() throws Exception {
-            ScenarioFile file = ScenarioFile.read(script);
+            ScenarioFile scenario = readScenario();
+            Path captureFile =
+                    capture == null ? Files.createTempFile("thornferry-day", ".jsonl") : capture;
+            printOutcome(scenario.seed(), ScenarioRunner.play(scenario, captureFile));
+            TraceAuditor.Verdict verdict =
+                    TraceAuditor.audit(captureFile, TimeUnit.MILLISECONDS.toMicros(slackMillis));
+            int exitCode = AuditCommand.print(captureFile, verdict);
+            if (capture == null && exitCode == 0) {
+                Files.delete(captureFile);
+            }
+            return exitCode;
+        }
+
+        private ScenarioFile readScenario() throws ConfigException {
+            ScenarioFile scenario = ScenarioFile.read(script);
             if (seed != null) {
-                file = file.withSeed(seed);
+                scenario = scenario.withSeed(seed);
             }
             if (durability != null) {
-                file = file.withDurability(durability);
+                scenario = scenario.withDurability(durability);
             }
-            Path to = capture == null ? Files.createTempFile("thornferry-day", ".jsonl") : capture;
-            ScenarioRunner.Outcome o = ScenarioRunner.play(file, to);
+            return scenario;
+        }
+
+        private static void printOutcome(long seed, ScenarioRunner.Outcome outcome) {
             System.out.printf(
                     "seed %d: %d tasks, %d asks: %d placed, %d refused, %d failed, %d unanswered;"
                             + " then %d ended, %d evicted, %d lost; module failures %d%n",
-                    file.seed(),
-                    o.tasks(),
-                    o.requests(),
-                    o.placed(),
-                    o.rejected(),
-                    o.failed(),
-                    o.unanswered(),
-                    o.ended(),
-                    o.evicted(),
-                    o.lost(),
-                    o.moduleFailures());
-            TraceAuditor.Verdict verdict = TraceAuditor.audit(to, slack * 1_000);
-            int code = AuditCommand.print(to, verdict);
-            if (capture == null && code == 0) {
-                Files.delete(to);
-            }
-            return code;
+                    seed,
+                    outcome.tasks(),
+                    outcome.requests(),
+                    outcome.placed(),
+                    outcome.rejected(),
+                    outcome.failed(),
+                    outcome.unanswered(),
+                    outcome.ended(),
+                    outcome.evicted(),
+                    outcome.lost(),
+                    outcome.moduleFailures());
         }
     }
 }
