--- a/app/src/main/java/thornferry/app/AuditCommand.java
+++ b/app/src/main/java/thornferry/app/AuditCommand.java
@@ -57,7 +57,7 @@
                 verdict.offers(),
                 verdict.starts(),
                 verdict.isClean() ? "clean" : verdict.violations().size() + " breaches");
-        return verdict.isClean() ? 0 : Main.FAILED;
+        return ExitCode.ofCheck(verdict.isClean());
     }
 
     private static void print(Path capture, TraceAuditor.Violation violation) {
--- a/app/src/main/java/thornferry/app/Main.java
+++ b/app/src/main/java/thornferry/app/Main.java
@@ -47,9 +47,6 @@
             ServeCommand.class
         })
 public final class Main implements Runnable {
-    /** For commands that do not use {@link ExitCode} yet. */
-    static final int FAILED = ExitCode.FAILED;
-
     private static final Logger LOG = LoggerFactory.getLogger(Main.class);
     private static final String DEFAULT_LOG_LEVEL = "info";
 
@@ -106,7 +103,4 @@
     public void run() {
         throw new CommandLine.ParameterException(spec.commandLine(), "a command is needed");
     }
-
-    /** For commands that do not use {@link CommandGroup} yet. */
-    abstract static class Group extends CommandGroup {}
 }
--- a/app/src/main/java/thornferry/app/ManagedPlacerLoad.java
+++ b/app/src/main/java/thornferry/app/ManagedPlacerLoad.java
@@ -137,7 +137,7 @@
             LoadReport report = generator.run(step);
             Duration cpu = placer.cpuTime().minus(cpuBefore);
             printer.print(report, new PlacerUsage(cpu, placer.residentMegabytes()));
-            exitCode = report.isCorrect() ? exitCode : Main.FAILED;
+            exitCode = report.isCorrect() ? exitCode : ExitCode.FAILED;
         }
         return exitCode;
     }
--- a/app/src/main/java/thornferry/app/PasscodeCommand.java
+++ b/app/src/main/java/thornferry/app/PasscodeCommand.java
@@ -29,6 +29,8 @@
     }
 
     /** Reads from the terminal without echo, or from standard input if there is no terminal. */
+    @SuppressWarnings(
+            "SystemConsoleNull") // holds up to Java 21; from 22 on, see Console.isTerminal
     private static String readPasscode() throws IOException {
         Console console = System.console();
         if (console != null) {
--- a/app/src/main/java/thornferry/app/PlacerProcess.java
+++ b/app/src/main/java/thornferry/app/PlacerProcess.java
@@ -3,6 +3,7 @@
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
 import java.net.URISyntaxException;
@@ -16,7 +17,6 @@
 
 /** A placer in a process of its own, so that its CPU time and memory can be measured. */
 final class PlacerProcess implements AutoCloseable {
-    private static final String HOST = "127.0.0.1";
     private static final String LISTENING_LINE = "listens on ";
     private static final int ADDRESS_WORD = 2;
     private static final String RESIDENT_MEMORY_LINE = "VmRSS:";
@@ -62,7 +62,7 @@
         int firstPort = readPort();
         List<SocketAddress> addresses = new ArrayList<>();
         for (int i = 0; i < instances; i++) {
-            addresses.add(new InetSocketAddress(HOST, firstPort + i));
+            addresses.add(new InetSocketAddress(InetAddress.getLoopbackAddress(), firstPort + i));
         }
         return addresses;
     }
--- a/app/src/main/java/thornferry/app/RunningPlacerLoad.java
+++ b/app/src/main/java/thornferry/app/RunningPlacerLoad.java
@@ -26,7 +26,7 @@
             for (LoadStep step : plan.steps()) {
                 LoadReport report = generator.run(step);
                 printer.print(report, PlacerUsage.UNKNOWN);
-                exitCode = report.isCorrect() ? exitCode : Main.FAILED;
+                exitCode = report.isCorrect() ? exitCode : ExitCode.FAILED;
             }
         }
         return exitCode;
--- a/app/src/main/java/thornferry/app/ScenarioCommand.java
+++ b/app/src/main/java/thornferry/app/ScenarioCommand.java
@@ -19,7 +19,7 @@
         name = "day",
         description = "Scripted days on loopback.",
         subcommands = {ScenarioCommand.Run.class, ScenarioCommand.Reasons.class})
-final class ScenarioCommand extends Main.Group {
+final class ScenarioCommand extends CommandGroup {
     /** Checks for each pending reason that it is shown when it is the true one. */
     @Command(
             name = "reasons",
--- a/bench-adapter/src/test/java/thornferry/bench/SimHostTest.java
+++ b/bench-adapter/src/test/java/thornferry/bench/SimHostTest.java
@@ -16,6 +16,7 @@
 import thornferry.decisions.placement.Placement.Settings;
 import thornferry.decisions.placement.Policy;
 
+@SuppressWarnings("StringConcatToTextBlock") // rows of the protocol, one a line
 class SimHostTest {
     private static final String SETTINGS =
             "{\"instances\":2,\"myNumber\":0,\"zone\":\"z1\",\"later\":{\"x\":[1]},"
--- a/decisions/src/main/java/thornferry/decisions/admission/AdmissionQueue.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/AdmissionQueue.java
@@ -91,7 +91,7 @@
      * @param dispatched in {@link Stage#DISPATCHED}
      * @param offered in {@link Stage#OFFERED}
      * @param placed in {@link Stage#PLACED}
-     * @param isOverloaded whether requests are being shed
+     * @param overloaded whether requests are being shed
      * @param shed requests shed since the start
      */
     public record QueueCounts(
--- a/decisions/src/main/java/thornferry/decisions/diagnosis/ReasonClassifier.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/ReasonClassifier.java
@@ -78,6 +78,7 @@
     }
 
     /** Counts are listed in the order of the enum: that is the form of the policy's report. */
+    @SuppressWarnings("EnumOrdinal")
     private static int machines(Pending pending, FilterReason reason) {
         return pending.machinesByReason().get(reason.ordinal());
     }
--- a/decisions/src/main/java/thornferry/decisions/placement/CandidateFilter.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/CandidateFilter.java
@@ -75,7 +75,7 @@
         if (task.failedMachines().contains(machine)) {
             return FilterReason.PREVIOUS_ATTEMPT_FAILED;
         }
-        if (!machine.isReady() || !ignoreEjections && health.isEjected()) {
+        if (!machine.isReady() || (!ignoreEjections && health.isEjected())) {
             return FilterReason.MACHINE_EJECTED;
         }
         FilterReason timed = health.timedExclusion(context.nowMicros());
--- a/decisions/src/main/java/thornferry/decisions/placement/CandidateSummary.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/CandidateSummary.java
@@ -29,6 +29,8 @@
         eligible.add(machine);
     }
 
+    /** An array by ordinal: this is counted for each machine and request. */
+    @SuppressWarnings("EnumOrdinal")
     void countFiltered(FilterReason reason) {
         machinesByReason[reason.ordinal()]++;
     }
--- a/decisions/src/main/java/thornferry/decisions/placement/RejectOrFail.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/RejectOrFail.java
@@ -22,9 +22,10 @@
 
     /** Whether the task must not be offered again. */
     boolean isRetryForbidden(TrackedTask task) {
+        boolean isNonIdempotent = task.taskClass().idempotency() == Idempotency.NON_IDEMPOTENT;
         return task.attempts() >= settings.limits().maxAttempts()
-                || task.mayHaveRun() && task.taskClass().idempotency() == Idempotency.NON_IDEMPOTENT
-                || task.isBoundToKeyScope() && isKeyWindowOver(task);
+                || (task.mayHaveRun() && isNonIdempotent)
+                || (task.isBoundToKeyScope() && isKeyWindowOver(task));
     }
 
     /** Whether the idempotency key may expire before an offer sent now arrives. */
@@ -47,7 +48,7 @@
         TaskClass taskClass = task.taskClass();
         return !task.mayHaveRun()
                 || taskClass.idempotency() == Idempotency.IDEMPOTENT
-                || taskClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                        && taskClass.keyScope() == TopologyScope.ALL;
+                || (taskClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                        && taskClass.keyScope() == TopologyScope.ALL);
     }
 }
--- a/decisions/src/test/java/thornferry/decisions/placement/CandidateFilterTest.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/CandidateFilterTest.java
@@ -31,6 +31,7 @@
 import thornferry.decisions.placement.PolicyFixtures.PolicyDriver;
 
 /** Which machines may get an offer, and the notification of why none may. */
+@SuppressWarnings("EnumOrdinal") // counts and draws are by position
 class CandidateFilterTest {
     private final PolicyFixtures fixtures = new PolicyFixtures();
 
--- a/decisions/src/test/java/thornferry/decisions/placement/MachineSelectionTest.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/MachineSelectionTest.java
@@ -130,7 +130,7 @@
         MachineEntry[] machines = cluster(100, 18);
         Set<String> machinesUsed = new HashSet<>();
         for (fixtures.instanceIndex = 0; fixtures.instanceIndex < 16; fixtures.instanceIndex++) {
-            fixtures.seed = 100 + fixtures.instanceIndex;
+            fixtures.seed = 100L + fixtures.instanceIndex;
             PolicyDriver driver = fixtures.driverWith(machines);
             for (int i = 0; i < 3; i++) {
                 machinesUsed.add(driver.sendForOffer(request("r" + i, "safe", 0.5)).machine());
--- a/decisions/src/test/java/thornferry/decisions/placement/RandomEventStream.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/RandomEventStream.java
@@ -27,6 +27,7 @@
 import thornferry.decisions.placement.PolicyFixtures.PolicyDriver;
 
 /** A random but reproducible stream of events for one policy, checked by a {@link RuleChecker}. */
+@SuppressWarnings("EnumOrdinal") // counts and draws are by position
 final class RandomEventStream {
     private static final List<String> CLASSES =
             List.of("safe", "keyed", "keyedAll", "unsafe", "spread", "cheap");
--- a/decisions/src/test/java/thornferry/decisions/placement/RuleChecker.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/RuleChecker.java
@@ -150,9 +150,9 @@
             TaskRecord task = tasks.get(reject.requestId());
             boolean safeToRetry =
                     task.taskClass.idempotency() == Idempotency.IDEMPOTENT
-                            || task.mayHaveRunOn == null && !task.attemptInFlight
-                            || task.taskClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                                    && task.taskClass.keyScope() == TopologyScope.ALL;
+                            || (task.mayHaveRunOn == null && !task.attemptInFlight)
+                            || (task.taskClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                                    && task.taskClass.keyScope() == TopologyScope.ALL);
             if (!safeToRetry) {
                 recordViolation(
                         2, nowMicros, task.request.id() + " is rejected though it may have run");
--- a/decisions/src/test/java/thornferry/decisions/placement/SlowStartTest.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/SlowStartTest.java
@@ -28,6 +28,7 @@
  * bursts of requests come, whichever placers have just restarted, and whenever each of them learns
  * of the machine's start. There are no other machines, so that all load falls on these.
  */
+@SuppressWarnings("EnumOrdinal") // counts and draws are by position
 class SlowStartTest {
     private static final long WINDOW_MICROS = 3 * SECOND;
     private static final long START_MICROS = 1_000 * SECOND;
--- a/security/src/main/java/thornferry/security/Keys.java
+++ b/security/src/main/java/thornferry/security/Keys.java
@@ -181,7 +181,7 @@
     }
 
     private static String use(X509Certificate certificate) {
-        String[] subject = certificate.getSubjectX500Principal().getName().split(",");
+        String[] subject = certificate.getSubjectX500Principal().getName().split(",", -1);
         for (String attribute : subject) {
             if (attribute.startsWith(ORGANIZATIONAL_UNIT)) {
                 return attribute.substring(ORGANIZATIONAL_UNIT.length());
--- a/testbed/src/test/java/thornferry/testbed/ClientAuthenticationTest.java
+++ b/testbed/src/test/java/thornferry/testbed/ClientAuthenticationTest.java
@@ -5,6 +5,7 @@
 
 import io.netty.handler.ssl.SslContext;
 import java.io.InputStream;
+import java.net.InetAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
@@ -104,7 +105,8 @@
 
     @Test
     void tellsPlainTextClientThatPortSpeaksTls() throws Exception {
-        try (Socket socket = new Socket("127.0.0.1", site.address().getPort())) {
+        try (Socket socket =
+                new Socket(InetAddress.getLoopbackAddress(), site.address().getPort())) {
             socket.setSoTimeout(READ_TIMEOUT_MILLIS);
             socket.getOutputStream()
                     .write(
