--- a/testbed/src/main/java/thornferry/testbed/audit/FrameEvent.java
+++ b/testbed/src/main/java/thornferry/testbed/audit/FrameEvent.java
@@ -57,8 +57,10 @@
      * An operator drains a node or ends the drain.
      *
      * @param draining whether it begins
+     * @param receipt the receipt that the operator asks for
      */
-    record DrainRequested(String node, boolean draining) implements FrameEvent {}
+    record DrainRequested(String node, boolean draining, Optional<String> receipt)
+            implements FrameEvent {}
 
     /** The placer confirms that it has taken a frame. */
     record ReceiptSent(String receipt) implements FrameEvent {}
--- a/testbed/src/main/java/thornferry/testbed/audit/FrameHandler.java
+++ b/testbed/src/main/java/thornferry/testbed/audit/FrameHandler.java
@@ -32,9 +32,11 @@
         } else if (frame instanceof FrameEvent.TaskRequested request) {
             requestHandler.requested(connection, request);
         } else if (frame instanceof FrameEvent.ReceiptSent sent) {
+            drainChecker.receiptSent(connection, sent.receipt());
             requestHandler.acknowledged(connection, sent.receipt());
         } else if (frame instanceof FrameEvent.ErrorSent error) {
             connection.endByError();
+            drainChecker.connectionEndedByError(connection);
             attemptHandler.connectionBroken(connection);
             requestHandler.rejectedByError(connection, error.receipt());
         } else if (frame instanceof FrameEvent.ClientNotified notification) {
@@ -48,7 +50,7 @@
         } else if (frame instanceof FrameEvent.NodeRegistered registration) {
             attemptHandler.registered(connection, registration);
         } else if (frame instanceof FrameEvent.DrainRequested drain) {
-            drainChecker.drainRequested(connection.placer(), drain);
+            drainChecker.drainRequested(connection, drain);
         }
     }
 }
--- a/testbed/src/main/java/thornferry/testbed/audit/FrameReader.java
+++ b/testbed/src/main/java/thornferry/testbed/audit/FrameReader.java
@@ -50,7 +50,9 @@
             case Destinations.ANSWERS -> new FrameEvent.AttemptReported(attemptReport(body));
             case Destinations.DRAIN ->
                     new FrameEvent.DrainRequested(
-                            body.path("node").asText(), body.path("on").asBoolean());
+                            body.path("node").asText(),
+                            body.path("on").asBoolean(),
+                            text(headers, "receipt"));
             default -> new FrameEvent.Other();
         };
     }
--- a/testbed/src/main/java/thornferry/testbed/audit/RequestHandler.java
+++ b/testbed/src/main/java/thornferry/testbed/audit/RequestHandler.java
@@ -1,22 +1,27 @@
 package thornferry.testbed.audit;
 
+import java.util.Optional;
+
 /** Follows requests until their results: when each was sent, taken or rejected, and when due. */
 final class RequestHandler {
     private final AuditContext context;
     private final TracedConnections connections;
     private final TracedTasks tasks;
     private final PlacerPauses pauses;
+    private final LateResults lateResults;
     private long requestCount;
 
     RequestHandler(
             AuditContext context,
             TracedConnections connections,
             TracedTasks tasks,
-            PlacerPauses pauses) {
+            PlacerPauses pauses,
+            LateResults lateResults) {
         this.context = context;
         this.connections = connections;
         this.tasks = tasks;
         this.pauses = pauses;
+        this.lateResults = lateResults;
     }
 
     /** A client sends a request; one of an unknown class is rejected by the placer. */
@@ -52,9 +57,9 @@
 
     /** The placer has taken the request of a receipt: it may have been paused before. */
     void acknowledged(TracedConnection connection, String receipt) {
-        connection
-                .requestOfReceipt(receipt)
-                .flatMap(tasks::find)
+        Optional<TaskKey> key = connection.requestOfReceipt(receipt);
+        key.ifPresent(task -> lateResults.receiptFollowed(connection, task));
+        key.flatMap(tasks::find)
                 .filter(task -> task.isPending() && !task.isAcknowledged())
                 .ifPresent(task -> task.acknowledge(context.nowMicros()));
     }
--- a/testbed/src/main/java/thornferry/testbed/capture/ForwardingHandler.java
+++ b/testbed/src/main/java/thornferry/testbed/capture/ForwardingHandler.java
@@ -45,7 +45,7 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object msg) {
         ByteBuf bytes = (ByteBuf) msg;
-        if (connection.isHalfOpen()) {
+        if (connection.isClosed() || connection.isHalfOpen()) {
             bytes.release();
         } else if (connection.isCutOnNextRead()) {
             forwardHalfAndClose(bytes);
--- a/testbed/src/main/java/thornferry/testbed/capture/ProxiedConnection.java
+++ b/testbed/src/main/java/thornferry/testbed/capture/ProxiedConnection.java
@@ -169,6 +169,13 @@
         return placer;
     }
 
+    /**
+     * Whether it is recorded as closed; what is read after that is neither passed on nor recorded.
+     */
+    boolean isClosed() {
+        return closed;
+    }
+
     boolean isHalfOpen() {
         return halfOpen;
     }
