--- a/testbed/src/main/java/thornferry/testbed/capture/Mark.java
+++ b/testbed/src/main/java/thornferry/testbed/capture/Mark.java
@@ -13,10 +13,11 @@
     record PlacerKilled(String placer) implements Mark {}
 
     /**
-     * The process of a placer was stopped for a time.
+     * The process of a placer is suspended for a time. Written again with 0 when it is resumed, which
+     * may be later than planned.
      *
      * @param placer its name
-     * @param pauseMicros how long it stands still from now on
+     * @param pauseMicros how long from now on
      */
     record PlacerPaused(String placer, long pauseMicros) implements Mark {}
 
