--- a/decisions/src/main/java/thornferry/decisions/diagnosis/CapacityEstimator.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/CapacityEstimator.java
@@ -11,8 +11,8 @@
 import thornferry.decisions.placement.Placement.Pending;
 
 /**
- * Estimates from the cluster view why ready machines cannot take a request, for a request that
- * backs off: the placement policy does not have it and hence reports no filter counts.
+ * Estimates from the cluster view why the ready machines cannot take a request that is backing off.
+ * The placement policy does not have such a request and therefore reports no filter counts for it.
  */
 final class CapacityEstimator {
     private final ClusterView cluster;
@@ -26,8 +26,8 @@
     /**
      * Result of an estimate.
      *
-     * @param fittingMachines ready machines that seem to have the capacity
-     * @param pending the filter counts of the others, in the form of the policy's report
+     * @param fittingMachines number of ready machines that seem to have enough free capacity
+     * @param pending filter counts of the other ready machines, in the form of the policy's report
      */
     record Estimate(int fittingMachines, Pending pending) {}
 
@@ -36,21 +36,22 @@
         Accumulator accumulator = new Accumulator();
         for (MachineStatus machine : cluster.allMachines()) {
             if (machine.isReady()) {
-                examine(machine, shape, accumulator);
+                evaluateMachine(machine, shape, accumulator);
             }
         }
         return accumulator.toEstimate(request.requestId());
     }
 
-    private void examine(MachineStatus machine, RequestShape shape, Accumulator accumulator) {
+    private void evaluateMachine(
+            MachineStatus machine, RequestShape shape, Accumulator accumulator) {
         double missingCores = Math.max(0, shape.cores() - machine.freeCores());
         double missingMemory = Math.max(0, shape.memory() - machine.freeMemory());
         if (!matcher.hasRequiredKind(machine, shape)) {
-            accumulator.count(FilterReason.WRONG_KIND);
+            accumulator.countFiltered(FilterReason.WRONG_KIND);
         } else if (!matcher.isLargeEnough(machine, shape)) {
-            accumulator.count(FilterReason.MACHINE_TOO_SMALL);
+            accumulator.countFiltered(FilterReason.MACHINE_TOO_SMALL);
         } else if (machine.unresponsive()) {
-            accumulator.count(FilterReason.MACHINE_EJECTED);
+            accumulator.countFiltered(FilterReason.MACHINE_EJECTED);
         } else if (missingCores > 0 || missingMemory > 0) {
             accumulator.countShortfall(machine, missingCores, missingMemory);
         } else {
@@ -67,12 +68,13 @@
         private double missingCores;
         private double missingMemory;
 
-        void count(FilterReason reason) {
+        void countFiltered(FilterReason reason) {
             machinesByReason.merge(reason, 1, Integer::sum);
         }
 
         void countShortfall(MachineStatus machine, double cores, double memory) {
-            count(cores > 0 ? FilterReason.INSUFFICIENT_CORES : FilterReason.INSUFFICIENT_MEMORY);
+            countFiltered(
+                    cores > 0 ? FilterReason.INSUFFICIENT_CORES : FilterReason.INSUFFICIENT_MEMORY);
             double shortfall = Math.max(cores / machine.cores(), memory / machine.memory());
             if (shortfall < smallestShortfall) {
                 smallestShortfall = shortfall;
--- a/decisions/src/main/java/thornferry/decisions/diagnosis/ChangeHistory.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/ChangeHistory.java
@@ -5,8 +5,8 @@
 import thornferry.decisions.diagnosis.PendingReasons.Change;
 
 /**
- * Bounded history of a task's changes: the first, which shows when the task began to wait, and the
- * latest ones.
+ * Bounded history of a task's changes. The first change, which shows when the task began to wait,
+ * and the latest changes are retained.
  */
 final class ChangeHistory {
     private static final int INITIAL_CAPACITY = 2;
@@ -14,7 +14,11 @@
     private final int maxChanges;
     private final ArrayDeque<Change> changes = new ArrayDeque<>(INITIAL_CAPACITY);
 
-    /** {@code maxChanges} is at least 2. */
+    /**
+     * Creates an empty history.
+     *
+     * @param maxChanges number of changes retained; at least 2
+     */
     ChangeHistory(int maxChanges) {
         this.maxChanges = maxChanges;
     }
--- a/decisions/src/main/java/thornferry/decisions/diagnosis/Diagnosis.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/Diagnosis.java
@@ -5,7 +5,11 @@
 import thornferry.decisions.diagnosis.PendingReasons.Kind;
 import thornferry.decisions.diagnosis.PendingReasons.Reason;
 
-/** Why a task is pending at this moment, regardless of for how long that has been so. */
+/**
+ * The reason why a task is pending now, without the time at which the reason began.
+ *
+ * @param endsWhen what would end the reason, in words; may be empty
+ */
 record Diagnosis(Kind kind, List<Evidence> evidence, String endsWhen) {
     Diagnosis {
         evidence = List.copyOf(evidence);
@@ -19,7 +23,7 @@
         return new Diagnosis(kind, List.of(evidence), endsWhen);
     }
 
-    Reason since(long micros) {
-        return new Reason(kind, micros, evidence, endsWhen);
+    Reason toReason(long sinceMicros) {
+        return new Reason(kind, sinceMicros, evidence, endsWhen);
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/diagnosis/EndCondition.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/EndCondition.java
@@ -5,8 +5,8 @@
 import thornferry.decisions.placement.Placement.Pending;
 
 /**
- * What would end a reason, completing the sentence "It ends when ...". Part of the wire protocol:
- * clients match on these texts.
+ * Texts that say what would end a reason. Each completes the sentence "It ends when ...". The texts
+ * are part of the wire protocol, because clients match on them.
  */
 final class EndCondition {
     static final String MACHINE_REPORTED = "the node has said what became of it, or patience ends";
@@ -48,7 +48,7 @@
         return "node " + machine + " connects and says whether it has it, or its time is over";
     }
 
-    /** The condition for a kind that follows from filter counts. */
+    /** Returns the condition for a kind that {@link ReasonClassifier} can determine. */
     static String of(Kind kind, Pending pending, UnavailableMachines unavailable) {
         return switch (kind) {
             case NO_CAPACITY -> capacityFreed(pending);
@@ -71,23 +71,23 @@
                 : "node "
                         + pending.closestMachine()
                         + " frees "
-                        + shortfall(pending.missingCores(), pending.missingMemory())
+                        + formatShortfall(pending.missingCores(), pending.missingMemory())
                         + ", or another as much";
     }
 
-    private static String shortfall(double cores, double memory) {
+    private static String formatShortfall(double cores, double memory) {
         boolean lacksCores = cores > ReasonClassifier.MIN_SHORTFALL;
         boolean lacksMemory = memory > ReasonClassifier.MIN_SHORTFALL;
         if (lacksCores && lacksMemory) {
-            return format(cores) + " cores and " + format(memory) + " memory";
+            return formatAmount(cores) + " cores and " + formatAmount(memory) + " memory";
         }
         if (lacksCores) {
-            return format(cores) + " cores";
+            return formatAmount(cores) + " cores";
         }
-        return lacksMemory ? format(memory) + " memory" : "a little";
+        return lacksMemory ? formatAmount(memory) + " memory" : "a little";
     }
 
-    private static String format(double amount) {
+    private static String formatAmount(double amount) {
         return String.format(Locale.ROOT, "%.2f", amount);
     }
 
--- a/decisions/src/main/java/thornferry/decisions/diagnosis/EvidenceText.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/EvidenceText.java
@@ -1,6 +1,8 @@
 package thornferry.decisions.diagnosis;
 
-/** Descriptions of evidence. Part of the wire protocol: clients match on these texts. */
+/**
+ * Descriptions of evidence. The texts are part of the wire protocol, because clients match on them.
+ */
 final class EvidenceText {
     // Machines that could never take the task.
     static final String MACHINE_TOO_SMALL = "too small for it";
@@ -27,7 +29,7 @@
     static final String REJECTED_LAST_OFFER =
             "refused the last offer and gets it no second time in a row";
 
-    // Machines that may not be used now.
+    // Machines that are excluded at present.
     static final String MACHINE_EJECTED = "silent or out of reach";
     static final String CLASS_EJECTED = "leaves its class unanswered";
     static final String OUTSIDE_KEY_SCOPE =
--- a/decisions/src/main/java/thornferry/decisions/diagnosis/MachineMatcher.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/MachineMatcher.java
@@ -3,11 +3,16 @@
 import java.util.Map;
 import thornferry.decisions.membership.MachineStatus;
 
-/** Decides whether a machine could run a request at all, regardless of its load and state. */
+/** Decides whether a machine could ever run a request, regardless of its current load and state. */
 final class MachineMatcher {
     private final Map<String, String> requiredKindByClass;
 
-    /** {@code requiredKindByClass} has no entry for a task class that runs on any kind. */
+    /**
+     * Creates a matcher.
+     *
+     * @param requiredKindByClass required machine kind by task class; a class that runs on any kind
+     *     has no entry
+     */
     MachineMatcher(Map<String, String> requiredKindByClass) {
         this.requiredKindByClass = Map.copyOf(requiredKindByClass);
     }
--- a/decisions/src/main/java/thornferry/decisions/diagnosis/PendingReasons.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/PendingReasons.java
@@ -17,56 +17,57 @@
 import thornferry.decisions.placement.Placement.Pending;
 
 /**
- * Why each task is pending, as of now: evaluated from the task's place in the admission queue, its
- * quotas, the policy's last report and its open attempt, never from a log of events. Changes of the
- * reason are kept as a bounded history until some time after the task's end.
+ * Explains why each task is currently pending. A reason is evaluated from the task's place in the
+ * admission queue, its quotas, the policy's last report and its open attempt, never from a log of
+ * events. A bounded history of the changes of the reason is kept until some time after the task has
+ * ended.
  *
- * <p>A task is identified by its owner and the owner's name for it. A reason never contains
+ * <p>A task is identified by its owner and the name that the owner gave it. A reason never contains
  * anything about another owner's tasks. All times are microseconds; {@code nowMicros} never
  * decreases.
  */
 public final class PendingReasons {
     /** Kind of reason for which a task is pending. */
     public enum Kind {
-        /** No known machine could ever take it: it is too large, or needs a kind that none has. */
+        /** The task is too large for every known machine, or needs a kind that none of them has. */
         UNSATISFIABLE,
-        /** Machines could take it, but lack free cores or memory now. */
+        /** Machines could take the task, but currently lack free cores or memory. */
         NO_CAPACITY,
-        /** Machines rejected it, or recently rejected similar tasks. */
+        /** Machines rejected the task, or recently rejected similar tasks. */
         REJECTED,
         /**
-         * Machines that could take it are unresponsive, disconnected, quarantined, or leave tasks
-         * of its class unanswered.
+         * Machines that could take the task are unresponsive, disconnected or quarantined, or do
+         * not answer offers of its class.
          */
         MACHINES_EJECTED,
-        /** Another attempt with its idempotency key is running, or ran within the key's window. */
+        /** Another attempt with the same idempotency key runs, or ran within the key's window. */
         KEY_HELD,
-        /** The machines that could take it are draining. */
+        /** The machines that could take the task are draining. */
         DRAINING,
-        /** Wherever there is capacity, the spread limit of its service is reached. */
+        /** The spread limit of the task's service is reached wherever there is free capacity. */
         SPREAD_LIMIT,
-        /** Machines that could take it have just started and are in slow start. */
+        /** Machines that could take the task have just started and are in slow start. */
         WARMING_UP,
         /** No machine is known. */
         NO_MACHINES,
-        /** A quota of its owner is reached. */
+        /** A quota of the task's owner is reached. */
         OWNER_QUOTA,
-        /** A quota of its owner's tenant is reached. */
+        /** A quota of the task's tenant is reached. */
         TENANT_QUOTA,
-        /** Its tenant uses more than its fair share, and other tenants come first. */
+        /** The task's tenant uses more than its fair share, and other tenants come first. */
         FAIR_SHARE,
         /** The site's quota is reached, or the admission queue is shedding load. */
         OVERLOADED,
         /** Capacity is reserved, for a bounded time, for a larger task of higher weight. */
         CAPACITY_RESERVED,
         /**
-         * An earlier attempt may have run; until that is known, no other is made, or only where
-         * duplicates are dropped.
+         * An earlier attempt may have run. Until its result is known, no other attempt is made, or
+         * only on machines that drop duplicates.
          */
         INDETERMINATE,
-        /** It was offered to a machine, whose response is due. */
+        /** The task was offered to a machine that has not responded yet. */
         AWAITING_RESPONSE,
-        /** It waits in the admission queue, or for the policy's decision. */
+        /** The task waits in the admission queue, or for the policy's decision. */
         QUEUED
     }
 
@@ -75,7 +76,7 @@
      *
      * @param description what was found, in words
      * @param name a machine, an owner or tenant, or a task of the same owner; empty for none
-     * @param machines number of machines; 0 if it is not about machines
+     * @param machines number of machines; 0 if the evidence is not about machines
      * @param needed an amount that is required or allowed; NaN for none
      * @param available an amount that is available or used; NaN for none
      */
@@ -100,7 +101,7 @@
             return new Evidence(description, "", machines, NO_AMOUNT, NO_AMOUNT);
         }
 
-        /** Evidence about a number of machines of which one is named. */
+        /** Evidence about a number of machines, one of which is named. */
         static Evidence ofMachines(String description, String machine, int machines) {
             return new Evidence(description, machine, machines, NO_AMOUNT, NO_AMOUNT);
         }
@@ -133,27 +134,27 @@
     /**
      * Why a task is pending.
      *
-     * @param sinceMicros when a reason of this kind began
-     * @param endsWhen what would end it, in words; may be empty
+     * @param sinceMicros time at which a reason of this kind began
+     * @param endsWhen what would end the reason, in words; may be empty
      */
     public record Reason(Kind kind, long sinceMicros, List<Evidence> evidence, String endsWhen) {
-        /** The reason as one plain sentence. */
+        /** Returns the reason as text for the task's owner. */
         public String sentence() {
-            return ReasonFormatter.sentence(this);
+            return ReasonFormatter.format(this);
         }
     }
 
-    /** State of a task, as its owner sees it. */
+    /** State of a task as its owner sees it. */
     public enum State {
-        /** Submitted; no result yet. */
+        /** The task was submitted and has no result yet. */
         WAITING,
-        /** Placed on a machine. */
+        /** The task is placed on a machine. */
         PLACED,
-        /** Rejected: it never ran, and may be submitted again. */
+        /** The task was rejected: it never ran, and may be submitted again. */
         REJECTED,
-        /** Failed: it may have run. */
+        /** The task failed; it may have run. */
         FAILED,
-        /** It was placed and has finished. */
+        /** The task was placed and has finished. */
         FINISHED,
         /** The owner has no such task, or its record has been evicted. */
         UNKNOWN
@@ -171,8 +172,8 @@
      *
      * @param taskClass empty until the task has reached the admission queue
      * @param reason null unless the state is WAITING
-     * @param submissions how often the task was submitted
-     * @param attempts offers made over all submissions
+     * @param submissions number of submissions of the task
+     * @param attempts number of offers over all submissions
      */
     public record Explanation(
             String owner,
@@ -185,17 +186,17 @@
             int attempts,
             List<Change> history) {}
 
-    /** Notification that a task's reason or state may have changed, for its watchers. */
+    /** Notification for the watchers of a task that its reason or state may have changed. */
     public record ReasonChanged(String owner, String tenant, String task) {}
 
     /**
-     * Bounds of what is recorded.
+     * Limits of the records that are kept.
      *
-     * @param enabled whether reasons are recorded at all
-     * @param maxRecords number of records above which those of ended tasks are evicted, oldest
-     *     first; at least 1
-     * @param maxHistory changes kept for each task, which are the first and the latest; at least 2
-     * @param retentionMicros time for which a task is kept after its end
+     * @param enabled whether tasks are recorded at all
+     * @param maxRecords number of records above which the records of ended tasks are evicted,
+     *     oldest first; at least 1
+     * @param maxHistory number of changes kept for each task: the first and the latest; at least 2
+     * @param retentionMicros time for which the record of a task is kept after the task has ended
      */
     public record Limits(boolean enabled, int maxRecords, int maxHistory, long retentionMicros) {
         public Limits {
@@ -207,11 +208,11 @@
         private static void requireAtLeast(String field, long value, long minimum) {
             if (value < minimum) {
                 throw new IllegalArgumentException(
-                        "limit of reasons "
+                        "pending reasons: "
                                 + field
                                 + " must be at least "
                                 + minimum
-                                + ", is "
+                                + ", but is "
                                 + value);
             }
         }
@@ -226,25 +227,31 @@
     /**
      * Creates an instance without tasks.
      *
-     * @param requiredKinds the machine kind that a task class needs; no entry where any will do
-     * @param connections gives the connection of a machine, -1 if it has none
+     * @param requiredKindByClass required machine kind by task class; a class that runs on any kind
+     *     has no entry
+     * @param connectionOfMachine returns the connection of a machine, or {@link
+     *     thornferry.decisions.membership.Membership#NO_CONNECTION}
      */
     public PendingReasons(
             Limits limits,
             ClusterView cluster,
             AdmissionQueue queue,
-            Map<String, String> requiredKinds,
-            ToLongFunction<String> connections) {
+            Map<String, String> requiredKindByClass,
+            ToLongFunction<String> connectionOfMachine) {
         this.limits = limits;
         this.tasks = new TaskRecordStore(limits);
         this.evaluator =
                 new ReasonEvaluator(
-                        cluster, queue, connections, new MachineMatcher(requiredKinds), keyIndex);
+                        cluster,
+                        queue,
+                        connectionOfMachine,
+                        new MachineMatcher(requiredKindByClass),
+                        keyIndex);
     }
 
-    // Events in a task's life.
+    // Events that concern a task.
 
-    /** A task is submitted, for the first time or again. */
+    /** Records that a task was submitted, for the first time or again. */
     public void submitted(long nowMicros, TaskSubmission submission) {
         if (!limits.enabled()) {
             return;
@@ -255,7 +262,7 @@
         schedule.markChanged(task);
     }
 
-    /** The task enters the admission queue as this request. */
+    /** Records that a task entered the admission queue as the given request. */
     public void queued(String taskName, QueuedRequest request) {
         tasks.find(request.owner(), taskName)
                 .filter(TaskRecord::isWaiting)
@@ -268,7 +275,7 @@
                         });
     }
 
-    /** The policy reported why it keeps the request pending. */
+    /** Records the policy's report of why a request is pending. */
     public void pending(Pending report) {
         tasks.findByRequest(report.requestId())
                 .filter(TaskRecord::isWaiting)
@@ -279,9 +286,9 @@
                         });
     }
 
-    /** The request is offered to a machine. */
-    public void attemptStarted(String request, String machine) {
-        tasks.findByRequest(request)
+    /** Records that a request was offered to a machine. */
+    public void attemptStarted(String requestId, String machine) {
+        tasks.findByRequest(requestId)
                 .ifPresent(
                         task -> {
                             task.startAttempt(machine);
@@ -289,14 +296,14 @@
                         });
     }
 
-    /** A machine rejected the offer; {@link #attemptEnded} follows. */
-    public void offerRejected(String request, String machine, RejectionReason reason) {
-        tasks.findByRequest(request).ifPresent(task -> task.rejectOffer(machine, reason));
+    /** Records that a machine rejected an offer; a call of {@link #attemptEnded} follows. */
+    public void offerRejected(String requestId, String machine, RejectionReason reason) {
+        tasks.findByRequest(requestId).ifPresent(task -> task.rejectOffer(machine, reason));
     }
 
-    /** The attempt at the machine ended. */
-    public void attemptEnded(String request, String machine, AttemptOutcome outcome) {
-        tasks.findByRequest(request)
+    /** Records that the attempt on a machine ended. */
+    public void attemptEnded(String requestId, String machine, AttemptOutcome outcome) {
+        tasks.findByRequest(requestId)
                 .filter(TaskRecord::isWaiting)
                 .ifPresent(
                         task -> {
@@ -305,16 +312,16 @@
                         });
     }
 
-    /** The request's stage in the admission queue changed. */
-    public void stageChanged(String request) {
-        tasks.findByRequest(request).ifPresent(schedule::markChanged);
+    /** Records that the stage of a request in the admission queue changed. */
+    public void stageChanged(String requestId) {
+        tasks.findByRequest(requestId).ifPresent(schedule::markChanged);
     }
 
     /**
-     * The result of a submission is known. A task that is not known yet is one that the placer
-     * adopted: it ran before this placer started.
+     * Records the result of a submission. A task without a record is one that the placer adopted:
+     * it was already running when this placer started.
      *
-     * @param machine where the task is placed; empty for none
+     * @param machine machine on which the task is placed; empty for none
      */
     public void completed(
             long nowMicros, String owner, String taskName, State result, String machine) {
@@ -335,7 +342,7 @@
         }
     }
 
-    /** A placed task has finished. */
+    /** Records that a placed task has finished. */
     public void finished(long nowMicros, String owner, String taskName) {
         tasks.find(owner, taskName)
                 .filter(task -> task.state() == State.PLACED)
@@ -348,11 +355,11 @@
                         });
     }
 
-    // Time.
+    // Periodic evaluation.
 
     /**
-     * Evaluates the reasons of tasks that an event concerned, and of some of the others; evicts old
-     * records. To be called several times a second.
+     * Evaluates the reasons of the tasks that an event concerned and of some of the other waiting
+     * tasks, and evicts old records. To be called several times a second.
      *
      * @param changed receives each task whose reason or state may have changed
      */
@@ -362,9 +369,9 @@
             changed.accept(task.toNotification());
         }
         for (TaskRecord task : schedule.takeSweepBatch(tasks.waiting())) {
-            Reason before = task.reason();
+            Reason previousReason = task.reason();
             evaluate(nowMicros, task);
-            if (task.isWaiting() && !isSameReason(before, task.reason())) {
+            if (task.isWaiting() && !isSameReason(previousReason, task.reason())) {
                 changed.accept(task.toNotification());
             }
         }
@@ -378,7 +385,7 @@
         }
     }
 
-    /** {@code after} is the reason of a waiting task that has been evaluated: never null. */
+    /** Compares kind and evidence; {@code before} may be null, {@code after} may not. */
     private static boolean isSameReason(Reason before, Reason after) {
         return before != null
                 && before.kind() == after.kind()
@@ -388,15 +395,15 @@
     // Queries.
 
     /**
-     * Explains a task of an owner. If the owner has no such task, the state is UNKNOWN and nothing
-     * else is set.
+     * Explains a task of an owner. If the owner has no such task, the explanation has the state
+     * UNKNOWN and default values.
      */
     public Explanation explain(long nowMicros, String owner, String taskName) {
-        Optional<TaskRecord> known = tasks.find(owner, taskName);
-        if (known.isEmpty()) {
+        Optional<TaskRecord> found = tasks.find(owner, taskName);
+        if (found.isEmpty()) {
             return new Explanation(owner, taskName, "", State.UNKNOWN, null, 0, 0, 0, List.of());
         }
-        TaskRecord task = known.get();
+        TaskRecord task = found.get();
         evaluate(nowMicros, task);
         return new Explanation(
                 owner,
@@ -410,18 +417,18 @@
                 task.history());
     }
 
-    /** The reason of a waiting request; null if it does not wait or is not known. */
-    public Reason reasonOf(long nowMicros, String request) {
-        Optional<TaskRecord> task = tasks.findByRequest(request);
-        task.ifPresent(known -> evaluate(nowMicros, known));
-        return task.map(TaskRecord::reason).orElse(null);
+    /** Returns the reason of a waiting request; null if the request does not wait or is unknown. */
+    public Reason reasonOf(long nowMicros, String requestId) {
+        Optional<TaskRecord> found = tasks.findByRequest(requestId);
+        found.ifPresent(task -> evaluate(nowMicros, task));
+        return found.map(TaskRecord::reason).orElse(null);
     }
 
     /**
      * Explains waiting tasks, in the order of their submission.
      *
-     * @param owner whose tasks; null for those of all owners
-     * @param maxTasks bound of the result
+     * @param owner owner of the tasks; null for the tasks of all owners
+     * @param maxTasks maximum number of tasks explained
      */
     public List<Explanation> waitingCount(long nowMicros, String owner, int maxTasks) {
         List<Explanation> explanations = new ArrayList<>();
@@ -429,7 +436,7 @@
             if (explanations.size() >= maxTasks) {
                 break;
             }
-            if (belongsTo(task, owner)) {
+            if (matchesOwner(task, owner)) {
                 explanations.add(explain(nowMicros, task.owner(), task.name()));
             }
         }
@@ -437,14 +444,15 @@
     }
 
     /**
-     * Number of waiting tasks by tenant and kind of reason, as of their last evaluation.
+     * Returns the number of waiting tasks by tenant and kind of reason, as of their last
+     * evaluation.
      *
-     * @param owner whose tasks; null for those of all owners
+     * @param owner owner of the tasks; null for the tasks of all owners
      */
     public Map<String, Map<Kind, Integer>> countByReason(String owner) {
         Map<String, Map<Kind, Integer>> counts = new TreeMap<>();
         for (TaskRecord task : tasks.waiting()) {
-            if (task.reason() != null && belongsTo(task, owner)) {
+            if (task.reason() != null && matchesOwner(task, owner)) {
                 counts.computeIfAbsent(task.tenant(), tenant -> new EnumMap<>(Kind.class))
                         .merge(task.reason().kind(), 1, Integer::sum);
             }
@@ -452,11 +460,11 @@
         return Collections.unmodifiableMap(counts);
     }
 
-    private static boolean belongsTo(TaskRecord task, String owner) {
+    private static boolean matchesOwner(TaskRecord task, String owner) {
         return owner == null || owner.equals(task.owner());
     }
 
-    /** Number of waiting tasks. */
+    /** Returns the number of waiting tasks. */
     public int waitingCount() {
         return tasks.waiting().size();
     }
--- a/decisions/src/main/java/thornferry/decisions/diagnosis/PreviousAttempt.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/PreviousAttempt.java
@@ -4,26 +4,30 @@
 import thornferry.decisions.placement.Placement.AttemptOutcome;
 
 /**
- * How the last attempt of a pending task failed.
+ * The last failed attempt of a pending task.
  *
- * @param machine where it was made; empty for none
- * @param outcome null until the attempt has ended
- * @param rejection why the machine rejected the offer; NONE unless it did
+ * @param machine machine of the attempt; empty if there was no attempt
+ * @param outcome outcome of the attempt; null until the attempt has ended
+ * @param rejection reason for which the machine rejected the offer; {@link RejectionReason#NONE} if
+ *     it did not
  */
 record PreviousAttempt(String machine, AttemptOutcome outcome, RejectionReason rejection) {
     static final PreviousAttempt NONE = new PreviousAttempt("", null, RejectionReason.NONE);
 
-    /** The machine rejected the offer; its outcome is reported separately. */
+    /** Returns an attempt whose offer was rejected; its outcome is reported separately. */
     PreviousAttempt withRejection(String rejectingMachine, RejectionReason reason) {
         return new PreviousAttempt(rejectingMachine, outcome, reason);
     }
 
-    /** The attempt ended; a rejection reason reported before counts only for a rejection. */
-    PreviousAttempt withOutcome(String attemptMachine, AttemptOutcome ended) {
+    /**
+     * Returns an attempt that has ended. A rejection reason that was reported before is kept only
+     * if the outcome is a rejection.
+     */
+    PreviousAttempt withOutcome(String attemptMachine, AttemptOutcome newOutcome) {
         return new PreviousAttempt(
                 attemptMachine,
-                ended,
-                ended == AttemptOutcome.REJECTED ? rejection : RejectionReason.NONE);
+                newOutcome,
+                newOutcome == AttemptOutcome.REJECTED ? rejection : RejectionReason.NONE);
     }
 
     boolean wasRejected() {
--- a/decisions/src/main/java/thornferry/decisions/diagnosis/ReasonClassifier.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/ReasonClassifier.java
@@ -13,37 +13,38 @@
 /**
  * Classifies why no machine can take a task now.
  *
- * <p>The kind is the one closest to its end: what excludes most of the ready machines that are
- * large enough; if there are none, what keeps other machines from being ready; else that no machine
- * is suitable. Everything else that was found is evidence.
+ * <p>The kind that is likely to end first is chosen: the kind that excludes the most ready machines
+ * of sufficient size and the required kind; if there are no such machines, the kind that keeps most
+ * of the other suitable machines from being ready; otherwise {@link Kind#UNSATISFIABLE}, or {@link
+ * Kind#NO_MACHINES} if no machine is known. All findings are listed as evidence.
  */
 final class ReasonClassifier {
-    /** A smaller shortfall of cores or memory is not reported. */
+    /** Largest shortfall of cores or memory that is not reported. */
     static final double MIN_SHORTFALL = 0.05;
 
-    /** Filter reasons that translate to a kind directly, in the order of their evidence. */
-    private static final List<FilterRule> FILTER_RULES =
+    /** Filter reasons that each correspond to one kind, in the order of their evidence. */
+    private static final List<FilterMapping> FILTER_MAPPINGS =
             List.of(
-                    new FilterRule(
+                    new FilterMapping(
                             FilterReason.MACHINE_EJECTED,
                             Kind.MACHINES_EJECTED,
                             EvidenceText.MACHINE_EJECTED),
-                    new FilterRule(
+                    new FilterMapping(
                             FilterReason.CLASS_EJECTED,
                             Kind.MACHINES_EJECTED,
                             EvidenceText.CLASS_EJECTED),
-                    new FilterRule(
+                    new FilterMapping(
                             FilterReason.OUTSIDE_KEY_SCOPE,
                             Kind.INDETERMINATE,
                             EvidenceText.OUTSIDE_KEY_SCOPE),
-                    new FilterRule(
+                    new FilterMapping(
                             FilterReason.SPREAD_LIMIT,
                             Kind.SPREAD_LIMIT,
                             EvidenceText.SPREAD_LIMIT),
-                    new FilterRule(
+                    new FilterMapping(
                             FilterReason.WARMING_UP, Kind.WARMING_UP, EvidenceText.WARMING_UP));
 
-    private record FilterRule(FilterReason filter, Kind kind, String description) {}
+    private record FilterMapping(FilterReason filter, Kind kind, String description) {}
 
     private final ClusterView cluster;
     private final MachineMatcher matcher;
@@ -55,73 +56,74 @@
         this.keyIndex = keyIndex;
     }
 
-    /** Classifies a queued task from the filter counts of the ready machines. */
+    /** Classifies a queued task by the filter counts of the ready machines. */
     Diagnosis classify(TaskRecord task, Pending pending) {
-        Classification classification = new Classification();
-        classification.addMachines(
-                EvidenceText.MACHINE_TOO_SMALL, machines(pending, FilterReason.MACHINE_TOO_SMALL));
-        classification.addMachines(
-                EvidenceText.WRONG_KIND, machines(pending, FilterReason.WRONG_KIND));
-        addCapacity(classification, pending);
-        addRejections(classification, pending);
-        addPreviousAttempt(classification, task, pending);
-        for (FilterRule rule : FILTER_RULES) {
-            classification.countMachines(
-                    rule.kind(), rule.description(), machines(pending, rule.filter()));
+        EvidenceCollector collector = new EvidenceCollector();
+        collector.addMachineEvidence(
+                EvidenceText.MACHINE_TOO_SMALL,
+                machineCount(pending, FilterReason.MACHINE_TOO_SMALL));
+        collector.addMachineEvidence(
+                EvidenceText.WRONG_KIND, machineCount(pending, FilterReason.WRONG_KIND));
+        addShortfalls(collector, pending);
+        addRejections(collector, pending);
+        addPreviousAttempt(collector, task, pending);
+        for (FilterMapping mapping : FILTER_MAPPINGS) {
+            collector.countWithEvidence(
+                    mapping.kind(), mapping.description(), machineCount(pending, mapping.filter()));
         }
         UnavailableMachines unavailable =
                 UnavailableMachines.find(cluster, matcher, task.requestShape());
-        addUnavailable(classification, unavailable);
-        Kind kind = classification.dominantKind().orElseGet(unavailable::kind);
+        addUnavailable(collector, unavailable);
+        Kind kind = collector.dominantKind().orElseGet(unavailable::reasonKind);
         return new Diagnosis(
-                kind, classification.evidence(), EndCondition.of(kind, pending, unavailable));
+                kind, collector.evidence(), EndCondition.of(kind, pending, unavailable));
     }
 
-    /** Counts are listed in the order of the enum: that is the form of the policy's report. */
+    /** The policy's report lists the counts in the order of the enum constants. */
     @SuppressWarnings("EnumOrdinal")
-    private static int machines(Pending pending, FilterReason reason) {
+    private static int machineCount(Pending pending, FilterReason reason) {
         return pending.machinesByReason().get(reason.ordinal());
     }
 
-    private static void addCapacity(Classification classification, Pending pending) {
-        classification.countMachines(
+    private static void addShortfalls(EvidenceCollector collector, Pending pending) {
+        collector.countWithEvidence(
                 Kind.NO_CAPACITY,
                 EvidenceText.NOT_ENOUGH_CORES,
-                machines(pending, FilterReason.INSUFFICIENT_CORES));
-        classification.countMachines(
+                machineCount(pending, FilterReason.INSUFFICIENT_CORES));
+        collector.countWithEvidence(
                 Kind.NO_CAPACITY,
                 EvidenceText.NOT_ENOUGH_MEMORY,
-                machines(pending, FilterReason.INSUFFICIENT_MEMORY));
+                machineCount(pending, FilterReason.INSUFFICIENT_MEMORY));
         String closest = pending.closestMachine();
         if (closest.isEmpty()) {
             return;
         }
         if (pending.missingCores() > MIN_SHORTFALL) {
-            classification.add(
+            collector.addEvidence(
                     Evidence.ofShortfall(
                             EvidenceText.CLOSEST_LACKS_CORES, closest, pending.missingCores()));
         }
         if (pending.missingMemory() > MIN_SHORTFALL) {
-            classification.add(
+            collector.addEvidence(
                     Evidence.ofShortfall(
                             EvidenceText.CLOSEST_LACKS_MEMORY, closest, pending.missingMemory()));
         }
     }
 
-    private void addRejections(Classification classification, Pending pending) {
-        int rejecting = machines(pending, FilterReason.RECENTLY_REJECTED);
-        if (rejecting > 0) {
-            classification.count(Kind.REJECTED, rejecting);
-            addRejectionEvidence(classification, rejecting);
+    private void addRejections(EvidenceCollector collector, Pending pending) {
+        int rejectingMachines = machineCount(pending, FilterReason.RECENTLY_REJECTED);
+        if (rejectingMachines > 0) {
+            collector.countMachines(Kind.REJECTED, rejectingMachines);
+            addRejectionEvidence(collector, rejectingMachines);
         }
-        classification.countMachines(
+        collector.countWithEvidence(
                 Kind.REJECTED,
                 EvidenceText.REJECTED_QUEUE_FULL,
-                machines(pending, FilterReason.QUEUE_FULL));
+                machineCount(pending, FilterReason.QUEUE_FULL));
     }
 
-    /** Names the rejecting machine only where all rejections have the same reason. */
-    private void addRejectionEvidence(Classification classification, int rejecting) {
+    /** Names a rejecting machine only if all rejections have the same reason. */
+    private void addRejectionEvidence(EvidenceCollector collector, int rejectingMachines) {
         int forCores = 0;
         int forMemory = 0;
         String lastMachine = "";
@@ -133,21 +135,21 @@
             }
         }
         if (forCores > 0) {
-            classification.add(
+            collector.addEvidence(
                     Evidence.ofMachines(
                             EvidenceText.REJECTED_FOR_CORES,
                             forMemory == 0 ? lastMachine : "",
-                            Math.min(rejecting, forCores)));
+                            Math.min(rejectingMachines, forCores)));
         }
         if (forMemory > 0) {
-            classification.add(
+            collector.addEvidence(
                     Evidence.ofMachines(
                             EvidenceText.REJECTED_FOR_MEMORY,
                             forCores == 0 ? lastMachine : "",
-                            Math.min(rejecting, forMemory)));
+                            Math.min(rejectingMachines, forMemory)));
         }
         if (forCores + forMemory == 0) {
-            classification.addMachines(EvidenceText.REJECTED_SIMILAR, rejecting);
+            collector.addMachineEvidence(EvidenceText.REJECTED_SIMILAR, rejectingMachines);
         }
     }
 
@@ -157,26 +159,26 @@
     }
 
     /**
-     * The machine of the previous attempt is skipped once. How that attempt ended decides the kind.
+     * Counts the machine of the previous attempt, which the policy skips once. The kind follows
+     * from the outcome of that attempt.
      */
-    private void addPreviousAttempt(
-            Classification classification, TaskRecord task, Pending pending) {
-        if (machines(pending, FilterReason.PREVIOUS_ATTEMPT_FAILED) == 0) {
+    private void addPreviousAttempt(EvidenceCollector collector, TaskRecord task, Pending pending) {
+        if (machineCount(pending, FilterReason.PREVIOUS_ATTEMPT_FAILED) == 0) {
             return;
         }
         PreviousAttempt previous = task.previousAttempt();
         if (!previous.wasRejected()) {
-            classification.countMachine(
+            collector.countWithEvidence(
                     Kind.MACHINES_EJECTED,
                     Evidence.ofMachine(EvidenceText.ATTEMPT_UNANSWERED, previous.machine()));
         } else if (wasRejectedForKey(task, previous)) {
-            classification.countMachine(Kind.KEY_HELD, keyEvidence(task));
+            collector.countWithEvidence(Kind.KEY_HELD, keyEvidence(task));
         } else if (isDraining(previous)) {
-            classification.countMachine(
+            collector.countWithEvidence(
                     Kind.DRAINING,
                     Evidence.ofMachine(EvidenceText.REJECTED_DRAINING, previous.machine()));
         } else {
-            classification.countMachine(
+            collector.countWithEvidence(
                     Kind.REJECTED,
                     Evidence.ofMachine(EvidenceText.REJECTED_LAST_OFFER, previous.machine()));
         }
@@ -189,14 +191,15 @@
     }
 
     private Evidence keyEvidence(TaskRecord task) {
-        return keyIndex.taskWithSameKey(task)
+        return keyIndex.findTaskWithSameKey(task)
                 .map(holder -> Evidence.ofMachine(EvidenceText.KEY_HELD_BY_OWN_TASK, holder))
                 .orElseGet(() -> Evidence.ofMachines(EvidenceText.KEY_HELD, 1));
     }
 
     /**
-     * A rejection for draining counts until the machine is listed as ready again, or has accepted
-     * an offer.
+     * Returns whether the machine of the previous attempt is draining. If that machine rejected the
+     * offer because it was draining, it counts as draining until it is listed as ready again or has
+     * accepted an offer.
      */
     private boolean isDraining(PreviousAttempt previous) {
         MachineStatus machine = cluster.machine(previous.machine());
@@ -209,15 +212,16 @@
     }
 
     private static void addUnavailable(
-            Classification classification, UnavailableMachines unavailable) {
-        addNames(classification, EvidenceText.DRAINING, unavailable.draining());
-        addNames(classification, EvidenceText.DISCONNECTED, unavailable.disconnected());
+            EvidenceCollector collector, UnavailableMachines unavailable) {
+        addNamedMachines(collector, EvidenceText.DRAINING, unavailable.draining());
+        addNamedMachines(collector, EvidenceText.DISCONNECTED, unavailable.disconnected());
     }
 
-    private static void addNames(
-            Classification classification, String description, List<String> machines) {
+    private static void addNamedMachines(
+            EvidenceCollector collector, String description, List<String> machines) {
         if (!machines.isEmpty()) {
-            classification.add(Evidence.ofMachines(description, machines.get(0), machines.size()));
+            collector.addEvidence(
+                    Evidence.ofMachines(description, machines.get(0), machines.size()));
         }
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/diagnosis/ReasonEvaluator.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/ReasonEvaluator.java
@@ -11,55 +11,60 @@
 import thornferry.decisions.membership.ClusterView;
 import thornferry.decisions.membership.Membership;
 
-/** Evaluates why a waiting task is pending, from its present stage. */
+/** Evaluates why a waiting task is pending, from its current stage. */
 final class ReasonEvaluator {
-    /** A quota that is exceeded until later than this is not refilled by time. */
-    private static final long MAX_REFILL_TIME_MICROS = Long.MAX_VALUE / 8;
+    /** A quota block until this time or later is not ended by the passage of time alone. */
+    private static final long NEVER_FROM_MICROS = Long.MAX_VALUE / 8;
 
-    /** Bound of the number of requests counted that come before a task. */
+    /** Maximum number of requests ahead of a task that are counted. */
     private static final int MAX_COUNTED_AHEAD = 1_000;
 
     private final ClusterView cluster;
     private final AdmissionQueue queue;
-    private final ToLongFunction<String> connections;
+    private final ToLongFunction<String> connectionOfMachine;
     private final ReasonClassifier classifier;
     private final CapacityEstimator estimator;
-    private final ReasonCache cache = new ReasonCache();
+    private final DiagnosisCache cache = new DiagnosisCache();
 
-    /** {@code connections} gives a machine's connection, or {@link Membership#NO_CONNECTION}. */
+    /**
+     * Creates an evaluator.
+     *
+     * @param connectionOfMachine returns the connection of a machine, or {@link
+     *     Membership#NO_CONNECTION}
+     */
     ReasonEvaluator(
             ClusterView cluster,
             AdmissionQueue queue,
-            ToLongFunction<String> connections,
+            ToLongFunction<String> connectionOfMachine,
             MachineMatcher matcher,
             IdempotencyKeyIndex keyIndex) {
         this.cluster = cluster;
         this.queue = queue;
-        this.connections = connections;
+        this.connectionOfMachine = connectionOfMachine;
         this.classifier = new ReasonClassifier(cluster, matcher, keyIndex);
         this.estimator = new CapacityEstimator(cluster, matcher);
     }
 
     Diagnosis evaluate(long nowMicros, TaskRecord task) {
         if (task.isAwaitingInventory()) {
-            return awaitingInventory(task);
+            return diagnoseAwaitingInventory(task);
         }
         if (!task.isQueued()) {
             return Diagnosis.withoutEvidence(Kind.QUEUED, EndCondition.DISPATCHED);
         }
         AdmissionQueue.Status status = queue.status(nowMicros, task.queuedRequest().requestId());
         return switch (status.stage()) {
-            case QUEUED -> queued(task, status);
-            case BACKING_OFF -> backingOff(task, status);
-            case OFFERED -> offered(task);
-            default -> dispatched(task);
+            case QUEUED -> diagnoseQueued(task, status);
+            case BACKING_OFF -> diagnoseBackingOff(task, status);
+            case OFFERED -> diagnoseOffered(task);
+            default -> diagnoseDispatched(task);
         };
     }
 
     /**
-     * The task's last reason, with the number of tasks ahead as evidence if the task is queued and
-     * there is no other evidence. That number changes all the time, hence it is computed only when
-     * read and does not count as a change of the reason.
+     * Returns the task's last reason, with the number of tasks ahead as evidence if the task is
+     * queued and there is no other evidence. That number changes constantly. Therefore it is
+     * computed only when an explanation is requested, and does not count as a change of the reason.
      */
     Reason addTasksAhead(TaskRecord task) {
         Reason reason = task.reason();
@@ -74,15 +79,15 @@
                         reason.kind(),
                         Evidence.ofAmount(EvidenceText.TASKS_AHEAD, ahead),
                         reason.endsWhen())
-                .since(reason.sinceMicros());
+                .toReason(reason.sinceMicros());
     }
 
-    /** Releases memory; to be called once a tick. */
+    /** Bounds the memory of the cache; to be called once per tick. */
     void trimCache() {
         cache.trim();
     }
 
-    private static Diagnosis awaitingInventory(TaskRecord task) {
+    private static Diagnosis diagnoseAwaitingInventory(TaskRecord task) {
         if (task.unreportedMachine().isEmpty()) {
             return Diagnosis.of(
                     Kind.INDETERMINATE,
@@ -96,9 +101,9 @@
                 EndCondition.MACHINE_REPORTED);
     }
 
-    private Diagnosis queued(TaskRecord task, AdmissionQueue.Status status) {
+    private Diagnosis diagnoseQueued(TaskRecord task, AdmissionQueue.Status status) {
         if (status.quotaBlock() != null) {
-            return throttled(task, status.quotaBlock());
+            return diagnoseQuotaBlock(task, status.quotaBlock());
         }
         if (status.capacityReserved()) {
             return Diagnosis.withoutEvidence(
@@ -119,28 +124,32 @@
         return Diagnosis.withoutEvidence(Kind.QUEUED, EndCondition.REQUESTS_AHEAD_PLACED);
     }
 
-    private static Diagnosis throttled(TaskRecord task, QuotaBlock block) {
+    private static Diagnosis diagnoseQuotaBlock(TaskRecord task, QuotaBlock block) {
         String description = EvidenceText.QUOTA_PREFIX + block.quota();
-        boolean refills = block.untilMicros() < MAX_REFILL_TIME_MICROS;
+        boolean endsWithTime = block.untilMicros() < NEVER_FROM_MICROS;
         return switch (block.scope()) {
             case OWNER ->
                     Diagnosis.of(
                             Kind.OWNER_QUOTA,
                             ownerQuotaEvidence(task, block, description),
-                            refills ? EndCondition.QUOTA_REFILLED : EndCondition.OWNER_BELOW_QUOTA);
-            // The usage of a shared quota would disclose other owners' tasks.
+                            endsWithTime
+                                    ? EndCondition.QUOTA_REFILLED
+                                    : EndCondition.OWNER_BELOW_QUOTA);
+            // The usage of a shared quota is left out, as it would disclose other owners' tasks.
             case TENANT ->
                     Diagnosis.of(
                             Kind.TENANT_QUOTA,
                             Evidence.ofLimit(description, task.tenant(), block.limit()),
-                            refills
+                            endsWithTime
                                     ? EndCondition.QUOTA_REFILLED
                                     : EndCondition.TENANT_BELOW_QUOTA);
             case SITE ->
                     Diagnosis.of(
                             Kind.OVERLOADED,
                             Evidence.ofLimit(description, "", block.limit()),
-                            refills ? EndCondition.QUOTA_REFILLED : EndCondition.SITE_BELOW_QUOTA);
+                            endsWithTime
+                                    ? EndCondition.QUOTA_REFILLED
+                                    : EndCondition.SITE_BELOW_QUOTA);
         };
     }
 
@@ -151,15 +160,16 @@
                 : Evidence.ofUsage(description, task.owner(), block.limit(), block.usage());
     }
 
-    private Diagnosis backingOff(TaskRecord task, AdmissionQueue.Status status) {
+    private Diagnosis diagnoseBackingOff(TaskRecord task, AdmissionQueue.Status status) {
         if (status.quotaBlock() != null) {
-            return throttled(task, status.quotaBlock());
+            return diagnoseQuotaBlock(task, status.quotaBlock());
         }
-        // An estimate never counts a previous attempt, so it is the same for equal shapes.
-        return cache.get(task.requestShape(), cluster.version(), () -> estimated(task));
+        // An estimate does not depend on a previous attempt, so it is the same for equal shapes.
+        return cache.getOrCompute(
+                task.requestShape(), cluster.version(), () -> diagnoseByEstimate(task));
     }
 
-    private Diagnosis estimated(TaskRecord task) {
+    private Diagnosis diagnoseByEstimate(TaskRecord task) {
         Estimate estimate = estimator.estimate(task.queuedRequest());
         if (estimate.fittingMachines() > 0) {
             return Diagnosis.of(
@@ -170,9 +180,9 @@
         return classifier.classify(task, estimate.pending());
     }
 
-    private Diagnosis offered(TaskRecord task) {
+    private Diagnosis diagnoseOffered(TaskRecord task) {
         String machine = task.machine();
-        if (connections.applyAsLong(machine) == Membership.NO_CONNECTION) {
+        if (connectionOfMachine.applyAsLong(machine) == Membership.NO_CONNECTION) {
             return Diagnosis.of(
                     Kind.INDETERMINATE,
                     Evidence.ofMachine(EvidenceText.OFFERED_AND_DISCONNECTED, machine),
@@ -184,7 +194,7 @@
                 EndCondition.machineAnswers(machine));
     }
 
-    private Diagnosis dispatched(TaskRecord task) {
+    private Diagnosis diagnoseDispatched(TaskRecord task) {
         return task.policyReport()
                 .map(report -> classifier.classify(task, report))
                 .orElseGet(
--- a/decisions/src/main/java/thornferry/decisions/diagnosis/ReasonFormatter.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/ReasonFormatter.java
@@ -7,15 +7,15 @@
 import thornferry.decisions.diagnosis.PendingReasons.Reason;
 
 /**
- * Formats a reason as one plain sentence: the kind, the evidence and what would end it. Part of the
- * wire protocol: clients match on these texts.
+ * Formats a reason as text: its kind, the evidence, and what would end it. The texts are part of
+ * the wire protocol, because clients match on them.
  */
 final class ReasonFormatter {
     private ReasonFormatter() {}
 
-    static String sentence(Reason reason) {
-        String end = reason.endsWhen().isEmpty() ? "" : ". It ends when " + reason.endsWhen();
-        return opening(reason.kind()) + details(reason.evidence()) + end + ".";
+    static String format(Reason reason) {
+        String ending = reason.endsWhen().isEmpty() ? "" : ". It ends when " + reason.endsWhen();
+        return opening(reason.kind()) + formatEvidence(reason.evidence()) + ending + ".";
     }
 
     private static String opening(Kind kind) {
@@ -40,27 +40,27 @@
         };
     }
 
-    private static String details(List<Evidence> evidence) {
+    private static String formatEvidence(List<Evidence> evidence) {
         StringBuilder text = new StringBuilder();
         for (Evidence item : evidence) {
             text.append(text.length() == 0 ? ": " : "; ").append(item.description());
             if (!item.name().isEmpty()) {
                 text.append(' ').append(item.name());
             }
-            text.append(machines(item)).append(amounts(item));
+            text.append(formatMachineCount(item)).append(formatAmounts(item));
         }
         return text.toString();
     }
 
-    /** The number of machines, unless that is one and it is named. */
-    private static String machines(Evidence item) {
+    /** Returns the number of machines in parentheses, or an empty text for one named machine. */
+    private static String formatMachineCount(Evidence item) {
         if (item.machines() > 1) {
             return " (" + item.machines() + " nodes)";
         }
         return item.machines() == 1 && item.name().isEmpty() ? " (1 node)" : "";
     }
 
-    private static String amounts(Evidence item) {
+    private static String formatAmounts(Evidence item) {
         if (item.hasNeeded() && item.hasAvailable()) {
             return " "
                     + Amounts.format(item.needed())
--- a/decisions/src/main/java/thornferry/decisions/diagnosis/ReevaluationSchedule.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/ReevaluationSchedule.java
@@ -8,27 +8,31 @@
 import java.util.Set;
 
 /**
- * Selects the tasks to evaluate again in one tick: all that an event concerned, and a batch of the
- * other waiting tasks, since the cluster and the queue may change their reasons without such an
- * event.
+ * Selects the tasks to evaluate again in one tick: all tasks that an event concerned, and a batch
+ * of the waiting tasks, because changes of the cluster and the queue can change a task's reason
+ * without an event that concerns the task.
  *
- * <p>Batches sweep over the waiting tasks in turn. A sweep takes about {@link #TICKS_PER_SWEEP}
- * ticks for up to 1,800 tasks, and longer for more, as the batch is bounded.
+ * <p>The batches together sweep over all waiting tasks. A sweep takes about {@link
+ * #TICKS_PER_SWEEP} ticks for up to 1,800 tasks, and longer for more tasks, because the size of a
+ * batch is bounded.
  */
 final class ReevaluationSchedule {
-    private static final int MIN_BATCH = 4;
-    private static final int MAX_BATCH = 200;
+    private static final int MIN_BATCH_SIZE = 4;
+    private static final int MAX_BATCH_SIZE = 200;
     private static final int TICKS_PER_SWEEP = 9;
 
     private final Set<TaskRecord> changed = new LinkedHashSet<>();
-    private final ArrayDeque<TaskRecord> sweep = new ArrayDeque<>();
+    private final ArrayDeque<TaskRecord> remainingSweep = new ArrayDeque<>();
 
-    /** An event concerned the task. */
+    /** Marks a task that an event concerned. */
     void markChanged(TaskRecord task) {
         changed.add(task);
     }
 
-    /** Removes and returns the tasks marked since the last call, in the order of their marking. */
+    /**
+     * Removes and returns the tasks marked since the last call, in the order in which they were
+     * marked.
+     */
     List<TaskRecord> takeChanged() {
         List<TaskRecord> taken = new ArrayList<>(changed);
         changed.clear();
@@ -40,13 +44,13 @@
      * waiting since the sweep began.
      */
     List<TaskRecord> takeSweepBatch(Collection<TaskRecord> waiting) {
-        if (sweep.isEmpty()) {
-            sweep.addAll(waiting);
+        if (remainingSweep.isEmpty()) {
+            remainingSweep.addAll(waiting);
         }
-        int batchSize = Math.min(MAX_BATCH, MIN_BATCH + waiting.size() / TICKS_PER_SWEEP);
+        int batchSize = Math.min(MAX_BATCH_SIZE, MIN_BATCH_SIZE + waiting.size() / TICKS_PER_SWEEP);
         List<TaskRecord> batch = new ArrayList<>();
-        while (batch.size() < batchSize && !sweep.isEmpty()) {
-            batch.add(sweep.poll());
+        while (batch.size() < batchSize && !remainingSweep.isEmpty()) {
+            batch.add(remainingSweep.poll());
         }
         return batch;
     }
--- a/decisions/src/main/java/thornferry/decisions/diagnosis/TaskKey.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/TaskKey.java
@@ -1,4 +1,4 @@
 package thornferry.decisions.diagnosis;
 
-/** Identity of a task: its owner and the owner's name for it. */
-record TaskKey(String owner, String task) {}
+/** Identity of a task: its owner, and the name that the owner gave it. */
+record TaskKey(String owner, String taskName) {}
--- a/decisions/src/main/java/thornferry/decisions/diagnosis/TaskRecord.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/TaskRecord.java
@@ -12,8 +12,8 @@
 import thornferry.decisions.placement.Placement.Pending;
 
 /**
- * What is recorded about one task, over all its submissions. Two records are equal only if they are
- * the same object.
+ * The record of one task over all its submissions. Two records are equal only if they are the same
+ * object.
  */
 final class TaskRecord {
     private final TaskKey key;
@@ -27,10 +27,10 @@
     private int attempts;
     private long endedAtMicros;
 
-    /** Whether the task waits for machines to report their tasks after a start of the placer. */
+    /** Whether the task waits until machines report what they run, after a start of the placer. */
     private boolean awaitingInventory;
 
-    /** Machine that may have run the task before that start; empty for none. */
+    /** Machine that may have run the task before the placer started; empty for none. */
     private String unreportedMachine = "";
 
     /** The request in the admission queue; null until the submission has reached the queue. */
@@ -44,13 +44,13 @@
 
     private PreviousAttempt previousAttempt = PreviousAttempt.NONE;
 
-    /** Null before the first evaluation, and unless the task is waiting. */
+    /** Result of the last evaluation; null if there was none yet or the task is not waiting. */
     private Reason reason;
 
     /**
-     * A task that is known from now on.
+     * Creates the record of a task that is not known yet.
      *
-     * @param maxHistory changes that its history retains
+     * @param maxHistory number of changes that the history retains
      */
     TaskRecord(TaskKey key, long nowMicros, int maxHistory) {
         this.key = key;
@@ -100,7 +100,7 @@
         machine = "";
     }
 
-    /** The result of the submission is known. */
+    /** Sets the result of the submission. */
     void complete(long nowMicros, State result, String placedMachine) {
         state = result;
         machine = placedMachine;
@@ -109,7 +109,7 @@
         history.add(new Change(nowMicros, result, null));
     }
 
-    /** The placed task has finished. */
+    /** Sets the state of a placed task that has finished. */
     void finish(long nowMicros) {
         state = State.FINISHED;
         history.add(new Change(nowMicros, State.FINISHED, null));
@@ -119,16 +119,16 @@
         endedAtMicros = micros;
     }
 
-    /** Sets the present reason; a change of its kind is added to the history. */
+    /** Sets the current reason; a change of its kind is added to the history. */
     void updateReason(long nowMicros, Diagnosis diagnosis) {
         boolean kindChanged = reason == null || reason.kind() != diagnosis.kind();
-        reason = diagnosis.since(kindChanged ? nowMicros : reason.sinceMicros());
+        reason = diagnosis.toReason(kindChanged ? nowMicros : reason.sinceMicros());
         if (kindChanged) {
             history.add(new Change(nowMicros, State.WAITING, reason));
         }
     }
 
-    // Values.
+    // Accessors.
 
     TaskKey key() {
         return key;
@@ -138,9 +138,9 @@
         return key.owner();
     }
 
-    /** The owner's name for the task. */
+    /** The name that the owner gave the task. */
     String name() {
-        return key.task();
+        return key.taskName();
     }
 
     String tenant() {
@@ -171,12 +171,12 @@
         return unreportedMachine;
     }
 
-    /** Whether this submission has reached the admission queue. */
+    /** Returns whether the current submission has reached the admission queue. */
     boolean isQueued() {
         return queuedRequest != null;
     }
 
-    /** The request in the admission queue; only for a queued task. */
+    /** The request in the admission queue; null if the task is not queued. */
     QueuedRequest queuedRequest() {
         return queuedRequest;
     }
@@ -190,7 +190,7 @@
         return queuedRequest == null ? "" : queuedRequest.taskClass();
     }
 
-    /** Shape of the request; only for a queued task. */
+    /** Shape of the request; to be called only for a queued task. */
     RequestShape requestShape() {
         return RequestShape.of(queuedRequest);
     }
@@ -208,7 +208,7 @@
         return previousAttempt;
     }
 
-    /** The reason of the last evaluation, or null. */
+    /** Result of the last evaluation; null if there was none yet or the task is not waiting. */
     Reason reason() {
         return reason;
     }
@@ -234,6 +234,6 @@
     }
 
     ReasonChanged toNotification() {
-        return new ReasonChanged(key.owner(), tenant, key.task());
+        return new ReasonChanged(key.owner(), tenant, key.taskName());
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/diagnosis/TaskRecordStore.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/TaskRecordStore.java
@@ -10,13 +10,13 @@
 import thornferry.decisions.diagnosis.PendingReasons.Limits;
 
 /**
- * All task records, indexed by task and by request. Records of ended tasks are evicted, oldest
- * first, once their retention time has passed or there are too many records.
+ * Store of all task records, indexed by task and by request. Records of ended tasks are evicted,
+ * oldest first, when their retention time has passed or there are too many records.
  */
 final class TaskRecordStore {
     private final Limits limits;
-    private final Map<TaskKey, TaskRecord> byKey = new HashMap<>();
-    private final Map<String, TaskRecord> byRequest = new HashMap<>();
+    private final Map<TaskKey, TaskRecord> recordByKey = new HashMap<>();
+    private final Map<String, TaskRecord> recordByRequestId = new HashMap<>();
     private final Set<TaskRecord> waiting = new LinkedHashSet<>();
     private final Set<TaskRecord> ended = new LinkedHashSet<>();
 
@@ -24,32 +24,32 @@
         this.limits = limits;
     }
 
-    Optional<TaskRecord> find(String owner, String task) {
-        return Optional.ofNullable(byKey.get(new TaskKey(owner, task)));
+    Optional<TaskRecord> find(String owner, String taskName) {
+        return Optional.ofNullable(recordByKey.get(new TaskKey(owner, taskName)));
     }
 
     Optional<TaskRecord> findByRequest(String requestId) {
-        return Optional.ofNullable(byRequest.get(requestId));
+        return Optional.ofNullable(recordByRequestId.get(requestId));
     }
 
-    TaskRecord findOrCreate(long nowMicros, String owner, String task) {
-        return byKey.computeIfAbsent(
-                new TaskKey(owner, task),
+    TaskRecord findOrCreate(long nowMicros, String owner, String taskName) {
+        return recordByKey.computeIfAbsent(
+                new TaskKey(owner, taskName),
                 key -> new TaskRecord(key, nowMicros, limits.maxHistory()));
     }
 
-    /** The task waits, for the first time or again. */
+    /** Adds a task that waits, for the first time or again. */
     void addWaiting(TaskRecord task) {
         ended.remove(task);
         waiting.add(task);
     }
 
-    /** Returns whether the task was waiting. */
+    /** Removes a task from the waiting tasks and returns whether it was one of them. */
     boolean removeWaiting(TaskRecord task) {
         return waiting.remove(task);
     }
 
-    /** The task has ended: it may be evicted. */
+    /** Adds a task that has ended, whose record may be evicted. */
     void addEnded(long nowMicros, TaskRecord task) {
         task.setEndedAt(nowMicros);
         ended.remove(task);
@@ -57,28 +57,31 @@
     }
 
     void addRequest(String requestId, TaskRecord task) {
-        byRequest.put(requestId, task);
+        recordByRequestId.put(requestId, task);
     }
 
     void removeRequest(TaskRecord task) {
-        task.requestId().ifPresent(byRequest::remove);
+        task.requestId().ifPresent(recordByRequestId::remove);
     }
 
-    /** Waiting tasks in the order of their submission. */
+    /** Returns the waiting tasks in the order of their submission. */
     Collection<TaskRecord> waiting() {
         return Collections.unmodifiableSet(waiting);
     }
 
-    /** Evicts ended tasks whose time has come. */
+    /**
+     * Evicts records of ended tasks whose retention time has passed, and further ones while there
+     * are more than {@link Limits#maxRecords()} records.
+     */
     void evict(long nowMicros) {
         while (!ended.isEmpty()) {
             TaskRecord oldest = ended.iterator().next();
             boolean retained = nowMicros - oldest.endedAtMicros() < limits.retentionMicros();
-            if (retained && byKey.size() <= limits.maxRecords()) {
+            if (retained && recordByKey.size() <= limits.maxRecords()) {
                 return;
             }
             ended.remove(oldest);
-            byKey.remove(oldest.key());
+            recordByKey.remove(oldest.key());
         }
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/diagnosis/TaskSubmission.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/TaskSubmission.java
@@ -1,13 +1,13 @@
 package thornferry.decisions.diagnosis;
 
 /**
- * A task as it is submitted.
+ * One submission of a task.
  *
- * @param idempotentWithKey whether the task is idempotent with its key only
- * @param awaitingInventory whether it waits for machines to report what they run, after a start of
- *     the placer
- * @param unreportedMachine the machine that may have run it before that start and has not reported
- *     yet; empty for none
+ * @param idempotentWithKey whether the task is idempotent only with its key
+ * @param awaitingInventory whether the task waits until machines report what they run, after a
+ *     start of the placer
+ * @param unreportedMachine machine that may have run the task before the placer started and has not
+ *     reported yet; empty for none
  */
 public record TaskSubmission(
         String owner,
--- a/decisions/src/main/java/thornferry/decisions/diagnosis/UnavailableMachines.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/UnavailableMachines.java
@@ -10,9 +10,9 @@
 /**
  * Machines that could run a request but are not listed as ready.
  *
- * @param draining names of those that drain
- * @param disconnected names of those that have no connection, or are quarantined
- * @param knownMachines how many machines are known, whatever they could run
+ * @param draining names of the draining machines
+ * @param disconnected names of the machines that have no connection or are quarantined
+ * @param knownMachines number of all known machines, whether or not they could run the request
  */
 record UnavailableMachines(List<String> draining, List<String> disconnected, int knownMachines) {
     static UnavailableMachines find(
@@ -33,8 +33,8 @@
         return new UnavailableMachines(draining, disconnected, machines.size());
     }
 
-    /** The kind of reason where no ready machine could ever take the request. */
-    Kind kind() {
+    /** Returns the kind of reason if no ready machine could ever take the request. */
+    Kind reasonKind() {
         if (!draining.isEmpty() && draining.size() >= disconnected.size()) {
             return Kind.DRAINING;
         }
--- a/decisions/src/test/java/thornferry/decisions/diagnosis/ReasonClassifierTest.java
+++ b/decisions/src/test/java/thornferry/decisions/diagnosis/ReasonClassifierTest.java
@@ -19,7 +19,7 @@
 import thornferry.decisions.placement.Placement.MachineState;
 import thornferry.decisions.placement.Placement.Pending;
 
-/** The texts are part of the wire protocol: they are compared as a whole. */
+/** Compares texts as a whole, because they are part of the wire protocol. */
 class ReasonClassifierTest {
     private static final String REQUEST = "r1";
     private static final int MAX_HISTORY = 4;
@@ -40,22 +40,22 @@
         return record;
     }
 
-    private void list(String machine, String kind, MachineState state) {
+    private void listMachine(String machine, String kind, MachineState state) {
         cluster.update(List.of(new MachineEntry(machine, "a", kind, 0, state, 16, 16, 1, 0)));
     }
 
-    private static Pending report(Map<FilterReason, Integer> machines) {
-        return report(machines, "", 0, 0);
+    private static Pending report(Map<FilterReason, Integer> machinesByReason) {
+        return report(machinesByReason, "", 0, 0);
     }
 
     private static Pending report(
-            Map<FilterReason, Integer> machines,
+            Map<FilterReason, Integer> machinesByReason,
             String closestMachine,
             double missingCores,
             double missingMemory) {
         List<Integer> counts =
                 Arrays.stream(FilterReason.values())
-                        .map(reason -> machines.getOrDefault(reason, 0))
+                        .map(reason -> machinesByReason.getOrDefault(reason, 0))
                         .toList();
         return new Pending(REQUEST, counts, closestMachine, missingCores, missingMemory);
     }
@@ -64,7 +64,8 @@
         return report(Map.of());
     }
 
-    private Diagnosis afterFailedAttempt(AttemptOutcome outcome, RejectionReason rejection) {
+    private Diagnosis classifyAfterFailedAttempt(
+            AttemptOutcome outcome, RejectionReason rejection) {
         if (outcome == AttemptOutcome.REJECTED) {
             task.rejectOffer("n1", rejection);
         }
@@ -73,14 +74,14 @@
     }
 
     @Test
-    void reportsNoMachines() {
+    void reportsEmptyClusterAsNoMachines() {
         assertThat(classifier.classify(task, emptyReport()))
                 .isEqualTo(Diagnosis.withoutEvidence(Kind.NO_MACHINES, "a node connects"));
     }
 
     @Test
-    void reportsUnsatisfiableKind() {
-        list("n1", "std", MachineState.GONE);
+    void reportsMissingMachineKindAsUnsatisfiable() {
+        listMachine("n1", "std", MachineState.GONE);
         assertThat(classifier.classify(task("t2", "training"), emptyReport()))
                 .isEqualTo(
                         Diagnosis.withoutEvidence(
@@ -89,7 +90,7 @@
     }
 
     @Test
-    void reportsShortfallOfClosestMachine() {
+    void reportsShortfallOfClosestMachineWithoutNegligibleAmounts() {
         Pending report = report(Map.of(FilterReason.INSUFFICIENT_CORES, 2), "n1", 1.5, 0.01);
         assertThat(classifier.classify(task, report))
                 .isEqualTo(
@@ -102,7 +103,7 @@
     }
 
     @Test
-    void prefersKindOfMostMachines() {
+    void choosesKindThatExcludesMostMachinesOfSufficientSize() {
         Pending report =
                 report(
                         Map.of(
@@ -123,7 +124,7 @@
     }
 
     @Test
-    void prefersFirstKindAmongEquals() {
+    void choosesKindCountedFirstAmongEquals() {
         Pending report =
                 report(Map.of(FilterReason.QUEUE_FULL, 1, FilterReason.INSUFFICIENT_MEMORY, 1));
         assertThat(classifier.classify(task, report).kind()).isEqualTo(Kind.NO_CAPACITY);
@@ -131,8 +132,8 @@
 
     @Test
     void reportsDrainingAndDisconnectedMachines() {
-        list("n1", "std", MachineState.DRAINING);
-        list("n2", "std", MachineState.GONE);
+        listMachine("n1", "std", MachineState.DRAINING);
+        listMachine("n2", "std", MachineState.GONE);
         assertThat(classifier.classify(task, emptyReport()))
                 .isEqualTo(
                         new Diagnosis(
@@ -141,16 +142,16 @@
                                         Evidence.ofMachine("drains", "n1"),
                                         Evidence.ofMachine("without a connection", "n2")),
                                 "the drain of node n1 ends, or another node has room"));
-        list("n3", "std", MachineState.GONE);
+        listMachine("n3", "std", MachineState.GONE);
         assertThat(classifier.classify(task, emptyReport()))
                 .extracting(Diagnosis::kind, Diagnosis::endsWhen)
                 .containsExactly(Kind.MACHINES_EJECTED, "node n2 connects, or one of 1 more");
     }
 
     @Test
-    void namesRejectingMachineOnlyForSingleReason() {
-        list("n1", "std", MachineState.READY);
-        list("n2", "std", MachineState.READY);
+    void namesRejectingMachineOnlyIfAllRejectionsHaveSameReason() {
+        listMachine("n1", "std", MachineState.READY);
+        listMachine("n2", "std", MachineState.READY);
         cluster.rejected("n1", RejectionReason.INSUFFICIENT_CORES);
         Pending report = report(Map.of(FilterReason.RECENTLY_REJECTED, 2));
         assertThat(classifier.classify(task, report).evidence())
@@ -163,8 +164,8 @@
     }
 
     @Test
-    void classifiesUnansweredAttempt() {
-        assertThat(afterFailedAttempt(AttemptOutcome.TIMED_OUT, RejectionReason.NONE))
+    void classifiesUnansweredAttemptAsEjectedMachine() {
+        assertThat(classifyAfterFailedAttempt(AttemptOutcome.TIMED_OUT, RejectionReason.NONE))
                 .isEqualTo(
                         Diagnosis.of(
                                 Kind.MACHINES_EJECTED,
@@ -174,8 +175,8 @@
     }
 
     @Test
-    void classifiesRejectionForKey() {
-        assertThat(afterFailedAttempt(AttemptOutcome.REJECTED, RejectionReason.KEY_HELD))
+    void classifiesRejectionForHeldKey() {
+        assertThat(classifyAfterFailedAttempt(AttemptOutcome.REJECTED, RejectionReason.KEY_HELD))
                 .isEqualTo(
                         Diagnosis.of(
                                 Kind.KEY_HELD,
@@ -189,23 +190,24 @@
         placed.complete(1, State.PLACED, "n1");
         keyIndex.add(placed);
         assertThat(
-                        afterFailedAttempt(AttemptOutcome.REJECTED, RejectionReason.UNAVAILABLE)
+                        classifyAfterFailedAttempt(
+                                        AttemptOutcome.REJECTED, RejectionReason.UNAVAILABLE)
                                 .evidence())
                 .containsExactly(Evidence.ofMachine("key held by a task of yours", "t2"));
     }
 
     @Test
-    void classifiesRejectionForDraining() {
-        list("n1", "std", MachineState.READY);
+    void classifiesRejectionForDrainingUntilMachineAcceptsAgain() {
+        listMachine("n1", "std", MachineState.READY);
         cluster.rejected("n1", RejectionReason.DRAINING);
-        assertThat(afterFailedAttempt(AttemptOutcome.REJECTED, RejectionReason.DRAINING))
+        assertThat(classifyAfterFailedAttempt(AttemptOutcome.REJECTED, RejectionReason.DRAINING))
                 .isEqualTo(
                         Diagnosis.of(
                                 Kind.DRAINING,
                                 Evidence.ofMachine("refused: it drains", "n1"),
                                 "the drain ends, or another node has room"));
         cluster.accepted("n1");
-        assertThat(afterFailedAttempt(AttemptOutcome.REJECTED, RejectionReason.DRAINING))
+        assertThat(classifyAfterFailedAttempt(AttemptOutcome.REJECTED, RejectionReason.DRAINING))
                 .isEqualTo(
                         Diagnosis.of(
                                 Kind.REJECTED,
--- a/decisions/src/test/java/thornferry/decisions/diagnosis/ReasonFormatterTest.java
+++ b/decisions/src/test/java/thornferry/decisions/diagnosis/ReasonFormatterTest.java
@@ -9,7 +9,7 @@
 import thornferry.decisions.diagnosis.PendingReasons.Kind;
 import thornferry.decisions.diagnosis.PendingReasons.Reason;
 
-/** The sentences are part of the wire protocol: each is compared as a whole. */
+/** Compares each sentence as a whole, because sentences are part of the wire protocol. */
 class ReasonFormatterTest {
     private static String sentence(Kind kind, String endsWhen, Evidence... evidence) {
         return new Reason(kind, 0, List.of(evidence), endsWhen).sentence();
@@ -49,13 +49,13 @@
     }
 
     @Test
-    void separatesEvidence() {
+    void separatesPiecesOfEvidence() {
         assertThat(sentence(Evidence.ofDescription("a"), Evidence.ofName("b", "name")))
                 .isEqualTo("Its turn has not come: a; b name.");
     }
 
     @Test
-    void countsMachinesUnlessOneIsNamed() {
+    void statesNumberOfMachinesUnlessItIsOneNamedMachine() {
         assertThat(sentence(Evidence.ofMachine("a", "n1")))
                 .isEqualTo("Its turn has not come: a n1.");
         assertThat(sentence(Evidence.ofMachines("a", 1)))
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void formatsAmounts() {
+    void formatsNeededAndAvailableAmounts() {
         assertThat(sentence(Evidence.ofShortfall("a", "n1", 1.5)))
                 .isEqualTo("Its turn has not come: a n1 1.50.");
         assertThat(sentence(Evidence.ofAmount("a", 3))).isEqualTo("Its turn has not come: a 3.");
--- a/decisions/src/test/java/thornferry/decisions/diagnosis/ReevaluationScheduleTest.java
+++ b/decisions/src/test/java/thornferry/decisions/diagnosis/ReevaluationScheduleTest.java
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void returnsChangedTasksOnceInOrder() {
+    void returnsChangedTasksOnceInOrderOfMarking() {
         List<TaskRecord> tasks = tasks(3);
         schedule.markChanged(tasks.get(2));
         schedule.markChanged(tasks.get(0));
@@ -39,12 +39,12 @@
     }
 
     @Test
-    void boundsBatch() {
+    void boundsBatchSize() {
         assertThat(schedule.takeSweepBatch(tasks(10_000))).hasSize(200);
     }
 
     @Test
-    void returnsNothingWithoutWaitingTasks() {
+    void returnsEmptyBatchWithoutWaitingTasks() {
         assertThat(schedule.takeSweepBatch(List.of())).isEmpty();
     }
 }
