--- a/decisions/src/main/java/thornferry/decisions/placement/CandidateFilter.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/CandidateFilter.java
@@ -2,7 +2,10 @@
 
 import thornferry.decisions.placement.Placement.FilterReason;
 
-/** Decides which ready machines may get an offer of a task, and why the others may not. */
+/**
+ * Determines which ready machines are eligible for a task, and the reason why each other one is
+ * filtered out.
+ */
 final class CandidateFilter {
     private final EventContext context;
     private final MachineTracker machines;
@@ -26,11 +29,13 @@
         this.affinity = affinity;
     }
 
-    /** Filters the ready machines for the task. */
+    /**
+     * Returns the ready machines that are eligible for the task, and the others counted by reason.
+     */
     CandidateSummary filter(TrackedTask task) {
         boolean ignoreEjections = ejection.areMostMachinesEjected();
-        CandidateSummary summary = new CandidateSummary(machines.ready().size());
-        for (TrackedMachine machine : machines.ready()) {
+        CandidateSummary summary = new CandidateSummary(machines.readyMachines().size());
+        for (TrackedMachine machine : machines.readyMachines()) {
             FilterReason reason = check(machine, task, ignoreEjections, summary);
             if (reason == null) {
                 summary.addEligible(machine);
@@ -42,7 +47,10 @@
         return summary;
     }
 
-    /** Why the machine gets no offer of the task, null where it may; cheap checks come first. */
+    /**
+     * Returns why the machine is filtered out for the task, or null if it is eligible. Cheap checks
+     * come first.
+     */
     private FilterReason check(
             TrackedMachine machine,
             TrackedTask task,
@@ -52,9 +60,9 @@
         if (reason == null) {
             reason = checkPlacementConstraints(machine, task);
         }
-        if (reason == null && machine.recentlyRejected(task.requested())) {
-            // Without this the task would be offered again and again by a sample that is older
-            // than the rejection.
+        if (reason == null && machine.hasRecentlyRejected(task.requested())) {
+            // Without this check the machine would be chosen again and again on the basis of a load
+            // sample that is older than its rejection.
             reason = FilterReason.RECENTLY_REJECTED;
         }
         if (reason == null) {
@@ -78,9 +86,9 @@
         if (!machine.isReady() || (!ignoreEjections && health.isEjected())) {
             return FilterReason.MACHINE_EJECTED;
         }
-        FilterReason timed = health.timedExclusion(context.nowMicros());
-        if (timed != null) {
-            return timed;
+        FilterReason timedReason = health.timedExclusion(context.nowMicros());
+        if (timedReason != null) {
+            return timedReason;
         }
         return health.isEjectedForClass(task.taskClass().name(), context.nowMicros())
                 ? FilterReason.CLASS_EJECTED
--- a/decisions/src/main/java/thornferry/decisions/placement/CandidateSummary.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/CandidateSummary.java
@@ -11,8 +11,8 @@
 
     private final List<TrackedMachine> eligible;
     private final int[] machinesByReason = new int[REASON_COUNT];
-    private TrackedMachine closest;
-    private double closestShortage;
+    private TrackedMachine closestMachine;
+    private double closestShortageFraction;
     private double missingCores;
     private double missingMemory;
 
@@ -20,7 +20,7 @@
         eligible = new ArrayList<>(readyMachines);
     }
 
-    /** The machines that passed every filter. The caller may reorder them. */
+    /** Returns the machines that passed every filter, as a list that the caller may reorder. */
     List<TrackedMachine> eligible() {
         return eligible;
     }
@@ -29,26 +29,33 @@
         eligible.add(machine);
     }
 
-    /** An array by ordinal: this is counted for each machine and request. */
+    /**
+     * Counts a machine that was filtered out. The counts are an array indexed by ordinal, since
+     * this method is called for each machine and request.
+     */
     @SuppressWarnings("EnumOrdinal")
     void countFiltered(FilterReason reason) {
         machinesByReason[reason.ordinal()]++;
     }
 
-    /** Whether this shortage, as a part of the machine, is less than that of the closest so far. */
-    boolean isCloser(double shortage) {
-        return closest == null || shortage < closestShortage;
+    /**
+     * Returns whether this shortage, as a fraction of the machine's size, is less than that of the
+     * closest machine so far.
+     */
+    boolean isCloserFit(double shortageFraction) {
+        return closestMachine == null || shortageFraction < closestShortageFraction;
     }
 
-    /** Records the machine that lacks the least of what the task needs. */
-    void setClosest(TrackedMachine machine, double shortage, double cores, double memory) {
-        closest = machine;
-        closestShortage = shortage;
+    /** Records the machine that lacks the least capacity for the task. */
+    void setClosestMachine(
+            TrackedMachine machine, double shortageFraction, double cores, double memory) {
+        closestMachine = machine;
+        closestShortageFraction = shortageFraction;
         missingCores = cores;
         missingMemory = memory;
     }
 
-    /** The notification that the task is pending, and why. */
+    /** Returns the notification that the task is pending, with the reasons. */
     Pending toNotification(TrackedTask task) {
         List<Integer> counts = new ArrayList<>(REASON_COUNT);
         for (int count : machinesByReason) {
@@ -57,7 +64,7 @@
         return new Pending(
                 task.id(),
                 List.copyOf(counts),
-                closest == null ? "" : closest.id(),
+                closestMachine == null ? "" : closestMachine.id(),
                 roundToHundredth(missingCores),
                 roundToHundredth(missingMemory));
     }
--- a/decisions/src/main/java/thornferry/decisions/placement/CapacityFilter.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/CapacityFilter.java
@@ -4,30 +4,33 @@
 import thornferry.decisions.placement.Placement.Settings;
 
 /**
- * Whether a machine has capacity for a task: it accepts tasks by what they request, and serves them
- * well by what they use, so that both are checked.
+ * Checks whether a machine has capacity for a task, in two ways: the machine accepts tasks by the
+ * resources that they request, and tasks slow each other down by the resources that they use.
  */
 final class CapacityFilter {
-    /** Memory above this part in use soon leads to evictions. */
+    /** The fraction of a machine's memory in use above which evictions soon follow. */
     private static final double MAX_MEMORY_UTILIZATION = 0.95;
 
     /**
-     * The part of a machine that is reserved from a class of no priority weight for the class of
-     * the highest weight.
+     * The fraction of a machine that tasks of a class with priority weight 0 must leave free for
+     * classes of the highest weight.
      */
     private static final double PRIORITY_RESERVE = 0.15;
 
-    /** Classes of at least 1/1.5 of the highest weight have no reserve taken from them. */
+    /**
+     * How fast the reserve shrinks as the weight of the class grows: it is 0 for classes with at
+     * least 1/1.5 of the highest weight.
+     */
     private static final double PRIORITY_RESERVE_SLOPE = 1.5;
 
     /**
-     * Where reports measure usage, what is requested on a machine is only inferred. The inferred
-     * amount is reduced by this factor, since a rejected offer at once corrects a guess that is too
-     * low and nothing corrects one that is too high.
+     * The divisor applied to the requested amount that is inferred from the usage in load reports.
+     * It errs on the low side because a rejected offer corrects an estimate that is too low at
+     * once, whereas nothing corrects one that is too high.
      */
-    private static final double REQUEST_UNDERESTIMATE = 1.15;
+    private static final double REQUEST_ESTIMATE_DIVISOR = 1.15;
 
-    /** Tolerance for rounding errors. */
+    /** The tolerance for rounding errors. */
     private static final double EPSILON = 1e-9;
 
     private final Settings settings;
@@ -47,65 +50,65 @@
     }
 
     /**
-     * Returns which resource the machine lacks, null if it has capacity. A shortage is recorded in
-     * the summary.
+     * Returns which resource the machine lacks, or null if it has capacity. A shortage is recorded
+     * in the summary.
      */
     FilterReason check(TrackedMachine machine, TrackedTask task, CandidateSummary summary) {
         MachineLoad load = machine.load();
-        if (!load.isSized()) {
+        if (!load.hasKnownSize()) {
             return FilterReason.MACHINE_TOO_SMALL;
         }
-        double missingCores = missing(machine, task, Resource.CORES);
-        double missingMemory = missing(machine, task, Resource.MEMORY);
+        double missingCores = missingAmount(machine, task, Resource.CORES);
+        double missingMemory = missingAmount(machine, task, Resource.MEMORY);
         if (missingCores <= 0 && missingMemory <= 0) {
             return null;
         }
-        double shortage =
+        double shortageFraction =
                 Math.max(
                         missingCores / load.size(Resource.CORES),
                         missingMemory / load.size(Resource.MEMORY));
-        if (summary.isCloser(shortage) && !isTooSmall(machine, task)) {
-            summary.setClosest(machine, shortage, missingCores, missingMemory);
+        if (summary.isCloserFit(shortageFraction) && !isTooSmall(machine, task)) {
+            summary.setClosestMachine(machine, shortageFraction, missingCores, missingMemory);
         }
         return missingCores > 0
                 ? FilterReason.INSUFFICIENT_CORES
                 : FilterReason.INSUFFICIENT_MEMORY;
     }
 
-    /** How much of the resource the machine lacks for the task, 0 where it lacks none. */
-    private double missing(TrackedMachine machine, TrackedTask task, Resource resource) {
+    /** Returns how much of the resource the machine lacks for the task, 0 if it has enough. */
+    private double missingAmount(TrackedMachine machine, TrackedTask task, Resource resource) {
         MachineLoad load = machine.load();
         double inUse = load.latestInUse(resource);
-        double requestedThere =
+        double requestedOnMachine =
                 inUse
                         / (settings.reportsMeasureUsage()
-                                ? usage.expectedUse(resource, REQUEST_UNDERESTIMATE)
+                                ? usage.expectedUse(resource, REQUEST_ESTIMATE_DIVISOR)
                                 : 1);
         double excessUtilization =
-                utilization.withTask(machine, task, resource)
-                        - utilization.assumedInUse(machine, resource)
+                utilization.utilizationWithTask(machine, task, resource)
+                        - utilization.assumedUtilization(machine, resource)
                         - maxUtilization(resource);
         double missingForAcceptance =
                 task.requested().get(resource)
-                        + load.uncoveredSum(resource)
-                        + requestedThere
-                        - acceptable(machine, task, resource);
-        double missingForService =
+                        + load.unsampledSum(resource)
+                        + requestedOnMachine
+                        - maxRequested(machine, task, resource);
+        double missingForUsage =
                 excessUtilization > 0
                         ? excessUtilization
                                 * load.size(resource)
                                 / Math.max(EPSILON, usage.ratio(resource))
                         : 0;
-        return Math.max(0, Math.max(missingForAcceptance, missingForService));
+        return Math.max(0, Math.max(missingForAcceptance, missingForUsage));
     }
 
     private double maxUtilization(Resource resource) {
         return resource == Resource.CORES ? classes.maxCoreUtilization() : MAX_MEMORY_UTILIZATION;
     }
 
-    /** The sum of requests up to which the machine accepts a task of this class. */
-    private double acceptable(TrackedMachine machine, TrackedTask task, Resource resource) {
-        double openPart =
+    /** Returns the sum of requested amounts up to which the machine takes a task of this class. */
+    private double maxRequested(TrackedMachine machine, TrackedTask task, Resource resource) {
+        double availableFraction =
                 1
                         - PRIORITY_RESERVE
                                 * Interval.clampToUnit(
@@ -117,10 +120,10 @@
                 resource == Resource.CORES
                         ? settings.coresOvercommit()
                         : settings.memoryOvercommit();
-        return openPart * overcommit * machine.load().size(resource) + EPSILON;
+        return availableFraction * overcommit * machine.load().size(resource) + EPSILON;
     }
 
-    /** Whether the machine would lack capacity with nothing else on it. */
+    /** Returns whether the machine would lack capacity for the task even if it were empty. */
     boolean isTooSmall(TrackedMachine machine, TrackedTask task) {
         return isTooSmall(machine, task, Resource.CORES)
                 || isTooSmall(machine, task, Resource.MEMORY);
@@ -128,7 +131,7 @@
 
     private boolean isTooSmall(TrackedMachine machine, TrackedTask task, Resource resource) {
         double requested = task.requested().get(resource);
-        return requested > acceptable(machine, task, resource)
+        return requested > maxRequested(machine, task, resource)
                 || usage.expectedUse(resource, requested)
                         > maxUtilization(resource) * machine.load().size(resource);
     }
--- a/decisions/src/main/java/thornferry/decisions/placement/DualModeKalmanFilter.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/DualModeKalmanFilter.java
@@ -1,18 +1,25 @@
 package thornferry.decisions.placement;
 
 /**
- * Scalar Kalman filter with two modes: it follows rising load fast and falling load slowly.
+ * A scalar Kalman filter with two modes: the value follows rising load fast and falling load
+ * slowly.
  *
- * <p>A fast and a slow estimate are updated with every sample; the fast one is reported while
- * samples exceed the slow estimate, the slow one otherwise. At each change of mode the slow
- * estimate is reset to the fast one. The measurement noise of both is 1, which leaves the process
- * noise of the fast estimate and the error after a reset as the only parameters.
+ * <p>A fast and a slow estimate are updated with every sample. The value is the fast estimate while
+ * samples exceed the slow one, and the slow estimate otherwise. At each change of mode the slow
+ * estimate is reset to the fast one. The measurement noise of both estimates is 1, so that the
+ * process noise of the fast estimate and the error variance after a reset are the only parameters.
  */
 final class DualModeKalmanFilter {
-    /** Process noise of the fast estimate: samples are late, not noisy, so its gain is near 0.8. */
+    /**
+     * The process noise of the fast estimate. Samples are late rather than noisy, so the gain is
+     * near 0.8.
+     */
     private static final double FAST_PROCESS_NOISE = 3.0;
 
-    /** Error of the slow estimate after a reset: its first gain is 0.8, later ones shrink. */
+    /**
+     * The error variance of the slow estimate after a reset: the first gain is 0.8, later gains
+     * shrink.
+     */
     private static final double RESET_ERROR = 4.0;
 
     private double slowEstimate;
@@ -22,7 +29,7 @@
     private boolean rising;
     private boolean hasSample;
 
-    /** Takes one sample; a value that is not finite is ignored. */
+    /** Updates both estimates with one sample. A sample that is not finite is ignored. */
     void update(double sample) {
         if (!Double.isFinite(sample)) {
             return;
@@ -37,15 +44,16 @@
         fastError *= 1 - gain;
         boolean aboveSlow = sample > slowEstimate;
         if (aboveSlow != rising) {
-            // When load falls, the slow estimate goes on from where the fast one is; when it
-            // rises, the later decay starts from the peak of the fast one.
+            // When load starts to fall, the slow estimate continues from the fast one. When it
+            // starts to rise, the reset lets the later decay start from the peak of the fast
+            // estimate.
             slowEstimate = fastEstimate;
             slowError = RESET_ERROR;
             rising = aboveSlow;
         }
     }
 
-    /** The filtered value, 0 before the first sample. */
+    /** Returns the filtered value, 0 before the first sample. */
     double value() {
         return rising ? fastEstimate : slowEstimate;
     }
--- a/decisions/src/main/java/thornferry/decisions/placement/EventContext.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/EventContext.java
@@ -4,22 +4,23 @@
 import thornferry.decisions.placement.Placement.Action;
 
 /**
- * The event being handled: its time, and the consumer of the actions that it leads to.
+ * The event that is being handled: its time, and the consumer of the actions that follow from it.
  *
- * <p>Each policy has one, which all its parts share and which is set at the start of every event.
+ * <p>Each policy has one context, which its components share and which is set at the start of every
+ * event.
  */
 final class EventContext {
     private long nowMicros;
     private long firstEventMicros;
-    private boolean started;
+    private boolean hasBegun;
     private Consumer<Action> actions;
 
     /** Sets the context for the next event; returns whether it is the first. */
     boolean begin(long eventMicros, Consumer<Action> eventActions) {
-        boolean first = !started;
+        boolean first = !hasBegun;
         if (first) {
             firstEventMicros = eventMicros;
-            started = true;
+            hasBegun = true;
         }
         nowMicros = eventMicros;
         actions = eventActions;
@@ -30,7 +31,7 @@
         return nowMicros;
     }
 
-    /** The time of the first event: what happened before is not known to this instance. */
+    /** Returns the time of the first event. This instance knows nothing of what happened before. */
     long firstEventMicros() {
         return firstEventMicros;
     }
--- a/decisions/src/main/java/thornferry/decisions/placement/HealthChecker.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/HealthChecker.java
@@ -9,11 +9,15 @@
 import thornferry.decisions.placement.Placement.Settings;
 
 /**
- * Sends health checks: to ejected machines when their ejection ends, and, where machines report
- * their load and are not fewer than placers, to those not heard from for the longest time.
+ * Sends health checks to ejected machines at the end of their ejection. If machines report their
+ * load and are not outnumbered by placers, checks also go to the machines whose last contact is the
+ * longest ago.
  */
 final class HealthChecker {
-    /** Bounds of the interval between two checks of one machine; longer where requests are few. */
+    /**
+     * The bounds of the interval between two checks of one machine. The interval is longer if
+     * requests are few.
+     */
     private static final long MIN_INTERVAL_MICROS = 700 * Micros.MILLISECOND;
 
     private static final long MAX_INTERVAL_MICROS = 2 * Micros.SECOND;
@@ -21,8 +25,8 @@
     private static final double MIN_REQUESTS_PER_SECOND = 0.1;
 
     /**
-     * Where the endpoint list shows free capacity at no cost, checks may cost this part of the
-     * value of a request.
+     * The fraction of the value of a request that checks may cost, if the endpoint list already
+     * shows the free capacity at no cost.
      */
     private static final double COST_PER_REQUEST = 0.008;
 
@@ -31,7 +35,7 @@
     private final MachineTracker machines;
     private final OutlierEjection ejection;
     private final RequestRate requestRate;
-    private double credit;
+    private double checkBudget;
 
     HealthChecker(
             Settings settings,
@@ -46,13 +50,14 @@
         this.requestRate = requestRate;
     }
 
-    /** Sends the checks that are due, {@code passedMicros} after the last call. */
-    void checkDueMachines(long passedMicros) {
+    /** Sends the health checks that are due, {@code elapsedMicros} after the last call. */
+    void checkDueMachines(long elapsedMicros) {
         ejection.refreshAnyEjected();
         List<TrackedMachine> candidates = new ArrayList<>();
-        for (TrackedMachine machine : machines.ready()) {
+        for (TrackedMachine machine : machines.readyMachines()) {
             if (machine.health().isHealthCheckDue(context.nowMicros())) {
-                // An ejected machine proves itself by a health check, not at the cost of a task.
+                // An ejected machine is readmitted by a health check rather than by risking a task
+                // on it.
                 check(machine);
             } else if (!machine.isHealthCheckInFlight() && !machine.health().isEjected()) {
                 candidates.add(machine);
@@ -60,28 +65,29 @@
         }
         if (settings.loadReportMode() != LoadReportMode.NONE
                 && !candidates.isEmpty()
-                && !machines.outnumberedByPlacers()) {
-            checkLeastRecentlyHeard(candidates, passedMicros);
+                && !machines.isOutnumberedByPlacers()) {
+            checkLeastRecentlyContacted(candidates, elapsedMicros);
         }
     }
 
     /**
-     * Spends the credit on the machines heard from least recently. Where responses carry reports,
-     * these are the machines that sent none, whose samples would otherwise never change.
+     * Spends the check budget on the machines with the least recent contact. If load reports come
+     * with responses, these are the machines that get no offers, whose samples would otherwise
+     * never change.
      */
-    private void checkLeastRecentlyHeard(List<TrackedMachine> candidates, long passedMicros) {
+    private void checkLeastRecentlyContacted(List<TrackedMachine> candidates, long elapsedMicros) {
         double intervalMicros = intervalMicros(candidates.size());
-        credit =
+        checkBudget =
                 Math.min(
                         candidates.size(),
-                        credit + passedMicros * candidates.size() / intervalMicros);
-        candidates.sort(Comparator.comparingLong(machine -> machine.load().lastHeardMicros()));
+                        checkBudget + elapsedMicros * candidates.size() / intervalMicros);
+        candidates.sort(Comparator.comparingLong(machine -> machine.load().lastContactMicros()));
         for (TrackedMachine machine : candidates) {
-            long silentMicros = context.nowMicros() - machine.load().lastHeardMicros();
-            if (credit < 1 || silentMicros < intervalMicros) {
+            long sinceContactMicros = context.nowMicros() - machine.load().lastContactMicros();
+            if (checkBudget < 1 || sinceContactMicros < intervalMicros) {
                 return;
             }
-            credit--;
+            checkBudget--;
             check(machine);
         }
     }
@@ -100,7 +106,7 @@
                 * Math.max(MIN_INTERVAL_MICROS, Math.min(MAX_INTERVAL_MICROS, intervalByRequests));
     }
 
-    /** Sends a check unless one is in flight or the settings allow none. */
+    /** Sends a health check unless one is in flight or the settings disable health checks. */
     void check(TrackedMachine machine) {
         if (!machine.isHealthCheckInFlight() && settings.limits().healthChecks()) {
             machine.setHealthCheckInFlight(true);
@@ -108,22 +114,22 @@
         }
     }
 
-    /** Takes the result of a check; returns false if the machine is not known. */
+    /** Processes the result of a health check. Returns false if the machine is not known. */
     boolean complete(HealthCheckCompleted event) {
         TrackedMachine machine = machines.find(event.machine());
         if (machine == null) {
             return false;
         }
         machine.setHealthCheckInFlight(false);
-        machine.load().markHeard(context.nowMicros());
+        machine.load().recordContact(context.nowMicros());
         if (event.answered()) {
-            machine.health().markAnswered(context.nowMicros());
+            machine.health().recordResponse(context.nowMicros());
             machines.recordReport(machine, event.report());
             if (machine.health().isHealthCheckDue(context.nowMicros())) {
                 ejection.markHealthy(machine);
             }
         } else if (machine.health().isEjected()) {
-            ejection.extend(machine);
+            ejection.extendEjection(machine);
         }
         return true;
     }
--- a/decisions/src/main/java/thornferry/decisions/placement/Interval.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/Interval.java
@@ -1,10 +1,10 @@
 package thornferry.decisions.placement;
 
-/** Arithmetic on intervals. */
+/** Arithmetic on closed intervals. */
 final class Interval {
     private Interval() {}
 
-    /** The nearest value from 0 to 1. */
+    /** Returns the value from 0 to 1 that is nearest to the argument. */
     static double clampToUnit(double value) {
         return value < 0 ? 0 : Math.min(value, 1);
     }
--- a/decisions/src/main/java/thornferry/decisions/placement/InvalidSettingException.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/InvalidSettingException.java
@@ -1,6 +1,6 @@
 package thornferry.decisions.placement;
 
-/** A setting of the placement policy that is missing or out of its range. */
+/** Thrown if a setting of the placement policy is missing or out of range. */
 public final class InvalidSettingException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
 
@@ -8,7 +8,7 @@
      * Creates the exception.
      *
      * @param setting the name of the setting
-     * @param value its value as text
+     * @param value the rejected value as text
      * @param requirement what the value must be, as in "must be positive"
      */
     InvalidSettingException(String setting, String value, String requirement) {
--- a/decisions/src/main/java/thornferry/decisions/placement/ListSubscription.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/ListSubscription.java
@@ -4,9 +4,12 @@
 import thornferry.decisions.placement.Placement.Settings;
 import thornferry.decisions.placement.Placement.Subscribe;
 
-/** Keeps the subscription to the endpoint list alive, with exponential backoff after failures. */
+/** Keeps the subscription to the endpoint list active, with exponential backoff after failures. */
 final class ListSubscription {
-    /** Backoff after a failure; it doubles up to the maximum, well below the age lists may have. */
+    /**
+     * The backoff after the first failure. It doubles up to the maximum, which is well below the
+     * age that a list may have.
+     */
     private static final long MIN_BACKOFF_MICROS = 300 * Micros.MILLISECOND;
 
     private static final long MAX_BACKOFF_MICROS = 2 * Micros.SECOND;
@@ -22,14 +25,15 @@
         this.context = context;
     }
 
-    /** Whether there is a subscription that has not failed; false where none is needed. */
+    /** Returns whether there is a subscription that has not failed; false if none is needed. */
     boolean isActive() {
         return active;
     }
 
     /**
-     * Takes the kind of a list message. Any failed call may have been the subscription; without
-     * renewing it then, the list would silently grow stale.
+     * Updates the state of the subscription by the kind of a list message. A message of kind FAILED
+     * may report the loss of the subscription, so the subscription is renewed; otherwise the list
+     * would become stale without notice.
      */
     void update(ListUpdateKind kind) {
         if (kind == ListUpdateKind.FAILED) {
@@ -44,7 +48,10 @@
         }
     }
 
-    /** Subscribes if that is needed and due; the subscription counts as active until it fails. */
+    /**
+     * Subscribes if a subscription is needed and due. The subscription counts as active until it
+     * fails.
+     */
     void renewIfDue() {
         if (settings.listNeedsSubscription()
                 && !active
--- a/decisions/src/main/java/thornferry/decisions/placement/MachineHealth.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/MachineHealth.java
@@ -5,46 +5,53 @@
 import thornferry.decisions.placement.Placement.FilterReason;
 
 /**
- * Whether one machine may get offers: the state behind {@link OutlierEjection}.
+ * The health state of one machine, which {@link OutlierEjection} maintains: whether the machine may
+ * get offers.
  *
- * <p>An exclusion of the whole machine has one cause at a time; an ejection for one task class is
- * independent of it.
+ * <p>The machine as a whole is excluded for one cause at a time. Ejections for single task classes
+ * are independent of that.
  */
 final class MachineHealth {
-    /** First duration of the ejection of a machine; it doubles up to the maximum. */
+    /**
+     * The duration of the first ejection of a machine. It doubles with each further ejection, up to
+     * the maximum.
+     */
     static final long MIN_EJECTION_MICROS = 1 * Micros.SECOND;
 
     static final long MAX_EJECTION_MICROS = 8 * Micros.SECOND;
 
-    /** The same for one task class, for which no health check can end the ejection. */
+    /**
+     * The duration of the first ejection for one task class. It doubles likewise, up to the
+     * maximum. No health check can end it early.
+     */
     static final long MIN_CLASS_EJECTION_MICROS = 2 * Micros.SECOND;
 
     static final long MAX_CLASS_EJECTION_MICROS = 16 * Micros.SECOND;
 
-    /** How long a machine whose queue was full gets no offer. */
-    private static final long QUEUE_FULL_MICROS = 200 * Micros.MILLISECOND;
+    /** How long a machine gets no offer after it rejected one because its queue was full. */
+    private static final long QUEUE_FULL_EXCLUSION_MICROS = 200 * Micros.MILLISECOND;
 
     /**
-     * How long a machine that evacuates its tasks gets no offer, unless it restarts: the endpoint
-     * list is less late than this.
+     * How long a machine that evacuates its tasks gets no offer, unless it restarts. The delay of
+     * the endpoint list is shorter than this.
      */
-    private static final long LEAVING_MICROS = 5 * Micros.SECOND;
+    private static final long SHUTDOWN_EXCLUSION_MICROS = 5 * Micros.SECOND;
 
-    /** The part of the error rate that each accepted attempt leaves. */
+    /** The factor by which each accepted attempt reduces the error rate. */
     private static final double ERROR_RATE_DECAY = 0.7;
 
     private static final long LONG_AGO_MICROS = Long.MIN_VALUE / 2;
 
     private enum Exclusion {
-        /** Ends with time alone. */
+        /** The exclusion ends after a time. */
         TIMED,
-        /** As TIMED, because the machine's queue was full. */
+        /** The exclusion ends after a time; the machine's queue was full. */
         QUEUE_FULL,
-        /** Ends by a successful health check or an accepted attempt. */
+        /** The exclusion ends with a successful health check or an accepted attempt. */
         UNTIL_HEALTHY
     }
 
-    /** The ejection of a machine for one task class; its duration doubles with repetition. */
+    /** The ejection of a machine for one task class. Its duration doubles with each repetition. */
     private record ClassEjection(long untilMicros, long durationMicros) {}
 
     private final Map<String, ClassEjection> classEjections = new HashMap<>();
@@ -52,20 +59,20 @@
     private long excludedUntilMicros;
     private long ejectionMicros;
     private boolean unreachable;
-    private long lastAnswerMicros = LONG_AGO_MICROS;
+    private long lastResponseMicros = LONG_AGO_MICROS;
     private double errorRate;
 
-    /** Whether the machine is ejected until a health check succeeds. */
+    /** Returns whether the machine is ejected until a health check succeeds. */
     boolean isEjected() {
         return exclusion == Exclusion.UNTIL_HEALTHY;
     }
 
-    /** Whether the machine is ejected and its next health check is due. */
+    /** Returns whether the machine is ejected and its next health check is due. */
     boolean isHealthCheckDue(long nowMicros) {
         return isEjected() && nowMicros >= excludedUntilMicros;
     }
 
-    /** Why the machine gets no offer for now apart from an ejection, null where it may. */
+    /** Returns the reason of an exclusion that ends after a time, or null if there is none. */
     FilterReason timedExclusion(long nowMicros) {
         if (isEjected() || nowMicros >= excludedUntilMicros) {
             return null;
@@ -81,9 +88,10 @@
     }
 
     /**
-     * Ejects the machine, twice as long as the last time.
+     * Ejects the machine for twice as long as the last time.
      *
-     * @param healthChecks whether health checks are available; without them time alone ends it
+     * @param healthChecks whether health checks are available; without them the ejection ends after
+     *     a time
      * @return false if the machine is ejected already
      */
     boolean eject(long nowMicros, boolean healthChecks) {
@@ -97,7 +105,9 @@
         return true;
     }
 
-    /** Ejects the machine for one task class, twice as long as the last time if that is recent. */
+    /**
+     * Ejects the machine for one task class, for twice as long as the last time if that was recent.
+     */
     void ejectForClass(String taskClass, long nowMicros) {
         ClassEjection last = classEjections.get(taskClass);
         long durationMicros =
@@ -109,28 +119,32 @@
     }
 
     void excludeForFullQueue(long nowMicros) {
-        excludedUntilMicros = nowMicros + QUEUE_FULL_MICROS;
+        excludedUntilMicros = nowMicros + QUEUE_FULL_EXCLUSION_MICROS;
         exclusion = Exclusion.QUEUE_FULL;
     }
 
     /**
-     * Excludes a machine that appears to shut down before the list says so: having evacuated its
-     * tasks it would look the least loaded. A machine that evacuates tasks for another reason is
-     * excluded as long.
+     * Excludes a machine that appears to be shutting down before the endpoint list shows it.
+     * Without the exclusion it would get more offers, since a machine that has evacuated its tasks
+     * looks the least loaded. A machine that evacuates tasks for another reason is excluded for the
+     * same time.
      */
-    void excludeAsLeaving(long nowMicros) {
+    void excludeAsShuttingDown(long nowMicros) {
         if (exclusion == Exclusion.QUEUE_FULL) {
             exclusion = Exclusion.TIMED;
         }
-        excludedUntilMicros = Math.max(excludedUntilMicros, nowMicros + LEAVING_MICROS);
+        excludedUntilMicros = Math.max(excludedUntilMicros, nowMicros + SHUTDOWN_EXCLUSION_MICROS);
     }
 
-    /** Extends an ejection after a health check that failed. */
+    /** Extends an ejection after a failed health check. */
     void extendEjection(long untilMicros) {
         excludedUntilMicros = untilMicros;
     }
 
-    /** The machine has answered: ends an ejection, but no exclusion that ends with time. */
+    /**
+     * Records that the machine has responded. This ends an ejection, but not an exclusion that ends
+     * after a time.
+     */
     void markHealthy(long nowMicros) {
         if (isEjected()) {
             excludedUntilMicros = 0;
@@ -138,10 +152,13 @@
         }
         unreachable = false;
         ejectionMicros = 0;
-        lastAnswerMicros = nowMicros;
+        lastResponseMicros = nowMicros;
     }
 
-    /** The machine has restarted: nothing that was seen of it before counts. */
+    /**
+     * Clears the state of a machine that has restarted, since observations of its last incarnation
+     * do not apply.
+     */
     void reset() {
         exclusion = Exclusion.TIMED;
         unreachable = false;
@@ -155,20 +172,26 @@
         unreachable = true;
     }
 
-    /** Whether the machine was out of reach since it last answered, and so may have restarted. */
+    /**
+     * Returns whether the machine was unreachable since its last response and so may have
+     * restarted.
+     */
     boolean isUnreachable() {
         return unreachable;
     }
 
-    void markAnswered(long nowMicros) {
-        lastAnswerMicros = nowMicros;
+    void recordResponse(long nowMicros) {
+        lastResponseMicros = nowMicros;
     }
 
-    long lastAnswerMicros() {
-        return lastAnswerMicros;
+    long lastResponseMicros() {
+        return lastResponseMicros;
     }
 
-    /** The smoothed part of recent attempts that ended in errors here and succeeded elsewhere. */
+    /**
+     * Returns the smoothed fraction of recent attempts that ended in an error on this machine and
+     * were accepted by another one.
+     */
     double errorRate() {
         return errorRate;
     }
--- a/decisions/src/main/java/thornferry/decisions/placement/MachineSampler.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/MachineSampler.java
@@ -9,13 +9,14 @@
 
 /**
  * Draws the machines that are scored for a task: a random sample of about twice the square root of
- * the eligible ones, and those on which the service's program is or is expected.
+ * the number of eligible machines, and the machines that have or are expected to have the service's
+ * program.
  *
- * <p>Scoring a sample instead of all keeps placers with the same, late view of the load from
- * choosing the same machine at once.
+ * <p>Scoring a sample instead of all machines keeps placers with the same, outdated view of the
+ * load from choosing the same machine at the same time.
  */
 final class MachineSampler {
-    /** Sampled machines per square root of the eligible ones. */
+    /** The sample size divided by the square root of the number of eligible machines. */
     private static final double SAMPLE_FACTOR = 2.0;
 
     private final SplittableRandom random;
@@ -34,17 +35,17 @@
         this.affinity = affinity;
     }
 
-    /** Draws a sample from the eligible machines, which it reorders. */
+    /** Draws a sample from the eligible machines, whose list is reordered. */
     Set<TrackedMachine> sample(TrackedTask task, List<TrackedMachine> eligible) {
         Set<TrackedMachine> sample = new LinkedHashSet<>(task.preferredMachines());
         sample.addAll(task.healthCheckRound().machines());
         if (preferredMachines.areNeeded()) {
-            // A random sample of a large cluster would hardly include these.
+            // A random sample of a large cluster would rarely include these machines.
             sample.addAll(affinity.machinesOf(task.service()));
         }
         sample.retainAll(eligible);
-        int drawn = Math.min(eligible.size(), sampleSize(eligible.size()));
-        for (int i = 0; i < drawn; i++) {
+        int drawCount = Math.min(eligible.size(), sampleSize(eligible.size()));
+        for (int i = 0; i < drawCount; i++) {
             Collections.swap(eligible, i, i + random.nextInt(eligible.size() - i));
             sample.add(eligible.get(i));
         }
@@ -53,7 +54,9 @@
 
     private int sampleSize(int eligibleMachines) {
         int population =
-                machines.outnumberedByPlacers() ? machines.ready().size() : eligibleMachines;
+                machines.isOutnumberedByPlacers()
+                        ? machines.readyMachines().size()
+                        : eligibleMachines;
         return (int) Math.ceil(SAMPLE_FACTOR * Math.sqrt(population));
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/placement/MachineScorer.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/MachineScorer.java
@@ -4,7 +4,7 @@
 import thornferry.decisions.placement.Placement.Settings;
 
 /**
- * Scores machines for a task as a weighted sum of what the placement would cost; lower is better.
+ * Scores machines for a task by a weighted sum of the costs of placing it there; lower is better.
  */
 final class MachineScorer {
     private static final double OVERLOAD_WEIGHT = 3.0;
@@ -13,18 +13,29 @@
     private static final double QUEUE_WEIGHT = 0.6;
     private static final double UTILIZATION_WEIGHT = 0.3;
 
-    /** Multiplies the utilization term where machines in use cost nothing and load is spread. */
+    /**
+     * The factor of the utilization term if machines in use cost nothing, so that load is spread.
+     */
     private static final double SPREAD_FACTOR = 2.5;
 
-    /** Multiplies the set-up term with preferred machines: placers only meet there together. */
+    /**
+     * The factor of the set-up term if the service has preferred machines. It is large because only
+     * placers that choose these machines share the set-up.
+     */
     private static final double PREFERRED_FACTOR = 3.0;
 
-    /** Core utilization counts as overload from this far below its limit, up to the full term. */
+    /**
+     * How far below its limit core utilization begins to count as overload. The cost reaches its
+     * maximum {@link #CORE_OVERLOAD_RANGE} above that point.
+     */
     private static final double CORE_OVERLOAD_MARGIN = 0.1;
 
     private static final double CORE_OVERLOAD_RANGE = 0.3;
 
-    /** Memory above this part in use slows tasks: avoided by weight, then by the filter. */
+    /**
+     * The fraction of memory in use above which tasks slow down. It is avoided by this cost, and
+     * further up by {@link CapacityFilter}.
+     */
     private static final double MEMORY_OVERLOAD_START = 0.85;
 
     private static final double MEMORY_OVERLOAD_RANGE = 0.15;
@@ -48,21 +59,22 @@
         this.affinity = affinity;
     }
 
+    /** Returns the cost of placing the task on the machine; lower is better. */
     double score(TrackedMachine machine, TrackedTask task) {
-        double cores = utilization.withTask(machine, task, Resource.CORES);
-        double memory = utilization.withTask(machine, task, Resource.MEMORY);
+        double cores = utilization.utilizationWithTask(machine, task, Resource.CORES);
+        double memory = utilization.utilizationWithTask(machine, task, Resource.MEMORY);
         double setupFactor = task.preferredMachines().isEmpty() ? 1 : PREFERRED_FACTOR;
-        double setup = SETUP_WEIGHT * setupFactor * affinity.setupLikelihood(machine, task);
+        double setupCost = SETUP_WEIGHT * setupFactor * affinity.setupLikelihood(machine, task);
         boolean sameZone = machine.entry().zone().equals(settings.zone());
-        return OVERLOAD_WEIGHT * overload(cores, memory)
+        return OVERLOAD_WEIGHT * overloadCost(cores, memory)
                 + UTILIZATION_WEIGHT * utilizationCost(cores, memory)
-                + setup
-                + QUEUE_WEIGHT * queue(machine)
-                + errors(machine, task)
+                + setupCost
+                + QUEUE_WEIGHT * queueCost(machine)
+                + errorCost(machine, task)
                 + settings.costWeights().crossZone() * (sameZone ? 0 : 1);
     }
 
-    private double overload(double cores, double memory) {
+    private double overloadCost(double cores, double memory) {
         double coreExcess = cores - classes.maxCoreUtilization() + CORE_OVERLOAD_MARGIN;
         double memoryExcess = memory - MEMORY_OVERLOAD_START;
         return Interval.clampToUnit(coreExcess / CORE_OVERLOAD_RANGE)
@@ -70,22 +82,27 @@
     }
 
     /**
-     * Where machines in use are priced, fuller ones are better (bin packing); else emptier ones.
+     * Returns the cost of the machine's utilization. If machines in use have a cost, fuller ones
+     * are better (bin packing); otherwise emptier ones are better.
      */
     private double utilizationCost(double cores, double memory) {
-        double utilizationPart = Math.max(cores, memory);
+        double maxUtilization = Math.max(cores, memory);
         return settings.costWeights().machineInUse() > 0
-                ? 1 - utilizationPart
-                : SPREAD_FACTOR * utilizationPart;
+                ? 1 - maxUtilization
+                : SPREAD_FACTOR * maxUtilization;
     }
 
-    private double queue(TrackedMachine machine) {
-        double waiting = Math.max(utilization.queueLength(machine), machine.load().pendingStarts());
-        return Interval.clampToUnit(waiting / MAX_QUEUE_LENGTH);
+    private double queueCost(TrackedMachine machine) {
+        double queuedTasks =
+                Math.max(utilization.queueLength(machine), machine.load().pendingStarts());
+        return Interval.clampToUnit(queuedTasks / MAX_QUEUE_LENGTH);
     }
 
-    /** Errors cost other tasks little, since they are retried, but fail a non-idempotent one. */
-    private static double errors(TrackedMachine machine, TrackedTask task) {
+    /**
+     * Returns the cost of the machine's error rate. It counts for non-idempotent tasks alone: an
+     * error fails such a task, while others are retried.
+     */
+    private static double errorCost(TrackedMachine machine, TrackedTask task) {
         return task.taskClass().idempotency() == Idempotency.NON_IDEMPOTENT
                 ? ERROR_WEIGHT * machine.health().errorRate()
                 : 0;
--- a/decisions/src/main/java/thornferry/decisions/placement/MachineTracker.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/MachineTracker.java
@@ -12,18 +12,21 @@
 import thornferry.decisions.placement.Placement.MachineListUpdated;
 import thornferry.decisions.placement.Placement.Settings;
 
-/** The machines that this placer knows, updated from the endpoint list and from load reports. */
+/** The machines that this placer knows, as shown by the endpoint list and by load reports. */
 final class MachineTracker {
-    /** A load report misses what was sent less than this before it: its refresh and the delay. */
+    /**
+     * The age of a load report: tasks that were sent less than this time before its arrival are
+     * missing. It covers the refresh interval of reports and the network delay.
+     */
     static final long REPORT_LAG_MICROS = 1100 * Micros.MILLISECOND;
 
-    /** The same for an entry of the endpoint list. */
+    /** The age of an entry of the endpoint list at its arrival. */
     private static final long LIST_LAG_MICROS = 2500 * Micros.MILLISECOND;
 
     private final Settings settings;
     private final EventContext context;
     private final ServiceAffinity affinity;
-    private final Map<String, TrackedMachine> machines = new LinkedHashMap<>();
+    private final Map<String, TrackedMachine> machinesById = new LinkedHashMap<>();
     private final List<TrackedMachine> readyMachines = new ArrayList<>();
 
     MachineTracker(Settings settings, EventContext context, ServiceAffinity affinity) {
@@ -32,41 +35,41 @@
         this.affinity = affinity;
     }
 
-    /** The machine of this id, null if it is not known. */
+    /** Returns the machine with this id, or null if it is not known. */
     TrackedMachine find(String id) {
-        return machines.get(id);
+        return machinesById.get(id);
     }
 
     TrackedMachine findOrAdd(String id) {
-        return machines.computeIfAbsent(id, TrackedMachine::new);
+        return machinesById.computeIfAbsent(id, TrackedMachine::new);
     }
 
-    /** The machines that are listed as ready, in the order in which they became known. */
-    List<TrackedMachine> ready() {
+    /** Returns the machines that are listed as ready, in the order in which they became known. */
+    List<TrackedMachine> readyMachines() {
         return readyMachines;
     }
 
-    Collection<TrackedMachine> all() {
-        return machines.values();
+    Collection<TrackedMachine> allMachines() {
+        return machinesById.values();
     }
 
     /**
-     * Whether there are more placers than machines, so that this one sees little of each machine
-     * and learns only by chance where programs run.
+     * Returns whether there are more placers than machines. In that case this placer has few tasks
+     * on each machine and rarely knows where programs run.
      */
-    boolean outnumberedByPlacers() {
-        return settings.instanceCount() > machines.size();
+    boolean isOutnumberedByPlacers() {
+        return settings.instanceCount() > machinesById.size();
     }
 
-    /** Takes the entries of a list message that did not fail. */
+    /** Updates the machines from the entries of a list message whose kind is not FAILED. */
     void updateList(MachineListUpdated event) {
         if (event.kind() != ListUpdateKind.DELTA) {
-            // A machine that a full list lacks is gone, though no entry says so.
-            machines.values().forEach(machine -> machine.markAbsent(context.nowMicros()));
+            // A machine that is missing from a full list is gone, though no entry says so.
+            machinesById.values().forEach(machine -> machine.markAbsent(context.nowMicros()));
         }
         event.entries().forEach(this::updateEntry);
         readyMachines.clear();
-        for (TrackedMachine machine : machines.values()) {
+        for (TrackedMachine machine : machinesById.values()) {
             if (machine.isReady()) {
                 readyMachines.add(machine);
             }
@@ -88,10 +91,10 @@
         if (restarted) {
             machine.health().reset();
             machine.load().dropChangesBefore(Long.MAX_VALUE);
-            affinity.forgetIdle(machine);
-            machine.load().forgetSamples();
+            affinity.removeIdleServices(machine);
+            machine.load().clearSamples();
         }
-        if (listReplacesReports(machine)) {
+        if (isListNewerThanReports(machine)) {
             machine.load()
                     .sampleFreeCapacity(
                             entry.freeCores(),
@@ -101,16 +104,18 @@
         }
     }
 
-    /** Whether the list's free capacity is the best sample that there is of the machine. */
-    private boolean listReplacesReports(TrackedMachine machine) {
+    /**
+     * Returns whether the free capacity in the list is newer than any load report of the machine.
+     */
+    private boolean isListNewerThanReports(TrackedMachine machine) {
         MachineLoad load = machine.load();
         return settings.listShowsFreeCapacity()
                 && (settings.loadReportMode() == LoadReportMode.NONE
                         || !load.hasSample()
-                        || load.uncoveredSinceMicros() < context.nowMicros() - LIST_LAG_MICROS);
+                        || load.latestSampleMicros() < context.nowMicros() - LIST_LAG_MICROS);
     }
 
-    /** Takes a load report, which is null where the machine sent none. */
+    /** Updates the machine's load from a report, which is null if the machine sent none. */
     void recordReport(TrackedMachine machine, LoadReport report) {
         if (report == null) {
             return;
@@ -123,12 +128,13 @@
     }
 
     /**
-     * Forgets machines that are gone for longer than any ejection lasts, so that one that comes
-     * back soon is still known.
+     * Removes machines that have been gone for longer than any ejection lasts. A machine that
+     * returns sooner keeps its state.
      */
     void prune() {
         long goneBeforeMicros = context.nowMicros() - MachineHealth.MAX_CLASS_EJECTION_MICROS;
-        machines.values()
+        machinesById
+                .values()
                 .removeIf(
                         machine ->
                                 machine.goneSinceMicros() < goneBeforeMicros
--- a/decisions/src/main/java/thornferry/decisions/placement/OfferHealthChecks.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/OfferHealthChecks.java
@@ -7,20 +7,21 @@
 import thornferry.decisions.placement.TrackedTask.HealthCheckRound;
 
 /**
- * Health checks of a few machines just before an offer, where placers are many and machines report
- * their load on health checks alone, so that samples are old.
+ * Health checks of a few machines just before an offer. They are sent if placers outnumber machines
+ * and load reports come with health checks alone, so that load samples are old.
  *
- * <p>Where the endpoint list shows no free capacity, the first offer waits for the preferred
- * machines; where it does, an offer after a failed one waits for the best few machines.
+ * <p>If the endpoint list shows no free capacity, the first offer waits for checks of the preferred
+ * machines. If it does, each offer after a failed attempt waits for checks of the machines with the
+ * best scores.
  */
 final class OfferHealthChecks {
-    private static final int MACHINES = 3;
+    private static final int MAX_MACHINES = 3;
 
-    /** How long an offer waits for the results. */
-    private static final long WAIT_MICROS = 80 * Micros.MILLISECOND;
+    /** How long an offer waits for the results of the checks. */
+    private static final long MAX_WAIT_MICROS = 80 * Micros.MILLISECOND;
 
-    /** A machine whose last report is less old than this is not checked. */
-    private static final long FRESH_MICROS = 400 * Micros.MILLISECOND;
+    /** The age below which a load report is fresh enough, so that the machine is not checked. */
+    private static final long MAX_FRESH_AGE_MICROS = 400 * Micros.MILLISECOND;
 
     private final Settings settings;
     private final EventContext context;
@@ -39,15 +40,15 @@
     }
 
     /**
-     * Starts the checks for the next attempt, or takes their results into account.
+     * Starts the health checks for the next attempt, or applies their results to the ranking.
      *
-     * @param ranked the sampled machines, best first; for an attempt after a failed one, reduced to
-     *     those whose checks have completed as soon as there are any
-     * @return whether the offer has to wait
+     * @param ranked the sampled machines, best first. For an attempt after a failed one, the list
+     *     is reduced to the machines whose checks have completed, once there are any
+     * @return whether the offer must wait for results
      */
     boolean mustWait(TrackedTask task, List<TrackedMachine> ranked) {
         boolean firstAttempt = task.attempts() == 0;
-        if (!machines.outnumberedByPlacers()
+        if (!machines.isOutnumberedByPlacers()
                 || settings.loadReportMode() != LoadReportMode.ON_HEALTH_CHECK
                 || firstAttempt == settings.listShowsFreeCapacity()) {
             return false;
@@ -64,14 +65,15 @@
     }
 
     private void start(TrackedTask task, List<TrackedMachine> candidates) {
-        List<TrackedMachine> chosen =
-                new ArrayList<>(candidates.subList(0, Math.min(MACHINES, candidates.size())));
+        List<TrackedMachine> checkedMachines =
+                new ArrayList<>(candidates.subList(0, Math.min(MAX_MACHINES, candidates.size())));
         task.setHealthCheckRound(
-                new HealthCheckRound(task.attempts(), context.nowMicros() + WAIT_MICROS, chosen));
+                new HealthCheckRound(
+                        task.attempts(), context.nowMicros() + MAX_WAIT_MICROS, checkedMachines));
         long staleBeforeMicros =
-                context.nowMicros() - MachineTracker.REPORT_LAG_MICROS - FRESH_MICROS;
-        for (TrackedMachine machine : chosen) {
-            if (machine.load().uncoveredSinceMicros() < staleBeforeMicros) {
+                context.nowMicros() - MachineTracker.REPORT_LAG_MICROS - MAX_FRESH_AGE_MICROS;
+        for (TrackedMachine machine : checkedMachines) {
+            if (machine.load().latestSampleMicros() < staleBeforeMicros) {
                 healthChecker.check(machine);
             }
         }
--- a/decisions/src/main/java/thornferry/decisions/placement/OfferSender.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/OfferSender.java
@@ -2,15 +2,15 @@
 
 import thornferry.decisions.placement.Placement.Offer;
 
-/** Sends offers, with the timeout and the reservation that belong to each. */
+/** Sends offers, each with a timeout, and reserves the capacity for each. */
 final class OfferSender {
     /**
-     * A start that has to set up its program counts as this many starts without set-up in the
-     * machine's queue.
+     * The weight of a start that includes the set-up of the program, as a number of starts without
+     * set-up.
      */
     private static final double SETUP_START_WEIGHT = 6.0;
 
-    /** Above this likelihood a set-up is expected. */
+    /** The likelihood above which a set-up is expected. */
     private static final double SETUP_EXPECTED_LIKELIHOOD = 0.5;
 
     private final EventContext context;
--- a/decisions/src/main/java/thornferry/decisions/placement/OutlierEjection.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/OutlierEjection.java
@@ -7,10 +7,7 @@
 import thornferry.decisions.placement.Placement.OutcomeReason;
 import thornferry.decisions.placement.Placement.Settings;
 
-/**
- * Outlier ejection: judges machines by the outcomes of attempts, excludes those that fail, and
- * readmits them.
- */
+/** Outlier ejection: excludes machines on which attempts fail, and readmits them. */
 final class OutlierEjection {
     private final Settings settings;
     private final EventContext context;
@@ -23,58 +20,62 @@
         this.machines = machines;
     }
 
-    /** Whether any machine was ejected, as of the last tick or since. */
+    /** Returns whether any machine was ejected at the last tick or has been since. */
     boolean isAnyEjected() {
         return anyEjected;
     }
 
-    /** Brings {@link #isAnyEjected} up to date. */
+    /** Recomputes the value of {@link #isAnyEjected}. */
     void refreshAnyEjected() {
         anyEjected = false;
-        for (TrackedMachine machine : machines.ready()) {
+        for (TrackedMachine machine : machines.readyMachines()) {
             anyEjected |= machine.health().isEjected();
         }
     }
 
     /**
-     * Whether most ready machines are ejected, which more likely shows a fault of this placer's own
-     * network than one of so many machines.
+     * Returns whether most ready machines are ejected. The cause is then more likely this placer's
+     * own network than a fault of so many machines.
      */
     boolean areMostMachinesEjected() {
         if (!anyEjected) {
             return false;
         }
         int ejected = 0;
-        for (TrackedMachine machine : machines.ready()) {
+        for (TrackedMachine machine : machines.readyMachines()) {
             if (machine.health().isEjected()) {
                 ejected++;
             }
         }
-        return ejected * 2 > machines.ready().size();
+        return ejected * 2 > machines.readyMachines().size();
     }
 
-    /** A machine has accepted the task. */
+    /**
+     * Updates the health of the machine that has accepted the task, and of those where the task
+     * ended in an error before.
+     */
     void recordAcceptance(TrackedTask task) {
         markHealthy(task.machine());
         task.machine().health().recordSuccess();
-        // A task that fails everywhere is itself at fault: an error counts against a machine only
-        // if another one then accepts the task.
+        // A task that fails on every machine is itself at fault, so an error counts against a
+        // machine only if another machine accepts the task afterwards.
         task.errorMachines().forEach(machine -> machine.health().recordError());
     }
 
-    /** An attempt that was accepted has ended. */
-    void recordEndOfRun(TrackedMachine machine, AttemptEnded event) {
+    /** Updates the machine's health after the end of an accepted attempt. */
+    void recordTermination(TrackedMachine machine, AttemptEnded event) {
         if (event.reason() == OutcomeReason.EVACUATED) {
-            machine.health().excludeAsLeaving(context.nowMicros());
+            machine.health().excludeAsShuttingDown(context.nowMicros());
         } else if (event.outcome() == AttemptOutcome.LOST && event.reason() == OutcomeReason.NONE) {
-            // The process has most likely died: it would break off offers at once and so attract
-            // more of them. What answers there next has restarted, which the list shows late.
+            // The machine's process has most likely died. Offers to it would fail at once, which
+            // would attract further offers. If the machine responds again it has restarted, which
+            // the list shows only later.
             machine.health().markUnreachable();
-            eject(machine, "a running task was lost");
+            eject(machine, "the connection was lost while a task was running");
         }
     }
 
-    /** An attempt that was not accepted has ended. */
+    /** Updates the machine's health after the end of an attempt that was not accepted. */
     void recordFailedAttempt(TrackedTask task, AttemptEnded event) {
         TrackedMachine machine = task.machine();
         boolean rejected = event.outcome() == AttemptOutcome.REJECTED;
@@ -87,7 +88,7 @@
         switch (event.outcome()) {
             case ERROR -> task.errorMachines().add(machine);
             case TIMED_OUT -> recordTimeout(task);
-            case LOST -> eject(machine, "an answer broke off");
+            case LOST -> eject(machine, "the connection was lost during an offer");
             case UNREACHABLE -> {
                 machine.health().markUnreachable();
                 eject(machine, "unreachable");
@@ -107,22 +108,25 @@
                     machine.recordCapacityRejection(nowMicros, Resource.MEMORY, task.requested());
             case QUEUE_FULL -> machine.health().excludeForFullQueue(nowMicros);
             case UNAVAILABLE -> {
-                // For a task with an idempotency key, the machine may only have rejected a copy.
+                // For a task with an idempotency key, the machine may have rejected it as a
+                // duplicate only.
                 if (task.taskClass().idempotency() != Idempotency.IDEMPOTENT_WITH_KEY
                         && task.taskClass().requiredKind() < 0) {
-                    machine.health().excludeAsLeaving(nowMicros);
+                    machine.health().excludeAsShuttingDown(nowMicros);
                 }
             }
-            // Not for lack of capacity: a rate limit of the class, or a start that was abandoned.
+            // The cause is not a lack of capacity but a rate limit of the class or a cancelled
+            // start.
             case NONE -> machine.health().ejectForClass(task.taskClass().name(), nowMicros);
             default -> {}
         }
     }
 
     /**
-     * A machine that leaves one class unanswered while it serves others is ejected for that class
-     * alone, since neither other classes nor health checks show the fault; where placers are many,
-     * this one sees too little of the machine to tell, and a time-out counts for the class as well.
+     * Ejects the machine after a timeout. A machine that has responded since the offer was sent is
+     * ejected for the task's class alone, since neither other classes nor health checks show the
+     * fault. If placers outnumber machines, this placer has too few attempts on the machine to know
+     * whether other classes are served, so the machine is ejected for the class in any case.
      */
     private void recordTimeout(TrackedTask task) {
         MachineHealth health = task.machine().health();
@@ -130,11 +134,11 @@
         if (context.nowMicros() - sentAtMicros < AttemptTimeoutEstimator.MIN_TIMEOUT_MICROS) {
             return;
         }
-        boolean outnumbered = machines.outnumberedByPlacers();
-        if (outnumbered || health.lastAnswerMicros() > sentAtMicros) {
+        boolean outnumbered = machines.isOutnumberedByPlacers();
+        if (outnumbered || health.lastResponseMicros() > sentAtMicros) {
             health.ejectForClass(task.taskClass().name(), context.nowMicros());
         }
-        if (!outnumbered || health.lastAnswerMicros() < sentAtMicros) {
+        if (!outnumbered || health.lastResponseMicros() < sentAtMicros) {
             eject(task.machine(), "an offer timed out");
         }
     }
@@ -147,18 +151,21 @@
         }
     }
 
-    /** A health check of an ejected machine has failed: the next one is due a little later. */
-    void extend(TrackedMachine machine) {
+    /**
+     * Extends the ejection of a machine whose health check has failed, until the next health check
+     * is due.
+     */
+    void extendEjection(TrackedMachine machine) {
         long intervalMicros =
-                machines.outnumberedByPlacers()
+                machines.isOutnumberedByPlacers()
                         ? MachineHealth.MAX_EJECTION_MICROS / 2
                         : MachineHealth.MIN_EJECTION_MICROS / 2;
         machine.health().extendEjection(context.nowMicros() + intervalMicros);
     }
 
     /**
-     * The machine has answered. One that was unreachable may have restarted before the list shows
-     * it, so that slow start applies.
+     * Records that the machine has responded. Slow start applies to a machine that was unreachable,
+     * since it may have restarted without the list showing it yet.
      */
     void markHealthy(TrackedMachine machine) {
         long nowMicros = context.nowMicros();
--- a/decisions/src/main/java/thornferry/decisions/placement/PendingTasks.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/PendingTasks.java
@@ -6,13 +6,13 @@
 import java.util.function.Consumer;
 import thornferry.decisions.placement.Placement.Pending;
 
-/** The tasks that wait because no machine may get an offer of them now. */
+/** The tasks that wait because no machine is eligible for them at present. */
 final class PendingTasks {
     /**
-     * Where placers are many, tasks are retried this often while no event suggests that it would
-     * help.
+     * The interval of retries if placers outnumber machines and no event indicates that a retry may
+     * succeed.
      */
-    static final long RETRY_MICROS = 100 * Micros.MILLISECOND;
+    static final long RETRY_INTERVAL_MICROS = 100 * Micros.MILLISECOND;
 
     private final EventContext context;
     private final MachineTracker machines;
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Adds a task and notifies why it is pending. That is repeated only when it changes, since
-     * pending tasks are retried many times a second.
+     * Adds a task and emits a notification of why it is pending. The notification is emitted again
+     * only when it changes, since pending tasks are retried many times per second.
      */
     void add(TrackedTask task, CandidateSummary candidates) {
         tasks.add(task);
@@ -45,34 +45,38 @@
         }
     }
 
-    /** An event has changed what is known, so that a retry may succeed. */
+    /** Records that an event has changed the state, so that a retry may succeed. */
     void markStateChanged() {
         stateChanged = true;
     }
 
     /**
-     * Hands each task that is due to {@code place}, by descending priority weight: all of them when
-     * something has changed or enough time has passed, else those whose final answer is due.
+     * Passes each task that is due to {@code place}, by descending priority weight. All tasks are
+     * due when the state has changed or the retry interval has passed; otherwise only the tasks
+     * whose result is due.
      */
     void retry(Consumer<TrackedTask> place) {
         if (tasks.isEmpty()) {
             return;
         }
         long nowMicros = context.nowMicros();
-        long intervalMicros = machines.outnumberedByPlacers() ? RETRY_MICROS : Policy.TICK_MICROS;
+        long intervalMicros =
+                machines.isOutnumberedByPlacers()
+                        ? RETRY_INTERVAL_MICROS
+                        : Policy.TICK_INTERVAL_MICROS;
         boolean retryAll = stateChanged || nowMicros - lastRetryMicros >= intervalMicros;
         if (retryAll) {
             lastRetryMicros = nowMicros;
         }
         stateChanged = false;
-        List<TrackedTask> waiting = new ArrayList<>(tasks);
+        List<TrackedTask> waitingTasks = new ArrayList<>(tasks);
         tasks.clear();
-        waiting.sort(Comparator.comparingDouble(task -> -task.taskClass().priorityWeight()));
-        for (TrackedTask task : waiting) {
+        waitingTasks.sort(Comparator.comparingDouble(task -> -task.taskClass().priorityWeight()));
+        for (TrackedTask task : waitingTasks) {
             if (task.stage() != TrackedTask.Stage.WAITING) {
                 continue;
             }
-            if (retryAll || task.isAnswerDue(nowMicros)) {
+            if (retryAll || task.isResultDue(nowMicros)) {
                 place.accept(task);
             } else {
                 tasks.add(task);
--- a/decisions/src/main/java/thornferry/decisions/placement/Placement.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/Placement.java
@@ -4,32 +4,33 @@
 import java.util.function.Consumer;
 
 /**
- * The interface of the placement policy: the settings it is created with, the events it gets and
- * the actions it answers them with.
+ * The interface of the placement policy: its settings, events and actions.
  *
- * <p>One instance decides for one placer. Its host hands it every event together with the current
- * time and carries out the actions in the order given. An instance is not thread-safe. All times
- * and durations are microseconds; amounts of memory are in the unit that the settings use.
+ * <p>One instance decides for one placer. The host of the instance passes it every event with the
+ * current time and executes the actions in order. An instance is not thread-safe. Times and
+ * durations are in microseconds, amounts of memory in the unit of the settings. Each request has
+ * one result unless its client disconnects: a machine accepts the task, or the host must {@link
+ * Reject} or {@link Fail} the request.
  */
 public interface Placement {
     /**
-     * Takes one event and hands the actions that follow from it to {@code actions}, in order.
+     * Processes one event and passes the actions that follow from it to {@code actions}, in order.
      *
-     * @param nowMicros the current time, which never goes back from one call to the next
+     * @param nowMicros the current time, which must not decrease from one call to the next
      */
     void on(long nowMicros, Event event, Consumer<Action> actions);
 
-    /** Whether a task may be started again after an attempt that may have run. */
+    /** The condition under which a task may be started again after an attempt that may have run. */
     enum Idempotency {
-        /** It may, anywhere. */
+        /** The task may be started again on any machine. */
         IDEMPOTENT,
-        /** It may where its idempotency key is known: see {@link TaskClass#keyScope}. */
+        /** The task may be started again where its key is known: see {@link TaskClass#keyScope}. */
         IDEMPOTENT_WITH_KEY,
-        /** It must not. */
+        /** The task must not be started again. */
         NON_IDEMPOTENT
     }
 
-    /** A set of machines: those that share idempotency keys, or over which a service is spread. */
+    /** A set of machines that share idempotency keys or over which a service is spread. */
     enum TopologyScope {
         NONE,
         MACHINE,
@@ -41,37 +42,38 @@
     /** How load reports reach the placer. */
     enum LoadReportMode {
         NONE,
-        /** With the outcomes of attempts and the results of health checks. */
+        /** Reports come with the outcomes of attempts and the results of health checks. */
         WITH_RESPONSES,
-        /** With the results of health checks alone. */
+        /** Reports come with the results of health checks alone. */
         ON_HEALTH_CHECK
     }
 
-    /** What a message of the endpoint list contains. */
+    /** The content of a message of the endpoint list. */
     enum ListUpdateKind {
-        /** All machines, as last known to the sender; possibly old. */
+        /** All machines as last known to the sender, possibly out of date. */
         CACHED,
         FULL,
+        /** The machines that have changed. */
         DELTA,
-        /** Nothing: a request to the list or the subscription failed. */
+        /** No machines, since a request to the list or the subscription failed. */
         FAILED
     }
 
-    /** The state of a machine in the endpoint list; only a READY one takes offers. */
+    /** The state of a machine in the endpoint list. Only a READY machine may get offers. */
     enum MachineState {
         GONE,
         READY,
         DRAINING
     }
 
-    /** How an attempt ended. */
+    /** The way in which an attempt ended. */
     enum AttemptOutcome {
         COMPLETED(false),
         ERROR(false),
         /** The machine did not accept the task; see {@link OutcomeReason}. */
         REJECTED(true),
         TIMED_OUT(false),
-        /** No connection to the machine could be made. */
+        /** No connection to the machine could be established. */
         UNREACHABLE(true),
         /** The connection or the machine was lost. */
         LOST(false),
@@ -79,7 +81,7 @@
         /** The host did not send the offer. */
         NOT_SENT(true);
 
-        /** Whether the outcome proves that the task never ran. */
+        /** True if the outcome proves that the task never ran. */
         public final boolean neverRan;
 
         AttemptOutcome(boolean neverRan) {
@@ -87,58 +89,58 @@
         }
     }
 
-    /** Why an attempt ended as it did, NONE where the machine gave no reason. */
+    /** The reason of an outcome, NONE if the machine gave no reason. */
     enum OutcomeReason {
         NONE,
         INSUFFICIENT_CORES,
         INSUFFICIENT_MEMORY,
-        /** Too many accepted tasks wait for their start. */
+        /** Too many accepted tasks are waiting to be started. */
         QUEUE_FULL,
-        /** The machine takes no tasks, or knows the task's idempotency key from another attempt. */
+        /** The machine takes no tasks, or has the task's idempotency key from another attempt. */
         UNAVAILABLE,
         /** The machine ran out of memory and stopped the task. */
         EVICTED,
-        /** The task made way for one of a higher priority. */
+        /** The machine stopped the task in favor of one with a higher priority. */
         PREEMPTED,
-        /** The machine stopped its tasks in order to leave. */
+        /** The machine stopped its tasks, usually in order to shut down. */
         EVACUATED
     }
 
-    /** Why a ready machine gets no offer of a pending task now; see {@link Pending}. */
+    /** The reason why a ready machine is not eligible for a pending task; see {@link Pending}. */
     enum FilterReason {
-        /** It would lack capacity even with nothing else on it. */
+        /** The machine would lack capacity even if it were empty. */
         MACHINE_TOO_SMALL,
-        /** It is not of the kind that the class requires. */
+        /** The machine is not of the kind that the class requires. */
         WRONG_KIND,
         INSUFFICIENT_CORES,
         INSUFFICIENT_MEMORY,
-        /** It has rejected a task no larger for lack of capacity since its last load report. */
+        /** The machine lacked capacity for a task of at most this size since its last report. */
         RECENTLY_REJECTED,
-        /** It is ejected as an outlier. */
+        /** The machine is ejected as an outlier. */
         MACHINE_EJECTED,
-        /** It is ejected as an outlier for the task's class alone. */
+        /** The machine is ejected as an outlier for the task's class alone. */
         CLASS_EJECTED,
-        /** It has just rejected a task because too many wait for their start. */
+        /** The machine has just rejected a task because too many are waiting to be started. */
         QUEUE_FULL,
-        /** An earlier attempt of this task failed there. */
+        /** An earlier attempt of this task failed on the machine. */
         PREVIOUS_ATTEMPT_FAILED,
-        /** It does not know the idempotency key of an attempt that may have run. */
+        /** The machine does not share the idempotency key of an attempt that may have run. */
         OUTSIDE_KEY_SCOPE,
-        /** It has just started and has had this placer's share of offers (slow start). */
+        /** The machine is in slow start and has received this placer's share of offers. */
         WARMING_UP,
-        /** Its scope runs as many tasks of the service as the class allows. */
+        /** The machine's scope already runs as many tasks of the service as the class allows. */
         SPREAD_LIMIT
     }
 
-    /** What a {@link TaskObserved} event reports. */
+    /** The quantity that a {@link TaskObserved} event reports. */
     enum ObservationKind {
-        /** The task has started; the value has no meaning. */
+        /** The start of the task; the value has no meaning. */
         RUNNING,
         CORES_USED,
         MEMORY_USED,
-        /** What the task has served; the policy makes no use of it. */
+        /** The work that the task has served. The policy ignores it. */
         SERVED,
-        /** The part of the machine's memory in use, 0 to 1. */
+        /** The fraction of the machine's memory in use, 0 to 1. */
         MACHINE_MEMORY
     }
 
@@ -146,18 +148,18 @@
      * A class of tasks.
      *
      * @param keyScope the machines that share idempotency keys
-     * @param keyWindowMicros how long they remember a key
+     * @param keyWindowMicros how long the machines of the key scope remember a key
      * @param latencyObjectiveMicros how soon after its request a task should have started
-     * @param deadlineMicros how long after its request a start is still of use
-     * @param priorityWeight the value of a start in time, relative to other classes
-     * @param lateValue the part of that value that a start after the objective has, 0 to 1
+     * @param deadlineMicros how long after its request a start still has a value
+     * @param priorityWeight the relative value of a start within the latency objective
+     * @param lateValue the fraction of that value that a start after the objective has, 0 to 1
      * @param startSeconds the usual work of a start with set-up, in seconds
-     * @param contentionThreshold the part of a machine's cores in use from which tasks slow down
-     * @param contentionRange how far beyond the threshold the slow-down is complete
+     * @param contentionThreshold the fraction of cores in use above which tasks slow down
+     * @param contentionRange how far above the threshold the slow-down reaches its maximum
      * @param priority tasks of a higher priority may preempt those of a lower one
-     * @param requiredKind index of the machine kind that its tasks require, -1 for any
+     * @param requiredKind the index of the machine kind that tasks of the class require, -1 for any
      * @param spreadScope the scope over which tasks of one service are spread, NONE for none
-     * @param maxTasksPerScope how many tasks of one service a scope may run, if there is a scope
+     * @param maxTasksPerScope how many tasks of one service each spread scope may run
      */
     record TaskClass(
             String name,
@@ -191,7 +193,7 @@
         }
     }
 
-    /** A kind of machine: its name in list entries, and its size. */
+    /** A kind of machine: the name that list entries use for it, and its size. */
     record MachineKind(String name, double cores, double memory) {
         public MachineKind {
             Require.present("machine kind name", name);
@@ -203,8 +205,8 @@
     /**
      * A tenant.
      *
-     * @param share its fair share, relative to other tenants
-     * @param quotaCores its quota of requested cores over all placers, 0 for none
+     * @param share the tenant's fair share, relative to other tenants
+     * @param quotaCores the tenant's quota of requested cores over all placers, 0 for none
      */
     record Tenant(String name, double share, double quotaCores) {
         public Tenant {
@@ -215,10 +217,10 @@
     }
 
     /**
-     * What each thing that its component names costs, relative to the value of a request.
+     * The costs of what the components name, each relative to the value of a request.
      *
-     * @param machineInUse a machine in use; 0 where load should be spread over all machines
-     * @param evictionInMigrations an eviction, as a multiple of a migration
+     * @param machineInUse the cost of a machine in use; 0 if load should be spread widely
+     * @param evictionInMigrations the cost of an eviction, as a multiple of that of a migration
      */
     record CostWeights(
             double machineInUse,
@@ -244,14 +246,14 @@
     /**
      * The rules that a placer must keep.
      *
-     * @param answerGraceMicros how long after {@code maxWaitMicros} a final answer may still come
+     * @param answerGraceMicros how long after {@code maxWaitMicros} a result may still be sent
      * @param drainGraceMicros how long after a list message a draining machine may get offers
      * @param listRequestDeadlineMicros how soon after a failure the list must be requested again
-     * @param slowStartInitialShare the part of its usual pace that a machine has at first, 0 to 1
+     * @param slowStartInitialShare the initial fraction of a machine's normal start rate, 0 to 1
      * @param slowStartMicros how long after its start a machine is warming up
-     * @param slowStartMultiple how many times what it can start a machine that is warming up bears
+     * @param slowStartMultiple the limit on offers, as a multiple of the machine's start rate
      * @param slowStartWindowMicros the window within which offers to such a machine are counted
-     * @param slowStartOffers the offers from all placers in one window that it always bears
+     * @param slowStartOffers the number of offers that all placers may always send in one window
      */
     record Rules(
             long answerGraceMicros,
@@ -275,7 +277,7 @@
     }
 
     /**
-     * What a placer may do.
+     * The actions that a placer may take, and their limits.
      *
      * @param retryAfter whether a rejection may say when to retry
      * @param hedgedRequests whether a task may have a second attempt while the first is in flight
@@ -294,20 +296,20 @@
     }
 
     /**
-     * Everything that a placer gets at its start. The seed is that of its random numbers.
+     * The settings that a placer gets at its start. Its random numbers are drawn from the seed.
      *
-     * @param instanceIndex its number among all placers, from 0
-     * @param classes the task classes; a request that names none of them is of the first
-     * @param reportsMeasureUsage whether load reports count what tasks use; else what they request
+     * @param instanceIndex the number of this placer among all placers, from 0
+     * @param classes the task classes; a request that names none of them belongs to the first one
+     * @param reportsMeasureUsage whether load reports count used rather than requested resources
      * @param listShowsFreeCapacity whether list entries show the free capacity
      * @param listNeedsSubscription whether list messages come only after {@link Subscribe}
-     * @param acceptedWhenRunning whether machines accept a task only when it runs
+     * @param acceptedWhenRunning whether machines accept a task only once it runs
      * @param observesTasks whether there are {@link TaskObserved} events
      * @param preempts whether machines preempt tasks of lower priority
-     * @param onePlacerPerService whether all tasks of a service come to the same placer
-     * @param coresOvercommit the requested cores that machines accept, as a multiple of their own
+     * @param onePlacerPerService whether all requests for a service are sent to the same placer
+     * @param coresOvercommit the requested cores that a machine accepts, as a multiple of its size
      * @param memoryOvercommit the same for memory
-     * @param meanTaskCores the mean of requested cores; {@code meanTaskMemory} of memory
+     * @param meanTaskCores the mean of requested cores; {@code meanTaskMemory} likewise
      * @param overQuotaWeight the factor of the priority weight for tasks over their tenant's quota
      * @param clientRetryMicros how long clients wait before they request a task again
      */
@@ -361,10 +363,10 @@
     /**
      * One entry of the endpoint list.
      *
-     * @param kind the name of its kind; its size is unknown if the settings have no such kind
-     * @param freeCores the free cores, NaN where not shown; {@code freeMemory} likewise
-     * @param weight its weight relative to other machines; the policy makes no use of it
-     * @param startedAtMicros when it last started, 0 for long ago
+     * @param kind the name of the machine kind; the size is unknown if the settings lack it
+     * @param freeCores the free cores, NaN if not shown; {@code freeMemory} likewise
+     * @param weight the machine's weight relative to other machines. The policy ignores it
+     * @param startedAtMicros when the machine last started, 0 for long ago
      */
     record MachineEntry(
             String machine,
@@ -378,11 +380,11 @@
             long startedAtMicros) {}
 
     /**
-     * A client's request to place a task, which requests cores and memory.
+     * A client's request to place a task, with the cores and memory that the task requests.
      *
-     * @param tenant the name of its tenant, null for none
+     * @param tenant the name of the task's tenant, null for none
      * @param task the id of the task, the same for each request to place it
-     * @param maxWaitMicros how long the client waits for the final answer
+     * @param maxWaitMicros how long the client waits for the result
      * @param expectedRunMicros how long the task is expected to run, 0 if unknown
      * @param retry whether the client has requested the task before
      */
@@ -398,33 +400,33 @@
             double memory,
             boolean retry) {}
 
-    /** Something that has happened. */
+    /** An event that the host passes to the policy. */
     sealed interface Event {}
 
-    /** A message of the endpoint list; it has no entries where the kind is FAILED. */
+    /** A message of the endpoint list. It has no entries if the kind is FAILED. */
     record MachineListUpdated(long version, ListUpdateKind kind, List<MachineEntry> entries)
             implements Event {}
 
     /** A client requests a placement. */
     record PlacementRequested(PlacementRequest request) implements Event {}
 
-    /** A task that is running already is this placer's from now on, as its attempt 0. */
+    /** A task that is already running now belongs to this placer, as its attempt 0. */
     record TaskAdopted(PlacementRequest request, String machine) implements Event {}
 
-    /** An observation of a running task; the kind says what the value is. */
+    /** An observation of a running task. The kind defines what the value is. */
     record TaskObserved(
             String requestId, int attempt, String machine, ObservationKind kind, double value)
             implements Event {}
 
-    /** The machine has accepted the task after this time, which is its final answer. */
+    /** The machine has accepted the task, which is the result of the request. */
     record AttemptAccepted(String requestId, int attempt, String machine, long waitedMicros)
             implements Event {}
 
     /**
-     * The one outcome of an attempt, and how long it took.
+     * The end of an attempt. Each attempt ends exactly once.
      *
-     * @param settled whether no final answer is owed any more
-     * @param report the machine's load report, null where it sent none
+     * @param settled whether the request has had its result
+     * @param report the machine's load report, null if it sent none
      */
     record AttemptEnded(
             String requestId,
@@ -437,42 +439,42 @@
             LoadReport report)
             implements Event {}
 
-    /** The result of a health check and how long it took; the report is null where none came. */
+    /** The result of a health check. The report is null if the machine sent none. */
     record HealthCheckCompleted(
             String machine, boolean answered, long waitedMicros, LoadReport report)
             implements Event {}
 
-    /** The client does not wait for the final answer any more. */
+    /** The client has disconnected and no longer waits for the result. */
     record ClientDisconnected(String requestId) implements Event {}
 
-    /** The time of a {@link SetTimer} has come; {@code ref} is the timer's. */
+    /** The timer that {@link SetTimer} set with this {@code ref} has fired. */
     record TimerFired(long ref) implements Event {}
 
-    /** Something that the host is to do. */
+    /** An action that the host must execute. */
     sealed interface Action {}
 
-    /** Offer the task to a machine, as the next attempt; the first one has the number 0. */
+    /** Offer the task to a machine, as the next attempt. The first attempt has the number 0. */
     record Offer(String requestId, String machine, long timeoutMicros) implements Action {}
 
     /** Cancel an attempt. */
     record Cancel(String requestId, int attempt) implements Action {}
 
-    /** Stop a running task; its client requests a placement again soon. */
+    /** Stop a running task, whose client then requests a new placement. */
     record Migrate(String requestId) implements Action {}
 
-    /** A final answer: not placed, safe to retry, best after this time (0 for no hint). */
+    /** Reject the request: a retry is safe, preferably after this time (0 for no hint). */
     record Reject(String requestId, long retryAfterMicros) implements Action {}
 
-    /** A final answer: not placed, though an attempt may have run; a retry may not be safe. */
+    /** Fail the request: an attempt may have run, so that a retry may not be safe. */
     record Fail(String requestId) implements Action {}
 
     /** Check a machine's health. */
     record CheckHealth(String machine) implements Action {}
 
-    /** Send a {@link TimerFired} event with this {@code ref} at this time. */
+    /** Pass a {@link TimerFired} event with this {@code ref} at {@code atMicros}. */
     record SetTimer(long atMicros, long ref) implements Action {}
 
-    /** Begin or end the subscription to the endpoint list. */
+    /** Start or end the subscription to the endpoint list. */
     record Subscribe(boolean enabled) implements Action {}
 
     /** Request a full endpoint list. */
@@ -482,12 +484,11 @@
     record Log(String message) implements Action {}
 
     /**
-     * The task is pending, since no machine may get an offer of it now. Sent again whenever the
-     * reasons change. For information alone.
+     * Report why the task is pending, whenever the reasons change. The host need not act on it.
      *
      * @param machinesByReason the number of ready machines by ordinal of {@link FilterReason}
-     * @param closestMachine the machine that lacks the least capacity, empty if none lacks any
-     * @param missingCores the cores that it lacks at least; {@code missingMemory} likewise
+     * @param closestMachine the machine that lacks the least capacity, empty if there is none
+     * @param missingCores the cores that the closest machine lacks; {@code missingMemory} likewise
      */
     record Pending(
             String requestId,
--- a/decisions/src/main/java/thornferry/decisions/placement/Policy.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/Policy.java
@@ -7,25 +7,29 @@
 import java.util.function.Consumer;
 
 /**
- * The placement policy of one placer: dispatches each event and owns the order of the steps that
- * follow from it, which the other classes of this package carry out.
+ * The placement policy of one placer. It dispatches each event and defines the order of the steps
+ * that follow; the other classes of this package implement the steps.
  *
- * <p>Ordinarily a request passes these steps: filter the ready machines, sample about the square
- * root of the eligible ones, score the sample, offer the task to the best machine.
+ * <p>A request usually passes these steps: filter the ready machines, draw a sample of about twice
+ * the square root of the number of eligible ones, score the sample, offer the task to the machine
+ * with the best score.
  */
 public final class Policy implements Placement {
     /**
-     * Pending tasks, deadlines and health checks are looked after this often: fine beside any
-     * latency objective.
+     * The interval at which pending tasks, deadlines and health checks are processed. It is short
+     * compared to any latency objective.
      */
-    static final long TICK_MICROS = 20 * Micros.MILLISECOND;
+    static final long TICK_INTERVAL_MICROS = 20 * Micros.MILLISECOND;
 
-    /** The interval of timers where placers are many and nothing is pending or ejected. */
-    private static final long IDLE_TICK_MICROS = 1 * Micros.SECOND;
+    /**
+     * The tick interval if placers outnumber machines, no task is pending and no machine is
+     * ejected.
+     */
+    private static final long IDLE_TICK_INTERVAL_MICROS = 1 * Micros.SECOND;
 
     private static final long NO_TIMER = Long.MAX_VALUE;
 
-    /** All timers are for the next tick, so that one reference does for all. */
+    /** The reference of every timer. All timers are for the next tick. */
     private static final long TICK_TIMER_REF = 0;
 
     private static final long NEVER_PRUNED_MICROS = 0;
@@ -56,7 +60,7 @@
     private long lastPruneMicros = NEVER_PRUNED_MICROS;
     private long nextTimerMicros = NO_TIMER;
 
-    /** Creates the policy of one placer, which draws random numbers from the seed alone. */
+    /** Creates the policy of one placer. All its random numbers are drawn from the seed. */
     public Policy(Settings settings) {
         this.settings = settings;
         classes = new TaskClassCatalog(settings.classes());
@@ -121,7 +125,7 @@
         }
     }
 
-    /** Sets a timer for the next tick, unless an earlier one is set. */
+    /** Sets a timer for the next tick, unless one is set that fires no later. */
     private void scheduleTimer() {
         long dueMicros = Math.max(context.nowMicros() + 1, lastTickMicros + tickIntervalMicros());
         if (dueMicros < nextTimerMicros) {
@@ -131,19 +135,19 @@
     }
 
     private long tickIntervalMicros() {
-        if (!pendingTasks.isEmpty() || !machines.outnumberedByPlacers()) {
-            return TICK_MICROS;
+        if (!pendingTasks.isEmpty() || !machines.isOutnumberedByPlacers()) {
+            return TICK_INTERVAL_MICROS;
         }
         return ejection.isAnyEjected() || !listSubscription.isActive()
-                ? PendingTasks.RETRY_MICROS
-                : IDLE_TICK_MICROS;
+                ? PendingTasks.RETRY_INTERVAL_MICROS
+                : IDLE_TICK_INTERVAL_MICROS;
     }
 
     private void tick() {
         long nowMicros = context.nowMicros();
-        long passedMicros = nowMicros - lastTickMicros;
+        long elapsedMicros = nowMicros - lastTickMicros;
         lastTickMicros = nowMicros;
-        requestRate.update(passedMicros);
+        requestRate.update(elapsedMicros);
         if (nowMicros >= nextTimerMicros) {
             nextTimerMicros = NO_TIMER;
         }
@@ -153,7 +157,7 @@
             machines.prune();
         }
         listSubscription.renewIfDue();
-        healthChecker.checkDueMachines(passedMicros);
+        healthChecker.checkDueMachines(elapsedMicros);
         retryPendingTasks();
     }
 
@@ -177,7 +181,7 @@
         }
         TrackedTask task = track(request);
         if (preferredMachines.areNeeded() && !settings.onePlacerPerService()) {
-            task.setPreferredMachines(preferredMachines.of(task.service()));
+            task.setPreferredMachines(preferredMachines.forService(task.service()));
         }
         placeOrPend(task);
     }
@@ -194,28 +198,28 @@
     }
 
     /**
-     * Offers the task, leaves it pending, or sends the final answer where no retry is left or no
-     * tick comes before the client stops waiting.
+     * Offers the task to a machine or leaves it pending. If the task must not be offered again, or
+     * if the client stops waiting before the next tick, the request is rejected or failed.
      */
     private void placeOrPend(TrackedTask task) {
         long nowMicros = context.nowMicros();
         if (rejectOrFail.isRetryForbidden(task) || task.endsBeforeNextTick(nowMicros)) {
-            answerNegatively(task);
+            sendNegativeResult(task);
             return;
         }
         CandidateSummary candidates = candidateFilter.filter(task);
-        TrackedMachine machine = choose(task, candidates);
+        TrackedMachine machine = selectMachine(task, candidates);
         if (machine != null) {
             offers.send(task, machine);
-        } else if (task.isAnswerDue(nowMicros)) {
-            answerNegatively(task);
+        } else if (task.isResultDue(nowMicros)) {
+            sendNegativeResult(task);
         } else {
             pendingTasks.add(task, candidates);
         }
     }
 
-    /** The machine to offer the task to, null if it has to wait. */
-    private TrackedMachine choose(TrackedTask task, CandidateSummary candidates) {
+    /** Returns the machine to offer the task to, or null if the task must wait. */
+    private TrackedMachine selectMachine(TrackedTask task, CandidateSummary candidates) {
         Set<TrackedMachine> sample = sampler.sample(task, candidates.eligible());
         utilization.refreshMeans();
         sample.forEach(machine -> machine.setRank(scorer.score(machine, task)));
@@ -225,7 +229,7 @@
         return mustWait || ranked.isEmpty() ? null : ranked.get(0);
     }
 
-    private void answerNegatively(TrackedTask task) {
+    private void sendNegativeResult(TrackedTask task) {
         tasks.remove(task.id());
         rejectOrFail.send(task);
     }
@@ -237,7 +241,7 @@
         }
         task.accept();
         ejection.recordAcceptance(task);
-        timeouts.recordWait(task, event.waitedMicros());
+        timeouts.recordResponseTime(task, event.waitedMicros());
         if (settings.acceptedWhenRunning()) {
             reservations.markStarted(task);
         }
@@ -253,7 +257,7 @@
         reservations.release(task, accepted);
         machines.recordReport(task.machine(), event.report());
         if (accepted) {
-            ejection.recordEndOfRun(task.machine(), event);
+            ejection.recordTermination(task.machine(), event);
         } else {
             recordFailedAttempt(task, event);
         }
@@ -266,7 +270,7 @@
 
     private void recordFailedAttempt(TrackedTask task, AttemptEnded event) {
         if (event.outcome() == AttemptOutcome.REJECTED && !settings.acceptedWhenRunning()) {
-            timeouts.recordWait(task, event.waitedMicros());
+            timeouts.recordResponseTime(task, event.waitedMicros());
         }
         ejection.recordFailedAttempt(task, event);
     }
@@ -275,9 +279,9 @@
         if (!event.outcome().neverRan) {
             task.recordPossibleRun();
         }
-        boolean copyMayRun = event.reason() == OutcomeReason.UNAVAILABLE && task.mayHaveRun();
-        if (copyMayRun) {
-            answerNegatively(task);
+        boolean duplicateMayRun = event.reason() == OutcomeReason.UNAVAILABLE && task.mayHaveRun();
+        if (duplicateMayRun) {
+            sendNegativeResult(task);
         } else {
             placeOrPend(task);
         }
@@ -321,11 +325,14 @@
         }
     }
 
-    /** The numbers of retained items, by which tests check that nothing is retained for ever. */
+    /** The numbers of retained objects, by which tests check for leaks. */
     record RetainedState(int machines, int tasks, int pendingTasks, int services) {}
 
     RetainedState retainedState() {
         return new RetainedState(
-                machines.all().size(), tasks.size(), pendingTasks.size(), affinity.serviceCount());
+                machines.allMachines().size(),
+                tasks.size(),
+                pendingTasks.size(),
+                affinity.serviceCount());
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/placement/RejectOrFail.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/RejectOrFail.java
@@ -7,9 +7,12 @@
 import thornferry.decisions.placement.Placement.TaskClass;
 import thornferry.decisions.placement.Placement.TopologyScope;
 
-/** The negative final answer of a task: when no retry is left, and which of the two it is. */
+/**
+ * The negative results of a request: determines when a task must not be offered again, and whether
+ * its request is rejected or failed.
+ */
 final class RejectOrFail {
-    /** No hint when to retry: nothing shows when capacity will be free. */
+    /** No hint when to retry, since it is not known when capacity will be free. */
     private static final long NO_RETRY_AFTER_MICROS = 0;
 
     private final Settings settings;
@@ -20,22 +23,22 @@
         this.context = context;
     }
 
-    /** Whether the task must not be offered again. */
+    /** Returns whether the task must not be offered again. */
     boolean isRetryForbidden(TrackedTask task) {
         boolean isNonIdempotent = task.taskClass().idempotency() == Idempotency.NON_IDEMPOTENT;
         return task.attempts() >= settings.limits().maxAttempts()
                 || (task.mayHaveRun() && isNonIdempotent)
-                || (task.isBoundToKeyScope() && isKeyWindowOver(task));
+                || (task.isBoundToKeyScope() && isKeyWindowExpired(task));
     }
 
-    /** Whether the idempotency key may expire before an offer sent now arrives. */
-    private boolean isKeyWindowOver(TrackedTask task) {
+    /** Returns whether the idempotency key may expire before an offer that is sent now arrives. */
+    private boolean isKeyWindowExpired(TrackedTask task) {
         long keyExpiresMicros =
                 task.possibleRun().sinceMicros() + task.taskClass().keyWindowMicros();
-        return context.nowMicros() >= keyExpiresMicros - Policy.TICK_MICROS;
+        return context.nowMicros() >= keyExpiresMicros - Policy.TICK_INTERVAL_MICROS;
     }
 
-    /** Sends a rejection where the client may safely retry, else a failure. */
+    /** Sends a rejection if the client may safely retry, a failure otherwise. */
     void send(TrackedTask task) {
         task.finish();
         context.emit(
--- a/decisions/src/main/java/thornferry/decisions/placement/RequestRate.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/RequestRate.java
@@ -1,8 +1,8 @@
 package thornferry.decisions.placement;
 
-/** The smoothed rate of this placer's own placement requests. */
+/** The smoothed rate of the placement requests to this placer. */
 final class RequestRate {
-    /** Time constant of the exponential smoothing. */
+    /** The time constant of the exponential smoothing. */
     private static final double SMOOTHING_MICROS = 3e6;
 
     private static final double MICROS_PER_SECOND = 1e6;
@@ -14,10 +14,13 @@
         requestsSinceUpdate++;
     }
 
-    /** Adds the requests since the last update, which was {@code passedMicros} ago. */
-    void update(long passedMicros) {
-        double latest = requestsSinceUpdate * MICROS_PER_SECOND / Math.max(1, passedMicros);
-        perSecond += Math.min(1, passedMicros / SMOOTHING_MICROS) * (latest - perSecond);
+    /**
+     * Updates the rate with the requests since the last update, which was {@code elapsedMicros}
+     * ago.
+     */
+    void update(long elapsedMicros) {
+        double latest = requestsSinceUpdate * MICROS_PER_SECOND / Math.max(1, elapsedMicros);
+        perSecond += Math.min(1, elapsedMicros / SMOOTHING_MICROS) * (latest - perSecond);
         requestsSinceUpdate = 0;
     }
 
--- a/decisions/src/main/java/thornferry/decisions/placement/Require.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/Require.java
@@ -2,7 +2,10 @@
 
 import java.util.List;
 
-/** Checks of single settings; each throws {@link InvalidSettingException}. */
+/**
+ * Checks of single settings. Each method throws {@link InvalidSettingException} if the value is
+ * invalid.
+ */
 final class Require {
     private Require() {}
 
--- a/decisions/src/main/java/thornferry/decisions/placement/Reservations.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/Reservations.java
@@ -1,6 +1,6 @@
 package thornferry.decisions.placement;
 
-/** Accounts for the own tasks on each machine, from the offer to the end of the attempt. */
+/** The accounting of own tasks on each machine, from the offer to the end of the attempt. */
 final class Reservations {
     private final EventContext context;
     private final ServiceAffinity affinity;
@@ -12,7 +12,7 @@
         this.usage = usage;
     }
 
-    /** The task is offered to its machine. */
+    /** Reserves capacity for a task that is offered to its machine. */
     void reserve(TrackedTask task) {
         TrackedMachine machine = task.machine();
         machine.load().addPendingStart(task.startWeight());
@@ -20,26 +20,33 @@
         machine.load().recordOwnChange(context.nowMicros(), task.requested(), 1);
     }
 
-    /** The task was running before this placer knew of it, so that load samples include it. */
+    /**
+     * Adds an adopted task. It needs no reservation, since it was running before and load samples
+     * include it.
+     */
     void adopt(TrackedTask task) {
         affinity.addTask(task.machine(), task.service());
     }
 
-    /** The task has started on its machine. */
+    /** Records that the task has started on its machine. */
     void markStarted(TrackedTask task) {
         task.machine().load().removePendingStart(task.startWeight());
         task.setStartWeight(0);
     }
 
-    /** The attempt has ended; {@code ran} where the machine had accepted it. */
-    void release(TrackedTask task, boolean ran) {
+    /**
+     * Releases the capacity that was reserved for an attempt, since the attempt has ended.
+     *
+     * @param accepted whether the machine had accepted the attempt
+     */
+    void release(TrackedTask task, boolean accepted) {
         TrackedMachine machine = task.machine();
         markStarted(task);
-        affinity.removeTask(machine, task.service(), ran);
+        affinity.removeTask(machine, task.service(), accepted);
         machine.load().recordOwnChange(context.nowMicros(), task.requested(), -1);
-        if (ran) {
+        if (accepted) {
             machine.raiseRejectedSize(task.requested());
         }
-        usage.forget(task);
+        usage.remove(task);
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/placement/ResourceVector.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/ResourceVector.java
@@ -1,9 +1,9 @@
 package thornferry.decisions.placement;
 
 /**
- * A mutable amount of each {@link Resource}: cores, and memory in the units of the settings.
+ * A mutable amount of each {@link Resource}: cores, and memory in the unit of the settings.
  *
- * <p>Mutable because running sums of it are updated for every attempt.
+ * <p>The class is mutable because running sums are updated for every attempt.
  */
 final class ResourceVector {
     private double cores;
--- a/decisions/src/main/java/thornferry/decisions/placement/ServiceAffinity.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/ServiceAffinity.java
@@ -7,21 +7,28 @@
 import thornferry.decisions.placement.Placement.TopologyScope;
 
 /**
- * Where this placer's own tasks of each service are: a machine that runs one, or ran one recently,
- * has the service's program, so that a further task starts there without setting it up.
+ * The machines on which this placer's own tasks of each service run. A machine that runs such a
+ * task, or ran one recently, has the service's program, so that a further task starts there without
+ * set-up.
  */
 final class ServiceAffinity {
-    /** A machine retains a program for about this long after its last own task has ended. */
+    /**
+     * How long a machine keeps a program, approximately, after the last own task of the service has
+     * ended there.
+     */
     static final long PROGRAM_RETENTION_MICROS = 8 * Micros.SECOND;
 
-    /** Likelihood of a set-up on the first preferred machine, and what each further one adds. */
+    /**
+     * The likelihood of a set-up on the first preferred machine, followed by the increment for each
+     * further one.
+     */
     private static final double FIRST_PREFERRED_SETUP = 0.1;
 
     private static final double NEXT_PREFERRED_SETUP = 0.12;
 
     private static final long LONG_AGO_MICROS = Long.MIN_VALUE / 2;
 
-    /** Own tasks of one service on one machine. */
+    /** The own tasks of one service on one machine. */
     private static final class OwnTasks {
         private int count;
         private long lastEndedMicros = LONG_AGO_MICROS;
@@ -42,7 +49,7 @@
         return tasksByService.getOrDefault(service, Map.of());
     }
 
-    /** The machines that run or recently ran own tasks of the service. */
+    /** Returns the machines that run or recently ran own tasks of the service. */
     Set<TrackedMachine> machinesOf(String service) {
         return tasksOf(service).keySet();
     }
@@ -54,43 +61,50 @@
                 .count++;
     }
 
-    /** A task has ended; {@code ran} where the machine had accepted it. */
-    void removeTask(TrackedMachine machine, String service, boolean ran) {
+    /**
+     * Removes a task that has ended.
+     *
+     * @param accepted whether the machine had accepted the task
+     */
+    void removeTask(TrackedMachine machine, String service, boolean accepted) {
         Map<TrackedMachine, OwnTasks> tasksByMachine = tasksByService.get(service);
         OwnTasks tasks = tasksByMachine.get(machine);
         tasks.count--;
-        if (ran) {
+        if (accepted) {
             tasks.lastEndedMicros = context.nowMicros();
         }
         tasksByMachine.values().removeIf(own -> own.isExpired(context.nowMicros()));
     }
 
     /**
-     * The likelihood that the task's program has to be set up: 0 where an own task of the service
-     * runs, little on a preferred machine, up to 1 elsewhere.
+     * Returns the likelihood that the task's program must be set up on the machine: 0 if an own
+     * task of the service runs there, low on a preferred machine, up to 1 on other machines.
      */
     double setupLikelihood(TrackedMachine machine, TrackedTask task) {
         OwnTasks tasks = tasksOf(task.service()).get(machine);
         if (tasks != null && tasks.count > 0) {
             return 0;
         }
-        int preference = task.preferredMachines().indexOf(machine);
-        double elsewhere =
+        int preferenceIndex = task.preferredMachines().indexOf(machine);
+        double likelihoodByOwnTasks =
                 tasks == null
                         ? 1
                         : Interval.clampToUnit(
                                 (context.nowMicros() - tasks.lastEndedMicros)
                                         / (double) PROGRAM_RETENTION_MICROS);
-        return preference < 0
-                ? elsewhere
-                : Math.min(elsewhere, FIRST_PREFERRED_SETUP + NEXT_PREFERRED_SETUP * preference);
+        return preferenceIndex < 0
+                ? likelihoodByOwnTasks
+                : Math.min(
+                        likelihoodByOwnTasks,
+                        FIRST_PREFERRED_SETUP + NEXT_PREFERRED_SETUP * preferenceIndex);
     }
 
     /**
-     * Whether the class's limit on own tasks of one service in one scope allows another one.
+     * Returns whether the class's limit on own tasks of one service in one scope allows another
+     * task.
      *
-     * <p>Counted over the machines as listed now, since a task may be adopted before its machine is
-     * listed.
+     * <p>Tasks are counted by the current list entries of their machines, since a task may be
+     * adopted before its machine is listed.
      */
     boolean isWithinSpreadLimit(TrackedMachine machine, TrackedTask task) {
         TopologyScope scope = task.taskClass().spreadScope();
@@ -107,8 +121,11 @@
         return count < task.taskClass().maxTasksPerScope();
     }
 
-    /** The machine has restarted, so it has only the programs of tasks that are running. */
-    void forgetIdle(TrackedMachine machine) {
+    /**
+     * Removes the services without a running task on a machine that has restarted, since the
+     * restart has discarded their programs.
+     */
+    void removeIdleServices(TrackedMachine machine) {
         tasksByService
                 .values()
                 .forEach(
@@ -117,13 +134,13 @@
                                         machine, (key, tasks) -> tasks.count == 0 ? null : tasks));
     }
 
-    /** Whether any service has the machine on record. */
+    /** Returns whether tasks of any service are recorded for the machine. */
     boolean isReferenced(TrackedMachine machine) {
         return tasksByService.values().stream()
                 .anyMatch(tasksByMachine -> tasksByMachine.containsKey(machine));
     }
 
-    /** Forgets services whose tasks have ended longer ago than programs are retained. */
+    /** Removes the services whose last task ended longer ago than machines keep programs. */
     void prune() {
         long nowMicros = context.nowMicros();
         tasksByService
@@ -134,7 +151,7 @@
         tasksByService.values().removeIf(Map::isEmpty);
     }
 
-    /** The number of services on record. */
+    /** Returns the number of services that have tasks recorded. */
     int serviceCount() {
         return tasksByService.size();
     }
--- a/decisions/src/main/java/thornferry/decisions/placement/SlowStartLimiter.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/SlowStartLimiter.java
@@ -4,25 +4,26 @@
 import thornferry.decisions.placement.Placement.Settings;
 
 /**
- * Slow start: limits what all placers together send to a machine that has started recently.
+ * Slow start: limits the offers that all placers together send to a machine that has started
+ * recently.
  *
- * <p>Where this placer's share of the machine's budget is one offer or more, it sends no more than
- * that within the counting span. Where it is less, placers take slots by the clock that all share:
- * the slots for one machine begin 1.5 windows / (budget - 1) apart and last half a window, so that
- * those which overlap any one window number the budget at most. A previous incarnation of this
- * placer counts as having spent its share.
+ * <p>If this placer's share of the machine's budget is at least one offer, the placer sends no more
+ * than its share within the counting span. If the share is smaller, placers send in time slots of a
+ * clock that all of them share. The slots for one machine begin 1.5 windows / (budget - 1) apart
+ * and last half a window, so that the number of slots that overlap any one window is at most the
+ * budget. The previous incarnation of this placer is assumed to have used its whole share.
  */
 final class SlowStartLimiter {
-    /** The part of its share that a placer spends. */
-    private static final double SPENT_SHARE = 0.8;
+    /** The fraction of its share that a placer uses. */
+    private static final double USED_SHARE = 0.8;
 
     /**
-     * The span in which offers are counted, in windows: more than one, since an offer may take
-     * longer to reach the machine than the next.
+     * The span in which offers are counted, in windows. It exceeds one window because the network
+     * delay differs between offers, so that an earlier offer may arrive later.
      */
     private static final double COUNTING_SPAN_WINDOWS = 1.25;
 
-    /** How long a placer's slot to send one offer lasts, in windows. */
+    /** The length of the slot in which a placer may send one offer, in windows. */
     private static final double SLOT_WINDOWS = 0.5;
 
     private final Settings settings;
@@ -33,7 +34,7 @@
         this.context = context;
     }
 
-    /** Whether the machine may get an offer now as far as slow start is concerned. */
+    /** Returns whether slow start allows an offer to the machine now. */
     boolean allowsOffer(TrackedMachine machine) {
         long nowMicros = context.nowMicros();
         long windowMicros = Math.max(1, settings.rules().slowStartWindowMicros());
@@ -50,7 +51,7 @@
                 && machine.entry().startedAtMicros() < firstEventMicros) {
             return false;
         }
-        double share = SPENT_SHARE * settings.rules().slowStartOffers() / settings.instanceCount();
+        double share = USED_SHARE * settings.rules().slowStartOffers() / settings.instanceCount();
         if (share >= 1) {
             return recentOffers.size() + 1 <= share;
         }
--- a/decisions/src/main/java/thornferry/decisions/placement/TaskClassCatalog.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/TaskClassCatalog.java
@@ -6,15 +6,15 @@
 import java.util.function.ToDoubleFunction;
 import thornferry.decisions.placement.Placement.TaskClass;
 
-/** The task classes of the settings, and the limits that follow from all of them together. */
+/** The task classes of the settings, and the limits that are derived from all of them. */
 final class TaskClassCatalog {
     /**
-     * How far into the contention range of the most sensitive class a machine may be filled; beyond
-     * it requests wait instead.
+     * The fraction of the contention range of the most sensitive class up to which a machine may be
+     * filled. Beyond it requests wait.
      */
     private static final double ALLOWED_CONTENTION = 0.3;
 
-    /** Keeps divisions by the maximum priority weight finite. */
+    /** A lower bound that keeps divisions by the maximum priority weight finite. */
     private static final double MIN_PRIORITY_WEIGHT = 1e-9;
 
     private final Map<String, TaskClass> classesByName = new HashMap<>();
@@ -34,12 +34,15 @@
         return classesByName.values().stream().mapToDouble(value).max().orElseThrow();
     }
 
-    /** The class of this name; the first of the settings if there is none. */
+    /** Returns the class with this name, or the first class of the settings if there is none. */
     TaskClass find(String name) {
         return classesByName.getOrDefault(name, defaultClass);
     }
 
-    /** The part of a machine's cores that may be in use before tasks slow each other down. */
+    /**
+     * Returns the fraction of a machine's cores that may be in use before tasks slow each other
+     * down too much.
+     */
     double maxCoreUtilization() {
         return maxCoreUtilization;
     }
--- a/decisions/src/main/java/thornferry/decisions/placement/TaskTracker.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/TaskTracker.java
@@ -3,35 +3,35 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The tasks that wait, are offered or run. */
+/** The tasks that are waiting, offered or running. */
 final class TaskTracker {
-    private final Map<String, TrackedTask> tasks = new HashMap<>();
+    private final Map<String, TrackedTask> tasksByRequestId = new HashMap<>();
 
     boolean contains(String requestId) {
-        return tasks.containsKey(requestId);
+        return tasksByRequestId.containsKey(requestId);
     }
 
     void add(TrackedTask task) {
-        tasks.put(task.id(), task);
+        tasksByRequestId.put(task.id(), task);
     }
 
-    /** The task of this request, null if there is none. */
+    /** Returns the task of this request, or null if there is none. */
     TrackedTask find(String requestId) {
-        return tasks.get(requestId);
+        return tasksByRequestId.get(requestId);
     }
 
-    /** The task if this is its latest attempt and has not ended, else null. */
+    /** Returns the task if this is its latest attempt and has not ended, otherwise null. */
     TrackedTask findByAttempt(String requestId, int attempt) {
-        TrackedTask task = tasks.get(requestId);
+        TrackedTask task = tasksByRequestId.get(requestId);
         boolean current = task != null && task.hasAttempt() && attempt == task.attempts() - 1;
         return current ? task : null;
     }
 
     void remove(String requestId) {
-        tasks.remove(requestId);
+        tasksByRequestId.remove(requestId);
     }
 
     int size() {
-        return tasks.size();
+        return tasksByRequestId.size();
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/placement/TaskUsageEstimator.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/TaskUsageEstimator.java
@@ -2,12 +2,15 @@
 
 import thornferry.decisions.placement.Placement.Settings;
 
-/** How much of the requested resources own tasks use, from observations of running ones. */
+/**
+ * Estimates which fraction of the requested resources tasks use, from observations of running own
+ * tasks.
+ */
 final class TaskUsageEstimator {
-    /** The part of a request that tasks use until observations tell otherwise. */
+    /** The initial estimate of the fraction of a request that tasks use. */
     private static final double INITIAL_USAGE = 0.75;
 
-    /** How many mean tasks the initial estimate counts as. */
+    /** The weight of the initial estimate, as a number of tasks of mean size. */
     private static final int INITIAL_TASKS = 4;
 
     private final ResourceVector used;
@@ -23,7 +26,10 @@
                         INITIAL_USAGE * requested.cores(), INITIAL_USAGE * requested.memory());
     }
 
-    /** Takes what a running task uses; a negative amount withdraws an earlier observation. */
+    /**
+     * Records the amount that a running task uses. A negative amount withdraws the earlier
+     * observation.
+     */
     void observe(TrackedTask task, Resource resource, double amount) {
         if (!Double.isFinite(amount)) {
             return;
@@ -36,17 +42,17 @@
     }
 
     /** Removes a task that has ended from the estimate. */
-    void forget(TrackedTask task) {
+    void remove(TrackedTask task) {
         observe(task, Resource.CORES, TrackedTask.NOT_OBSERVED);
         observe(task, Resource.MEMORY, TrackedTask.NOT_OBSERVED);
     }
 
-    /** The part of their requests that tasks use. */
+    /** Returns the fraction of the requested amount that tasks use. */
     double ratio(Resource resource) {
         return used.get(resource) / requested.get(resource);
     }
 
-    /** What tasks that request this much are expected to use. */
+    /** Returns the amount that tasks are expected to use if they request the given amount. */
     double expectedUse(Resource resource, double amount) {
         return amount * used.get(resource) / requested.get(resource);
     }
--- a/decisions/src/main/java/thornferry/decisions/placement/TrackedMachine.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/TrackedMachine.java
@@ -6,11 +6,11 @@
 import thornferry.decisions.placement.Placement.TopologyScope;
 
 /**
- * One machine as this placer knows it: its list entry, load, health, slow start and the size of the
- * last task that it rejected for lack of capacity.
+ * The state of one machine as known to this placer: its list entry, load, health, slow start and
+ * the size of the last task that it rejected for lack of capacity.
  */
 final class TrackedMachine {
-    /** The kind of a machine that no entry has named or whose kind the settings do not have. */
+    /** The kind of a machine that is not listed yet or whose kind the settings do not contain. */
     private static final int UNKNOWN_KIND = -1;
 
     private final String id;
@@ -44,12 +44,14 @@
         return health;
     }
 
-    /** The last list entry, null while only an adopted task names the machine. */
+    /**
+     * Returns the last list entry, or null while the machine is known from an adopted task only.
+     */
     MachineEntry entry() {
         return entry;
     }
 
-    /** Takes a new list entry; returns whether it shows that the machine has restarted. */
+    /** Stores a new list entry. Returns whether it shows that the machine has restarted. */
     boolean updateEntry(MachineEntry newEntry, long nowMicros) {
         boolean restarted = entry != null && newEntry.startedAtMicros() > entry.startedAtMicros();
         entry = newEntry;
@@ -58,7 +60,7 @@
         return restarted;
     }
 
-    /** The machine is missing from a full list. */
+    /** Records that the machine is missing from a full list. */
     void markAbsent(long nowMicros) {
         ready = false;
         goneSinceMicros = Math.min(goneSinceMicros, nowMicros);
@@ -69,14 +71,14 @@
     }
 
     /**
-     * Since when the machine is gone; 0 while only an adopted task names it, and {@code
-     * Long.MAX_VALUE} while it is listed.
+     * Returns the time since when the machine is gone: 0 while it is known from an adopted task
+     * only, {@code Long.MAX_VALUE} while it is listed.
      */
     long goneSinceMicros() {
         return goneSinceMicros;
     }
 
-    /** The index of the machine's kind in the settings. */
+    /** Returns the index of the machine's kind in the settings, -1 if the kind is unknown. */
     int kind() {
         return kind;
     }
@@ -94,29 +96,35 @@
         return slowStartUntilMicros;
     }
 
-    /** The times of the last offers, as far back as {@link SlowStartLimiter} counts them. */
+    /** Returns the times of the last offers, which {@link SlowStartLimiter} counts and removes. */
     ArrayDeque<Long> recentOfferMicros() {
         return recentOfferMicros;
     }
 
-    /** The machine rejected a task for lack of one resource. */
+    /** Records that the machine rejected a task for lack of one resource. */
     void recordCapacityRejection(long nowMicros, Resource lacking, ResourceVector requested) {
         rejectedAtMicros = nowMicros;
         rejectedSize.set(Double.MAX_VALUE, Double.MAX_VALUE);
         rejectedSize.set(lacking, requested.get(lacking));
     }
 
-    /** An own task has ended: what was rejected before may fit by what it leaves free. */
+    /**
+     * Raises the size above which tasks count as rejected, since an own task has ended and its
+     * resources are free.
+     */
     void raiseRejectedSize(ResourceVector freed) {
         rejectedSize.add(freed.cores(), freed.memory());
     }
 
-    /** Whether the machine rejected a task no larger than this since its latest load sample. */
-    boolean recentlyRejected(ResourceVector requested) {
-        boolean asLarge =
+    /**
+     * Returns whether the machine has rejected a task of at most this size since the state that its
+     * latest load sample shows.
+     */
+    boolean hasRecentlyRejected(ResourceVector requested) {
+        boolean isAtLeastAsLarge =
                 requested.cores() >= rejectedSize.cores()
                         || requested.memory() >= rejectedSize.memory();
-        return rejectedAtMicros >= load.uncoveredSinceMicros() && asLarge;
+        return rejectedAtMicros >= load.latestSampleMicros() && isAtLeastAsLarge;
     }
 
     boolean isHealthCheckInFlight() {
@@ -127,7 +135,7 @@
         healthCheckInFlight = inFlight;
     }
 
-    /** The machine's place in the ranking for the task being placed; lower is better. */
+    /** Returns the machine's rank for the task that is being placed; lower is better. */
     double rank() {
         return rank;
     }
@@ -136,7 +144,7 @@
         rank = newRank;
     }
 
-    /** Whether both machines are in the same cell, zone or whatever the scope says. */
+    /** Returns whether both machines are in the same cell, zone or other scope. */
     boolean sharesScope(TopologyScope scope, TrackedMachine other) {
         return switch (scope) {
             case ALL -> true;
--- a/decisions/src/main/java/thornferry/decisions/placement/TrackedTask.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/TrackedTask.java
@@ -8,38 +8,44 @@
 import thornferry.decisions.placement.Placement.PlacementRequest;
 import thornferry.decisions.placement.Placement.TaskClass;
 
-/** One task from its request until its final answer, or until its last attempt has ended. */
+/**
+ * The state of one task, from its request until the result of the request or the end of its last
+ * attempt.
+ */
 final class TrackedTask {
-    /** The use of a resource that was not observed. */
+    /** The observed use of a resource before any observation. */
     static final double NOT_OBSERVED = -1;
 
-    /** A final answer is sent this long before the client stops waiting: two ticks. */
-    private static final long ANSWER_LEAD_MICROS = 2 * Policy.TICK_MICROS;
+    /** How long before the client stops waiting the result is due: two ticks. */
+    private static final long RESULT_LEAD_MICROS = 2 * Policy.TICK_INTERVAL_MICROS;
 
-    /** An offer must end this long before the client stops waiting, so that an answer is sent. */
-    private static final long OFFER_LEAD_MICROS = ANSWER_LEAD_MICROS / 2;
+    /**
+     * How long before the client stops waiting an offer must end, so that there is time to send the
+     * result.
+     */
+    private static final long OFFER_LEAD_MICROS = RESULT_LEAD_MICROS / 2;
 
-    /** Where a task is in its life. */
+    /** The stages of a task. */
     enum Stage {
-        /** Waits for a machine; a final answer is owed. */
+        /** The task waits for a machine; its request has no result yet. */
         WAITING,
-        /** An attempt is in flight; a final answer is owed. */
+        /** An attempt is in flight; the request has no result yet. */
         OFFERED,
-        /** An attempt is in flight whose client has disconnected; no answer is owed. */
+        /** An attempt is in flight, but the client has disconnected and needs no result. */
         ABANDONED,
-        /** A machine has accepted the task, which is the final answer. */
+        /** A machine has accepted the task, which is the result of the request. */
         RUNNING,
-        /** Answered, or its last attempt has ended. */
+        /** The request was rejected or failed, or the last attempt has ended. */
         FINISHED
     }
 
-    /** The first attempt after which the task may have run: its machine and when it was sent. */
+    /** The first attempt that may have run: its machine and the time when it was sent. */
     record PossibleRun(TrackedMachine machine, long sinceMicros) {}
 
     /**
      * The machines whose health checks one attempt waits for.
      *
-     * @param attempt the number of that attempt, -1 before any has waited
+     * @param attempt the number of the attempt, -1 if no attempt has waited for health checks yet
      */
     record HealthCheckRound(int attempt, long untilMicros, List<TrackedMachine> machines) {
         private static final HealthCheckRound NONE = new HealthCheckRound(-1, 0, List.of());
@@ -82,17 +88,20 @@
         return taskClass;
     }
 
-    /** What the task requests of each resource. */
+    /** Returns the amount of each resource that the task requests. */
     ResourceVector requested() {
         return requested;
     }
 
-    /** What the running task was seen to use, {@link #NOT_OBSERVED} where it was not. */
+    /**
+     * Returns the observed use of each resource by the running task, {@link #NOT_OBSERVED} before
+     * any observation.
+     */
     ResourceVector observedUse() {
         return observedUse;
     }
 
-    /** An attempt is sent to this machine. */
+    /** Records that an attempt is sent to this machine. */
     void startAttempt(TrackedMachine target, long nowMicros, boolean expectsSetup) {
         stage = Stage.OFFERED;
         machine = target;
@@ -102,10 +111,10 @@
         lastNotification = null;
     }
 
-    /** The task runs already, as its attempt 0. */
-    void adopt(TrackedMachine runningOn) {
+    /** Records that the task is already running, as attempt 0. */
+    void adopt(TrackedMachine runningMachine) {
         stage = Stage.RUNNING;
-        machine = runningOn;
+        machine = runningMachine;
         attempts = 1;
     }
 
@@ -113,12 +122,16 @@
         stage = Stage.RUNNING;
     }
 
-    /** The attempt in flight has ended; {@code settled} where no answer is owed any more. */
+    /**
+     * Records the end of the latest attempt.
+     *
+     * @param settled whether the request has had its result
+     */
     void endAttempt(boolean settled) {
         stage = settled || stage != Stage.OFFERED ? Stage.FINISHED : Stage.WAITING;
     }
 
-    /** The client has disconnected: no final answer is owed any more. */
+    /** Records that the client has disconnected, so that no result is sent. */
     void abandon() {
         if (stage == Stage.WAITING) {
             stage = Stage.FINISHED;
@@ -127,7 +140,7 @@
         }
     }
 
-    /** The final answer has been sent. */
+    /** Records that the result of the request has been sent. */
     void finish() {
         stage = Stage.FINISHED;
     }
@@ -136,12 +149,12 @@
         return stage;
     }
 
-    /** Whether an attempt is in flight or running. */
+    /** Returns whether an attempt is in flight or running. */
     boolean hasAttempt() {
         return stage == Stage.OFFERED || stage == Stage.ABANDONED || stage == Stage.RUNNING;
     }
 
-    /** Whether an attempt is in flight and no machine has accepted it. */
+    /** Returns whether an attempt is in flight that no machine has accepted yet. */
     boolean awaitsAcceptance() {
         return stage == Stage.OFFERED || stage == Stage.ABANDONED;
     }
@@ -150,22 +163,27 @@
         return attempts;
     }
 
-    /** The machine of the latest attempt. */
+    /** Returns the machine of the latest attempt. */
     TrackedMachine machine() {
         return machine;
     }
 
-    /** When the latest attempt was sent. */
+    /** Returns when the latest attempt was sent. */
     long sentAtMicros() {
         return sentAtMicros;
     }
 
-    /** Whether the program had to be set up on the machine of the latest attempt. */
+    /**
+     * Returns whether the program was expected to be set up on the machine of the latest attempt.
+     */
     boolean isSetupExpected() {
         return setupExpected;
     }
 
-    /** What the start counts as among the starts that the machine has yet to make, 0 once made. */
+    /**
+     * Returns the weight of this task among the pending starts of its machine, 0 once the task has
+     * started.
+     */
     double startWeight() {
         return startWeight;
     }
@@ -174,7 +192,7 @@
         startWeight = weight;
     }
 
-    /** The latest attempt may have run; only the first such attempt counts. */
+    /** Records that the latest attempt may have run. Only the first such attempt is kept. */
     void recordPossibleRun() {
         if (possibleRun == null) {
             possibleRun = new PossibleRun(machine, sentAtMicros);
@@ -185,27 +203,27 @@
         return possibleRun != null;
     }
 
-    /** The first attempt that may have run, null if there is none. */
+    /** Returns the first attempt that may have run, or null if there is none. */
     PossibleRun possibleRun() {
         return possibleRun;
     }
 
-    /** Whether retries must stay where the idempotency key is known. */
+    /** Returns whether retries are restricted to machines that share the idempotency key. */
     boolean isBoundToKeyScope() {
         return mayHaveRun() && taskClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY;
     }
 
-    /** Machines that failed an attempt and get no other one. */
+    /** Returns the machines on which an attempt failed and which get no further one. */
     Set<TrackedMachine> failedMachines() {
         return failedMachines;
     }
 
-    /** Machines on which an attempt ended in an error. */
+    /** Returns the machines on which an attempt ended in an error. */
     Set<TrackedMachine> errorMachines() {
         return errorMachines;
     }
 
-    /** Machines on which the service's program is expected, best first. */
+    /** Returns the machines on which the service's program is expected, best first. */
     List<TrackedMachine> preferredMachines() {
         return preferredMachines;
     }
@@ -222,7 +240,10 @@
         healthCheckRound = round;
     }
 
-    /** Records why the task is pending; returns whether that differs from the last time. */
+    /**
+     * Stores the notification of why the task is pending. Returns whether it differs from the last
+     * one.
+     */
     boolean updateNotification(Pending notification) {
         if (notification.equals(lastNotification)) {
             return false;
@@ -231,17 +252,17 @@
         return true;
     }
 
-    /** Whether the final answer is due. */
-    boolean isAnswerDue(long nowMicros) {
-        return nowMicros >= deadlineMicros - ANSWER_LEAD_MICROS;
+    /** Returns whether the result of the request is due. */
+    boolean isResultDue(long nowMicros) {
+        return nowMicros >= deadlineMicros - RESULT_LEAD_MICROS;
     }
 
-    /** Whether the client stops waiting before the next tick. */
+    /** Returns whether the client stops waiting before the next tick. */
     boolean endsBeforeNextTick(long nowMicros) {
-        return nowMicros >= deadlineMicros - Policy.TICK_MICROS;
+        return nowMicros >= deadlineMicros - Policy.TICK_INTERVAL_MICROS;
     }
 
-    /** How long an offer sent now may take. */
+    /** Returns how long an offer that is sent now may take. */
     long offerTimeLeftMicros(long nowMicros) {
         return deadlineMicros - nowMicros - OFFER_LEAD_MICROS;
     }
--- a/decisions/src/main/java/thornferry/decisions/placement/UtilizationEstimator.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/UtilizationEstimator.java
@@ -3,13 +3,14 @@
 import thornferry.decisions.placement.Placement.Settings;
 
 /**
- * The part of each machine that is in use, from its filtered samples and the own tasks that they do
- * not include yet. A machine without a sample counts as the mean of those with one.
+ * Estimates the utilization of each machine, the fraction of a resource in use, from the filtered
+ * samples and the own tasks that the samples do not include yet. A machine without a sample is
+ * assumed to have the mean utilization of the others.
  */
 final class UtilizationEstimator {
     /**
-     * Where placers are many, the means are refreshed only this often: they change little, and
-     * computing them takes a pass over a large cluster.
+     * The interval at which the means are refreshed if placers outnumber machines. The means change
+     * little, and computing them takes a pass over a large cluster.
      */
     private static final long MEAN_REFRESH_MICROS = 100 * Micros.MILLISECOND;
 
@@ -34,16 +35,20 @@
         this.usage = usage;
     }
 
-    /** The part of the machine in use if the task runs there too. */
-    double withTask(TrackedMachine machine, TrackedTask task, Resource resource) {
+    /** Returns the utilization of the machine if the task ran there in addition. */
+    double utilizationWithTask(TrackedMachine machine, TrackedTask task, Resource resource) {
         MachineLoad load = machine.load();
-        double inUse = load.hasSample() ? sampled(load, resource) : meanInUse.get(resource);
-        double added = task.requested().get(resource) + load.uncoveredSum(resource);
-        return inUse + usage.expectedUse(resource, added) / load.size(resource);
+        double inUse =
+                load.hasSample() ? sampledUtilization(load, resource) : meanInUse.get(resource);
+        double addedRequests = task.requested().get(resource) + load.unsampledSum(resource);
+        return inUse + usage.expectedUse(resource, addedRequests) / load.size(resource);
     }
 
-    /** What {@link #withTask} includes because the machine has no sample, 0 where it has one. */
-    double assumedInUse(TrackedMachine machine, Resource resource) {
+    /**
+     * Returns the utilization that {@link #utilizationWithTask} assumes because the machine has no
+     * sample, 0 if it has one.
+     */
+    double assumedUtilization(TrackedMachine machine, Resource resource) {
         return machine.load().hasSample() ? 0 : meanInUse.get(resource);
     }
 
@@ -52,19 +57,22 @@
         return queueLength.hasSample() ? queueLength.value() : meanQueueLength;
     }
 
-    private double sampled(MachineLoad load, Resource resource) {
+    private double sampledUtilization(MachineLoad load, Resource resource) {
         if (resource == Resource.CORES && load.busyFraction().hasSample()) {
             return load.busyFraction().value();
         }
-        // Reports that count requested resources are scaled to what is used of them.
+        // Reports that count requested resources are scaled by the fraction of them that is used.
         return load.inUse(resource).value()
                 * (settings.reportsMeasureUsage() ? 1 : usage.ratio(resource));
     }
 
-    /** Computes the means over the ready machines that have a sample, unless they are recent. */
+    /**
+     * Computes the means over the ready machines that have a sample, unless the last means are
+     * recent.
+     */
     void refreshMeans() {
-        long validMicros = machines.outnumberedByPlacers() ? MEAN_REFRESH_MICROS : 1;
-        if (context.nowMicros() - meansComputedMicros < validMicros) {
+        long refreshIntervalMicros = machines.isOutnumberedByPlacers() ? MEAN_REFRESH_MICROS : 1;
+        if (context.nowMicros() - meansComputedMicros < refreshIntervalMicros) {
             return;
         }
         meansComputedMicros = context.nowMicros();
@@ -72,12 +80,12 @@
         double memory = 0;
         double queueLength = 0;
         int sampledMachines = 0;
-        for (TrackedMachine machine : machines.ready()) {
+        for (TrackedMachine machine : machines.readyMachines()) {
             MachineLoad load = machine.load();
             if (load.hasSample()) {
                 sampledMachines++;
-                cores += sampled(load, Resource.CORES);
-                memory += sampled(load, Resource.MEMORY);
+                cores += sampledUtilization(load, Resource.CORES);
+                memory += sampledUtilization(load, Resource.MEMORY);
                 queueLength += load.queueLength().value();
             }
         }
--- a/decisions/src/test/java/thornferry/decisions/placement/CandidateFilterTest.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/CandidateFilterTest.java
@@ -30,16 +30,18 @@
 import thornferry.decisions.placement.Placement.TaskAdopted;
 import thornferry.decisions.placement.PolicyFixtures.PolicyDriver;
 
-/** Which machines may get an offer, and the notification of why none may. */
-@SuppressWarnings("EnumOrdinal") // counts and draws are by position
+/** Tests which machines are eligible for an offer, and the notification of why none is. */
+@SuppressWarnings("EnumOrdinal") // machinesByReason is indexed by ordinal
 class CandidateFilterTest {
     private final PolicyFixtures fixtures = new PolicyFixtures();
 
     @Test
-    void countsOwnTasksUntilSampleIncludesThem() {
+    void subtractsOwnTasksUntilSampleIncludesThem() {
         PolicyDriver driver = fixtures.driverWith(readyMachine("m1", "a", 4));
         assertNotNull(driver.sendForOffer(request("r1", "safe", 3)));
-        assertNull(driver.sendForOffer(request("r2", "safe", 3)), "no capacity beside the first");
+        assertNull(
+                driver.sendForOffer(request("r2", "safe", 3)),
+                "no capacity next to the first task");
     }
 
     @Test
@@ -72,7 +74,7 @@
     @Test
     void limitsOffersToMachineInSlowStartToOwnShare() {
         fixtures.instanceCount = 4;
-        fixtures.slowStartOffers = 20; // 5 for this placer, of which it spends 4
+        fixtures.slowStartOffers = 20; // the share of this placer is 5, of which it uses 4
         PolicyDriver driver = new PolicyDriver(fixtures);
         driver.send(fullList(machine("m1", "a", MachineState.READY, 18, driver.nowMicros)));
         int offers = 0;
@@ -113,7 +115,8 @@
         assertNotNull(first);
         driver.advance(3 * SECOND);
         assertNull(
-                driver.sendForOffer(request("r2", "safe", 1)), "full according to its last report");
+                driver.sendForOffer(request("r2", "safe", 1)),
+                "the machine is full according to its last report");
         driver.send(
                 deltaList(machine("m1", "a", MachineState.READY, 20, driver.nowMicros - SECOND)));
         assertTrue(driver.advance(100 * MILLISECOND).stream().anyMatch(Offer.class::isInstance));
@@ -126,7 +129,8 @@
         driver.send(
                 attemptEnded(first, 0, AttemptOutcome.REJECTED, OutcomeReason.INSUFFICIENT_CORES));
         assertNull(driver.sendForOffer(request("r2", "safe", 2)));
-        assertNotNull(driver.sendForOffer(request("r3", "safe", 1)), "a smaller one may still fit");
+        assertNotNull(
+                driver.sendForOffer(request("r3", "safe", 1)), "a smaller task may still fit");
     }
 
     @Test
@@ -134,7 +138,8 @@
         fixtures.loadReportMode = LoadReportMode.ON_HEALTH_CHECK;
         PolicyDriver driver = fixtures.driverWith(readyMachine("m1", "a", 0.5));
         assertNull(
-                driver.sendForOffer(request("r1", "safe", 3)), "nearly full according to the list");
+                driver.sendForOffer(request("r1", "safe", 3)),
+                "the machine is nearly full according to the list");
         assertNotNull(
                 driver.sendForOffer(
                         new HealthCheckCompleted(
@@ -146,14 +151,10 @@
         fixtures.loadReportMode = LoadReportMode.ON_HEALTH_CHECK;
         fixtures.reportsMeasureUsage = true;
         PolicyDriver driver = fixtures.driverWith(readyMachine("m1", "a", Double.NaN));
+        // 14 cores are in use: 18.7 requested by the initial usage ratio, 16.2 after the reduction.
         driver.send(
                 new HealthCheckCompleted(
-                        "m1",
-                        true,
-                        MILLISECOND,
-                        LoadReport.ofFreeCapacity(
-                                6, 40))); // 14 in use: 18.7 requested at the initial ratio, 16.2
-        // inferred
+                        "m1", true, MILLISECOND, LoadReport.ofFreeCapacity(6, 40)));
         assertNotNull(driver.sendForOffer(request("r1", "safe", 3)));
     }
 
@@ -214,7 +215,7 @@
     }
 
     @Test
-    void creditsTaskThatEndedWhileMachineWasGone() {
+    void releasesCapacityOfTaskThatEndedAfterMachineReturned() {
         PolicyDriver driver = fixtures.driverWith(readyMachine("m1", "a", 4));
         Offer offer = driver.sendForOffer(request("r1", "safe", 3));
         driver.send(new AttemptAccepted("r1", 0, "m1", MILLISECOND));
@@ -234,14 +235,14 @@
         assertEquals("m1", offer.machine());
         assertNotNull(
                 driver.sendForOffer(request("r2", "safe", 3)),
-                "its capacity is known to be free again");
+                "the capacity of the ended task is free again");
     }
 
     private static Pending lastPending(List<Action> actions) {
         return actions.stream()
                 .filter(Pending.class::isInstance)
                 .map(Pending.class::cast)
-                .reduce((action, b) -> b)
+                .reduce((previous, next) -> next)
                 .orElseThrow();
     }
 }
--- a/decisions/src/test/java/thornferry/decisions/placement/DualModeKalmanFilterTest.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/DualModeKalmanFilterTest.java
@@ -6,7 +6,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Values computed by hand for a fast process noise of 3 and a reset error of 4. */
+/**
+ * Compares the filter with values computed by hand for a fast process noise of 3 and a reset error
+ * of 4.
+ */
 class DualModeKalmanFilterTest {
     private final DualModeKalmanFilter filter = new DualModeKalmanFilter();
 
@@ -20,7 +23,7 @@
     }
 
     @Test
-    void fallsFromFastEstimateAndSlowsDown() {
+    void decaysFromFastEstimateWithShrinkingGain() {
         filter.update(1);
         filter.update(1);
         filter.update(0); // change of mode: the slow estimate is reset to the fast one, 0.2
@@ -37,7 +40,7 @@
         filter.update(0);
         double low = filter.value();
         filter.update(1);
-        assertTrue(filter.value() > low + 0.7 * (1 - low), "gain of the fast estimate");
+        assertTrue(filter.value() > low + 0.7 * (1 - low), "the gain is that of the fast estimate");
     }
 
     @Test
--- a/decisions/src/test/java/thornferry/decisions/placement/EmbeddingTest.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/EmbeddingTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The use shown in the README, as a new user would write it. */
+/** Compiles and runs the example of the README as a user of the package would write it. */
 class EmbeddingTest {
     private final List<Placement.Action> actions = new ArrayList<>();
 
@@ -34,7 +34,7 @@
                 actions.stream()
                         .anyMatch(
                                 recorded ->
-                                        recorded instanceof Placement.Offer o
-                                                && o.machine().equals("m1")));
+                                        recorded instanceof Placement.Offer offer
+                                                && offer.machine().equals("m1")));
     }
 }
--- a/decisions/src/test/java/thornferry/decisions/placement/HealthCheckerTest.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/HealthCheckerTest.java
@@ -20,21 +20,26 @@
 import thornferry.decisions.placement.Placement.Offer;
 import thornferry.decisions.placement.PolicyFixtures.PolicyDriver;
 
-/** When machines get health checks, and which offers wait for them. */
+/** Tests when machines get health checks, and which offers wait for the results. */
 class HealthCheckerTest {
     private final PolicyFixtures fixtures = new PolicyFixtures();
 
     @Test
-    void limitsCostOfHealthChecksWhereListShowsCapacity() {
+    void limitsCostOfHealthChecksIfListShowsFreeCapacity() {
         fixtures.healthCheckCost = 0.004;
-        int atLowCost = healthChecksInThirtySeconds();
+        int checksAtLowCost = healthChecksInThirtySeconds();
         fixtures.healthCheckCost = 0.08;
-        int atHighCost = healthChecksInThirtySeconds();
+        int checksAtHighCost = healthChecksInThirtySeconds();
         fixtures.listShowsFreeCapacity = false;
-        int withoutList = healthChecksInThirtySeconds();
-        assertTrue(atLowCost >= 100, atLowCost + " checks at a low cost");
-        assertTrue(atHighCost <= atLowCost / 10, atHighCost + " checks at twenty times that cost");
-        assertEquals(atLowCost, withoutList, "not limited where nothing else shows capacity");
+        int checksWithoutCapacityInList = healthChecksInThirtySeconds();
+        assertTrue(checksAtLowCost >= 100, checksAtLowCost + " checks at a low cost");
+        assertTrue(
+                checksAtHighCost <= checksAtLowCost / 10,
+                checksAtHighCost + " checks at twenty times the cost");
+        assertEquals(
+                checksAtLowCost,
+                checksWithoutCapacityInList,
+                "the cost sets no limit if the list shows no capacity");
     }
 
     @Test
@@ -45,7 +50,7 @@
     }
 
     @Test
-    void offerWaitsForChecksOfPreferredMachinesWherePlacersAreMany() {
+    void offerWaitsForChecksOfPreferredMachinesIfPlacersOutnumberMachines() {
         fixtures.instanceCount = 200;
         fixtures.loadReportMode = LoadReportMode.ON_HEALTH_CHECK;
         fixtures.listShowsFreeCapacity = false;
@@ -63,12 +68,13 @@
                                     MILLISECOND,
                                     LoadReport.ofFreeCapacity(15, 30)));
         }
-        assertNotNull(offer, "offered once all have answered");
-        PolicyDriver silent = fixtures.driverWith(cluster(40, 15));
-        silent.send(requestOfService("r1", "one"));
+        assertNotNull(offer, "the task is offered once all checks have completed");
+        PolicyDriver driverWithoutResponses = fixtures.driverWith(cluster(40, 15));
+        driverWithoutResponses.send(requestOfService("r1", "one"));
         assertTrue(
-                silent.advance(200 * MILLISECOND).stream().anyMatch(Offer.class::isInstance),
-                "offered though no machine answers");
+                driverWithoutResponses.advance(200 * MILLISECOND).stream()
+                        .anyMatch(Offer.class::isInstance),
+                "the task is offered even if no machine responds");
     }
 
     @Test
@@ -76,11 +82,11 @@
         fixtures.instanceCount = 200;
         fixtures.loadReportMode = LoadReportMode.ON_HEALTH_CHECK;
         PolicyDriver driver = fixtures.driverWith(cluster(40, 15));
-        int before = driver.firedTimers;
+        int timersBefore = driver.firedTimers;
         assertTrue(driver.advance(20 * SECOND).isEmpty(), "no health checks without a request");
         assertTrue(
-                driver.firedTimers - before <= 220,
-                driver.firedTimers - before + " timers in 20 s");
+                driver.firedTimers - timersBefore <= 220,
+                driver.firedTimers - timersBefore + " timers in 20 s");
     }
 
     private int healthChecksInThirtySeconds() {
--- a/decisions/src/test/java/thornferry/decisions/placement/MachineSelectionTest.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/MachineSelectionTest.java
@@ -21,7 +21,7 @@
 import thornferry.decisions.placement.Placement.PlacementRequested;
 import thornferry.decisions.placement.PolicyFixtures.PolicyDriver;
 
-/** Which of the eligible machines gets the offer, and with which timeout. */
+/** Tests which of the eligible machines gets the offer, and with which timeout. */
 class MachineSelectionTest {
     private final PolicyFixtures fixtures = new PolicyFixtures();
 
@@ -33,15 +33,15 @@
     }
 
     @Test
-    void prefersFullerMachineWhereMachinesInUseCost() {
-        fixtures.fleetCost = 0.25;
+    void prefersFullerMachineIfMachinesInUseHaveCost() {
+        fixtures.machineInUseCost = 0.25;
         PolicyDriver driver =
                 fixtures.driverWith(readyMachine("m1", "a", 12), readyMachine("m2", "a", 20));
         assertEquals("m1", driver.sendForOffer(request("r1", "safe", 1)).machine());
     }
 
     @Test
-    void scoresMachineWithoutSampleAsTheMean() {
+    void scoresMachineWithoutSampleByMeanOfOthers() {
         fixtures.loadReportMode = LoadReportMode.ON_HEALTH_CHECK;
         PolicyDriver driver =
                 fixtures.driverWith(
@@ -54,9 +54,9 @@
         driver.send(
                 new HealthCheckCompleted(
                         "m2", true, MILLISECOND, LoadReport.ofFreeCapacity(18, 40)));
-        Set<String> chosen = new HashSet<>();
+        Set<String> chosenMachines = new HashSet<>();
         for (int i = 0; i < 3; i++) {
-            chosen.add(
+            chosenMachines.add(
                     driver.sendForOffer(
                                     new PlacementRequested(
                                             new PlacementRequest(
@@ -73,12 +73,12 @@
                             .machine());
         }
         assertTrue(
-                chosen.contains("m2") && !chosen.contains("m1"),
-                "the emptier ones, never the full one");
+                chosenMachines.contains("m2") && !chosenMachines.contains("m1"),
+                "the emptier machines are chosen, the full one never");
     }
 
     @Test
-    void prefersMachineThatRunsTheProgram() {
+    void prefersMachineThatRunsSameService() {
         PolicyDriver driver =
                 fixtures.driverWith(readyMachine("m1", "a", 16), readyMachine("m2", "a", 16));
         String first = driver.sendForOffer(request("r1", "safe", 0.5)).machine();
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void timeoutIncludesStartWhereMachineAnswersWhenTaskRuns() {
+    void timeoutIncludesStartIfMachineAcceptsOnlyRunningTask() {
         fixtures.acceptedWhenRunning = true;
         PolicyDriver driver = fixtures.driverWith(readyMachine("m1", "a", 18));
         assertTrue(
@@ -95,18 +95,19 @@
     }
 
     @Test
-    void manyPlacersAgreeOnPreferredMachineOfService() {
+    void placersWithDifferentSeedsAgreeOnPreferredMachine() {
         fixtures.instanceCount = 200;
-        Set<String> chosen = new HashSet<>();
-        Set<String> others = new HashSet<>();
+        Set<String> chosenMachines = new HashSet<>();
+        Set<String> machinesOfOtherServices = new HashSet<>();
         for (int placer = 0; placer < 20; placer++) {
             fixtures.seed = placer;
             PolicyDriver driver = fixtures.driverWith(cluster(40, 15));
-            chosen.add(driver.sendForOffer(requestOfService("r1", "one")).machine());
-            others.add(driver.sendForOffer(requestOfService("r2", "s" + placer)).machine());
+            chosenMachines.add(driver.sendForOffer(requestOfService("r1", "one")).machine());
+            machinesOfOtherServices.add(
+                    driver.sendForOffer(requestOfService("r2", "s" + placer)).machine());
         }
-        assertEquals(1, chosen.size(), "preferred machines do not depend on the seed");
-        assertTrue(others.size() > 8, "services spread over the cluster");
+        assertEquals(1, chosenMachines.size(), "preferred machines do not depend on the seed");
+        assertTrue(machinesOfOtherServices.size() > 8, "services spread over the cluster");
     }
 
     @Test
--- a/decisions/src/test/java/thornferry/decisions/placement/OutlierEjectionTest.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/OutlierEjectionTest.java
@@ -31,12 +31,14 @@
 import thornferry.decisions.placement.Placement.TaskObserved;
 import thornferry.decisions.placement.PolicyFixtures.PolicyDriver;
 
-/** Machines that fail attempts are ejected or excluded, and come back. */
+/**
+ * Tests when machines are ejected or excluded after failed attempts, and when they are readmitted.
+ */
 class OutlierEjectionTest {
     private final PolicyFixtures fixtures = new PolicyFixtures();
 
     @Test
-    void appliesSlowStartToMachineThatAnswersAgainAfterLosingTask() {
+    void appliesSlowStartToMachineThatRespondsAgainAfterLosingTask() {
         fixtures.instanceCount = 4;
         fixtures.slowStartOffers = 20;
         PolicyDriver driver = new PolicyDriver(fixtures);
@@ -65,7 +67,7 @@
     }
 
     @Test
-    void ejectsMachineThatBreaksOffAnswerUntilHealthCheck() {
+    void ejectsMachineThatLosesConnectionDuringOfferUntilHealthCheck() {
         PolicyDriver driver =
                 fixtures.driverWith(
                         readyMachine("m1", "a", 18),
@@ -133,11 +135,15 @@
         PolicyDriver driver = fixtures.driverWith(readyMachine("m1", "a", 18));
         Offer first = driver.sendForOffer(request("r1", "safe", 1));
         driver.send(attemptEnded(first, 0, AttemptOutcome.REJECTED, OutcomeReason.NONE));
-        assertNull(driver.sendForOffer(request("r2", "safe", 1)), "pending for the same class");
-        assertNotNull(driver.sendForOffer(request("r3", "keyed", 1)), "another class is served");
+        assertNull(
+                driver.sendForOffer(request("r2", "safe", 1)),
+                "the task of the same class is pending");
+        assertNotNull(
+                driver.sendForOffer(request("r3", "keyed", 1)),
+                "a task of another class is offered");
         assertTrue(
                 driver.advance(3 * SECOND).stream().anyMatch(Offer.class::isInstance),
-                "tried again in time");
+                "the machine gets offers again after the ejection");
     }
 
     @Test
@@ -154,7 +160,7 @@
     }
 
     @Test
-    void excludesMachineWithFullQueueThoughItAcceptsOtherTasks() {
+    void excludesMachineWithFullQueueEvenIfItAcceptsEarlierOffer() {
         PolicyDriver driver = fixtures.driverWith(readyMachine("m1", "a", 18));
         Offer accepted = driver.sendForOffer(request("r1", "safe", 1));
         Offer rejected = driver.sendForOffer(request("r2", "safe", 1));
@@ -186,7 +192,7 @@
         assertEquals(
                 "m2",
                 driver.sendForOffer(request("r3", "safe", 1)).machine(),
-                "the machine did not leave");
+                "the machine did not shut down");
     }
 
     @Test
--- a/decisions/src/test/java/thornferry/decisions/placement/PlacementRulesTest.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/PlacementRulesTest.java
@@ -20,19 +20,19 @@
 import thornferry.decisions.placement.Placement.Offer;
 import thornferry.decisions.placement.PolicyFixtures.PolicyDriver;
 
-/** The policy keeps the rules of {@link RuleChecker} whatever events come. */
+/** Tests that the policy keeps the rules of {@link RuleChecker} for random streams of events. */
 class PlacementRulesTest {
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void randomEventsBreakNoRule(long seed) {
+    void keepsRulesForRandomEvents(long seed) {
         RuleChecker checker = new RandomEventStream(seed).run(1500);
         assertEquals(List.of(), checker.violations);
-        assertTrue(
-                checker.offerCount > 100, "the stream exercised the policy: " + checker.offerCount);
+        assertTrue(checker.offerCount > 100, "offers in the event stream: " + checker.offerCount);
     }
 
     /**
-     * Rule 4 over all placers: hundreds of them, all with requests, and machines that just started.
+     * Guards rule 4 across placers: hundreds of placers, each with requests, must not together
+     * exceed the offers that a machine in slow start may get.
      */
     @ParameterizedTest
     @ValueSource(ints = {60, 200, 400})
@@ -70,15 +70,16 @@
                 }
             }
         }
-        assertTrue(offersByMachine.size() == 12, "the machines are used");
+        assertTrue(offersByMachine.size() == 12, "every machine gets offers");
         for (List<Long> offerMicros : offersByMachine.values()) {
             for (long windowStartMicros : offerMicros) {
                 long offersInWindow =
                         offerMicros.stream()
                                 .filter(
-                                        t ->
-                                                t >= windowStartMicros
-                                                        && t < windowStartMicros + 3 * SECOND)
+                                        atMicros ->
+                                                atMicros >= windowStartMicros
+                                                        && atMicros
+                                                                < windowStartMicros + 3 * SECOND)
                                 .count();
                 assertTrue(
                         offersInWindow <= 48,
--- a/decisions/src/test/java/thornferry/decisions/placement/PolicyFixtures.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/PolicyFixtures.java
@@ -27,7 +27,7 @@
 import thornferry.decisions.placement.Placement.TimerFired;
 import thornferry.decisions.placement.Placement.TopologyScope;
 
-/** Settings, events and a simulated clock for tests of the policy through its interface. */
+/** Settings, events and a simulated clock for tests that use the policy through its interface. */
 public final class PolicyFixtures {
     static final long MILLISECOND = 1_000;
     static final long SECOND = 1_000_000;
@@ -40,7 +40,7 @@
     boolean listShowsFreeCapacity = true;
     boolean listNeedsSubscription;
     boolean acceptedWhenRunning;
-    double fleetCost;
+    double machineInUseCost;
     double slowStartOffers = 40;
     int maxAttempts = 4;
     boolean healthChecks = true;
@@ -139,7 +139,7 @@
                 2,
                 0.1,
                 3 * SECOND,
-                new CostWeights(fleetCost, 0.08, 0.03, 0, healthCheckCost, 0.004, 0.02, 2),
+                new CostWeights(machineInUseCost, 0.08, 0.03, 0, healthCheckCost, 0.004, 0.02, 2),
                 new Rules(
                         8 * MILLISECOND,
                         500 * MILLISECOND,
@@ -203,14 +203,14 @@
                 null);
     }
 
-    /** A policy that knows these machines from a full list. */
+    /** Returns a driver whose policy has received a full list of these machines. */
     PolicyDriver driverWith(MachineEntry... entries) {
         PolicyDriver driver = new PolicyDriver(this);
         driver.send(fullList(entries));
         return driver;
     }
 
-    /** Ready machines with the same free capacity. */
+    /** Returns entries of ready machines with the same free capacity. */
     static MachineEntry[] cluster(int size, double freeCores) {
         return IntStream.range(0, size)
                 .mapToObj(i -> readyMachine("m" + i, "a", freeCores))
@@ -223,14 +223,17 @@
                         id, "safe", null, "t-" + id, 8 * SECOND, 0, service, 1, 1, false));
     }
 
-    /** A request for a service of its own, so that no machine has its program. */
+    /**
+     * Returns a request for a service that no other request names, so that no machine has its
+     * program.
+     */
     static PlacementRequested requestOfOwnService(String id, String taskClass) {
         return new PlacementRequested(
                 new PlacementRequest(
                         id, taskClass, null, "t-" + id, 8 * SECOND, 0, "s-" + id, 0.5, 0.5, false));
     }
 
-    /** A policy with its clock; timers fire when the test moves the clock past them. */
+    /** A policy with a simulated clock. Timers fire when the test advances the clock past them. */
     static final class PolicyDriver {
         final Placement policy;
         final List<Action> allActions = new ArrayList<>();
@@ -242,7 +245,7 @@
             policy = new Policy(fixtures.settings());
         }
 
-        /** Sends one event; returns the actions that follow from it, without timers. */
+        /** Sends one event. Returns the actions that follow from it, except timers. */
         List<Action> send(Event event) {
             List<Action> actions = new ArrayList<>();
             policy.on(
@@ -259,7 +262,9 @@
             return actions;
         }
 
-        /** Sends one event; returns the offer that follows from it, null if there is none. */
+        /**
+         * Sends one event. Returns the first offer that follows from it, or null if there is none.
+         */
         Offer sendForOffer(Event event) {
             return send(event).stream()
                     .filter(Offer.class::isInstance)
@@ -268,7 +273,9 @@
                     .orElse(null);
         }
 
-        /** Lets time pass and fires timers when they are due; returns the actions. */
+        /**
+         * Advances the clock and fires the timers that become due. Returns the actions that follow.
+         */
         List<Action> advance(long durationMicros) {
             List<Action> actions = new ArrayList<>();
             long endMicros = nowMicros + durationMicros;
--- a/decisions/src/test/java/thornferry/decisions/placement/PolicyTest.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/PolicyTest.java
@@ -38,7 +38,9 @@
 import thornferry.decisions.placement.Placement.TaskObserved;
 import thornferry.decisions.placement.PolicyFixtures.PolicyDriver;
 
-/** The policy as a whole: determinism, subscription, unusual input, and what it retains. */
+/**
+ * Tests the policy as a whole: determinism, list subscription, invalid input and retained state.
+ */
 class PolicyTest {
     private final PolicyFixtures fixtures = new PolicyFixtures();
 
@@ -72,12 +74,12 @@
         driver.send(new MachineListUpdated(1, ListUpdateKind.FAILED, List.of()));
         assertTrue(driver.advance(500 * MILLISECOND).contains(new Subscribe(true)));
         driver.send(new MachineListUpdated(1, ListUpdateKind.FAILED, List.of()));
-        assertTrue(driver.advance(400 * MILLISECOND).isEmpty(), "waits longer");
+        assertTrue(driver.advance(400 * MILLISECOND).isEmpty(), "the backoff has doubled");
         assertTrue(driver.advance(500 * MILLISECOND).contains(new Subscribe(true)));
     }
 
     @Test
-    void namesInvalidSetting() {
+    void exceptionNamesInvalidSetting() {
         fixtures.instanceCount = 0;
         assertTrue(
                 assertThrows(IllegalArgumentException.class, () -> new Policy(fixtures.settings()))
@@ -120,9 +122,9 @@
         fixtures.slowStartOffers = 3;
         fixtures.loadReportMode = LoadReportMode.ON_HEALTH_CHECK;
         PolicyDriver driver = new PolicyDriver(fixtures);
-        MachineEntry[] many = new MachineEntry[400];
-        for (int i = 0; i < many.length; i++) {
-            many[i] =
+        MachineEntry[] listedMachines = new MachineEntry[400];
+        for (int i = 0; i < listedMachines.length; i++) {
+            listedMachines[i] =
                     machine(
                             "m" + i,
                             i % 2 == 0 ? "a" : "b",
@@ -130,27 +132,35 @@
                             18,
                             i % 3 == 0 ? driver.nowMicros : 0);
         }
-        driver.send(fullList(many));
+        driver.send(fullList(listedMachines));
         driver.send(
                 deltaList(
                         new MachineEntry(
-                                "odd", "a", "unknown kind", 9, MachineState.READY, 5, 5, 1, 0)));
+                                "unknown-size",
+                                "a",
+                                "unknown kind",
+                                9,
+                                MachineState.READY,
+                                5,
+                                5,
+                                1,
+                                0)));
         Offer offer = driver.sendForOffer(request("r1", "keyed", 1));
         assertNotNull(offer);
-        assertNotEquals("odd", offer.machine(), "its size is unknown");
-        List<MachineEntry> left = new ArrayList<>();
-        for (MachineEntry entry : many) {
+        assertNotEquals("unknown-size", offer.machine(), "the size of the machine is unknown");
+        List<MachineEntry> remainingMachines = new ArrayList<>();
+        for (MachineEntry entry : listedMachines) {
             if (entry.zone().equals("b") && !entry.machine().equals(offer.machine())) {
-                left.add(entry);
+                remainingMachines.add(entry);
             }
         }
-        // zone a is gone, and with it the offered machine
-        driver.send(new MachineListUpdated(9, ListUpdateKind.FULL, left));
+        // Zone a and the machine that has the offer are missing from this list.
+        driver.send(new MachineListUpdated(9, ListUpdateKind.FULL, remainingMachines));
         driver.advance(SECOND);
         driver.send(attemptEnded(offer, 0, AttemptOutcome.TIMED_OUT, OutcomeReason.NONE));
         for (int i = 10; i < 60; i++) {
             Offer next = driver.sendForOffer(request("r" + i, "safe", 1));
-            assertTrue(next == null || isListed(left, next.machine()));
+            assertTrue(next == null || isListed(remainingMachines, next.machine()));
             if (next != null) {
                 driver.send(attemptEnded(next, 0, AttemptOutcome.REJECTED, OutcomeReason.NONE));
             }
@@ -163,7 +173,7 @@
     }
 
     @Test
-    void retainsNothingOfGoneMachinesAndEndedServices() {
+    void retainsNoStateOfGoneMachinesAndEndedServices() {
         PolicyDriver driver = fixtures.driverWith(readyMachine("m0", "a", 18));
         for (int i = 0; i < 500; i++) {
             Offer offer = driver.sendForOffer(requestOfOwnService("r" + i, "safe"));
@@ -183,14 +193,15 @@
                             OutcomeReason.NONE,
                             null));
             driver.send(deltaList(machine("m" + i, "a", MachineState.GONE, 18, 0)));
-            // an adopted task on a machine that no list ever names
+            // The machine of this adopted task is never listed.
             driver.send(
-                    new TaskAdopted(requestOfOwnService("h" + i, "safe").request(), "nowhere" + i));
+                    new TaskAdopted(
+                            requestOfOwnService("h" + i, "safe").request(), "unlisted" + i));
             driver.send(
                     new AttemptEnded(
                             "h" + i,
                             0,
-                            "nowhere" + i,
+                            "unlisted" + i,
                             AttemptOutcome.LOST,
                             0,
                             true,
--- a/decisions/src/test/java/thornferry/decisions/placement/RandomEventStream.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/RandomEventStream.java
@@ -26,8 +26,11 @@
 import thornferry.decisions.placement.Placement.TimerFired;
 import thornferry.decisions.placement.PolicyFixtures.PolicyDriver;
 
-/** A random but reproducible stream of events for one policy, checked by a {@link RuleChecker}. */
-@SuppressWarnings("EnumOrdinal") // counts and draws are by position
+/**
+ * A reproducible stream of random events for one policy, whose actions a {@link RuleChecker}
+ * checks.
+ */
+@SuppressWarnings("EnumOrdinal") // seeds and draws select constants by position
 final class RandomEventStream {
     private static final List<String> CLASSES =
             List.of("safe", "keyed", "keyedAll", "unsafe", "spread", "cheap");
@@ -66,7 +69,7 @@
         checker = new RuleChecker(fixtures.settings());
     }
 
-    /** Sends the events and lets every attempt end; returns the checker. */
+    /** Sends this number of random events, then ends every open attempt. Returns the checker. */
     RuleChecker run(int steps) {
         send(new MachineListUpdated(1, ListUpdateKind.CACHED, randomEntries()));
         for (int step = 0; step < steps; step++) {
@@ -77,11 +80,11 @@
             } else if (kind < 6) {
                 sendList();
             } else if (!openAttempts.isEmpty()) {
-                answer(openAttempts.remove(random.nextInt(openAttempts.size())));
+                endAttempt(openAttempts.remove(random.nextInt(openAttempts.size())));
             }
         }
         while (!openAttempts.isEmpty()) {
-            answer(openAttempts.remove(0));
+            endAttempt(openAttempts.remove(0));
         }
         advance(20 * SECOND);
         checker.finish(driver.nowMicros);
@@ -138,7 +141,7 @@
         return entries;
     }
 
-    private void answer(OpenAttempt attempt) {
+    private void endAttempt(OpenAttempt attempt) {
         boolean timedOut = driver.nowMicros >= attempt.timeoutAtMicros();
         if (!timedOut && random.nextBoolean()) {
             acceptAndEnd(attempt);
@@ -195,12 +198,17 @@
                         new OpenAttempt(
                                 offer, checker.attempts(offer.requestId()) - 1, driver.nowMicros));
             } else if (action instanceof CheckHealth check) {
-                assertTrue(checker.isKnown(check.machine()), "checks only listed machines");
+                assertTrue(
+                        checker.isKnown(check.machine()),
+                        "health checks go to listed machines only");
             }
         }
     }
 
-    /** Lets time pass timer by timer; attempts whose timeout has passed get that outcome. */
+    /**
+     * Advances the clock from one timer or timeout to the next. An attempt whose timeout passes
+     * ends as timed out.
+     */
     private void advance(long durationMicros) {
         long endMicros = driver.nowMicros + durationMicros;
         while (true) {
--- a/decisions/src/test/java/thornferry/decisions/placement/RejectOrFailTest.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/RejectOrFailTest.java
@@ -24,9 +24,7 @@
 import thornferry.decisions.placement.Placement.Reject;
 import thornferry.decisions.placement.PolicyFixtures.PolicyDriver;
 
-/**
- * One final answer for each request in time, and no second run of a task that must not have one.
- */
+/** Tests that each request has one result in time, and that no task runs twice that must not. */
 class RejectOrFailTest {
     private final PolicyFixtures fixtures = new PolicyFixtures();
 
@@ -35,7 +33,7 @@
         PolicyDriver driver = fixtures.driverWith(readyMachine("m1", "a", 0.5));
         assertTrue(
                 driver.send(request("r1", "safe", 3)).stream().allMatch(Pending.class::isInstance),
-                "pending while nothing fits");
+                "the task is pending while no machine has capacity");
         assertEquals(
                 List.of(),
                 driver.advance(7 * SECOND).stream()
@@ -88,7 +86,7 @@
     }
 
     @Test
-    void sendsNothingAfterClientDisconnected() {
+    void emitsNoActionAfterClientDisconnected() {
         PolicyDriver driver =
                 fixtures.driverWith(readyMachine("m1", "a", 18), readyMachine("m2", "a", 18));
         Offer first = driver.sendForOffer(request("r1", "safe", 1));
--- a/decisions/src/test/java/thornferry/decisions/placement/RuleChecker.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/RuleChecker.java
@@ -25,13 +25,15 @@
 import thornferry.decisions.placement.Placement.TopologyScope;
 
 /**
- * Checks the actions of one policy against the rules, knowing nothing of how it decides.
+ * Checks the actions of one policy against the rules, independently of the implementation of the
+ * policy.
  *
  * <ol>
- *   <li>Each request gets one final answer in time.
- *   <li>No task runs twice that must not, and none is rejected that may have run.
+ *   <li>Each request has one result in time.
+ *   <li>No task runs twice that must not, and no request is rejected whose task may have run,
+ *       unless a retry is safe.
  *   <li>Draining and gone machines get no offers.
- *   <li>Machines in slow start get no more than this placer's share of their budget.
+ *   <li>Machines in slow start get at most this placer's share of the offers that they may get.
  *   <li>No scope runs more tasks of a service than the class allows.
  * </ol>
  */
@@ -48,13 +50,13 @@
         PlacementRequest request;
         TaskClass taskClass;
         long requestedMicros;
-        boolean answered;
+        boolean hasResult;
         boolean attemptInFlight;
         int attempts;
         String machine;
         long sentMicros;
-        String mayHaveRunOn;
-        long mayHaveRunSinceMicros;
+        String possibleRunMachine;
+        long possibleRunSinceMicros;
     }
 
     RuleChecker(Settings settings) {
@@ -91,23 +93,23 @@
             addTask(nowMicros, requested.request());
         } else if (event instanceof TaskAdopted adopted) {
             TaskRecord task = addTask(nowMicros, adopted.request());
-            task.answered = true;
+            task.hasResult = true;
             task.attemptInFlight = true;
             task.machine = adopted.machine();
             task.attempts = 1;
         } else if (event instanceof AttemptAccepted accepted) {
-            tasks.get(accepted.requestId()).answered = true;
+            tasks.get(accepted.requestId()).hasResult = true;
         } else if (event instanceof AttemptEnded ended) {
             TaskRecord task = tasks.get(ended.requestId());
             task.attemptInFlight = false;
-            task.answered |= ended.settled();
-            if (!ended.outcome().neverRan && task.mayHaveRunOn == null) {
-                task.mayHaveRunOn = task.machine;
-                task.mayHaveRunSinceMicros = task.sentMicros;
+            task.hasResult |= ended.settled();
+            if (!ended.outcome().neverRan && task.possibleRunMachine == null) {
+                task.possibleRunMachine = task.machine;
+                task.possibleRunSinceMicros = task.sentMicros;
             }
         } else if (event instanceof ClientDisconnected disconnected
                 && tasks.containsKey(disconnected.requestId())) {
-            tasks.get(disconnected.requestId()).answered = true;
+            tasks.get(disconnected.requestId()).hasResult = true;
         }
     }
 
@@ -126,13 +128,13 @@
 
     private void checkDeadlines(long nowMicros) {
         for (TaskRecord task : tasks.values()) {
-            if (!task.answered
+            if (!task.hasResult
                     && nowMicros
                             > task.requestedMicros
                                     + task.request.maxWaitMicros()
                                     + settings.rules().answerGraceMicros()) {
-                task.answered = true;
-                recordViolation(1, nowMicros, task.request.id() + " has no final answer in time");
+                task.hasResult = true;
+                recordViolation(1, nowMicros, task.request.id() + " has no result in time");
             }
         }
     }
@@ -150,46 +152,46 @@
             TaskRecord task = tasks.get(reject.requestId());
             boolean safeToRetry =
                     task.taskClass.idempotency() == Idempotency.IDEMPOTENT
-                            || (task.mayHaveRunOn == null && !task.attemptInFlight)
+                            || (task.possibleRunMachine == null && !task.attemptInFlight)
                             || (task.taskClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
                                     && task.taskClass.keyScope() == TopologyScope.ALL);
             if (!safeToRetry) {
                 recordViolation(
                         2, nowMicros, task.request.id() + " is rejected though it may have run");
             }
-            recordFinalAnswer(nowMicros, task);
+            recordResult(nowMicros, task);
         } else if (action instanceof Fail fail) {
-            recordFinalAnswer(nowMicros, tasks.get(fail.requestId()));
+            recordResult(nowMicros, tasks.get(fail.requestId()));
         }
     }
 
-    private void recordFinalAnswer(long nowMicros, TaskRecord task) {
-        if (task.answered) {
-            recordViolation(1, nowMicros, task.request.id() + " is answered twice");
+    private void recordResult(long nowMicros, TaskRecord task) {
+        if (task.hasResult) {
+            recordViolation(1, nowMicros, task.request.id() + " has two results");
         }
-        task.answered = true;
+        task.hasResult = true;
     }
 
     private void checkOffer(long nowMicros, Offer offer, TaskRecord task) {
-        if (task.answered) {
-            recordViolation(1, nowMicros, offer.requestId() + " is offered after its final answer");
+        if (task.hasResult) {
+            recordViolation(1, nowMicros, offer.requestId() + " is offered after its result");
         }
         if (task.attemptInFlight) {
             recordViolation(2, nowMicros, offer.requestId() + " has two attempts in flight");
         }
-        if (task.mayHaveRunOn != null
+        if (task.possibleRunMachine != null
                 && task.taskClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
             recordViolation(
                     2, nowMicros, offer.requestId() + " may have run and is not idempotent");
         }
         MachineEntry entry = machines.get(offer.machine());
-        if (task.mayHaveRunOn != null
+        if (task.possibleRunMachine != null
                 && task.taskClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY) {
             boolean withinKeyScope =
                     task.taskClass.keyScope() == TopologyScope.ALL
-                            || machines.get(task.mayHaveRunOn).zone().equals(entry.zone());
+                            || machines.get(task.possibleRunMachine).zone().equals(entry.zone());
             if (!withinKeyScope
-                    || nowMicros > task.mayHaveRunSinceMicros + task.taskClass.keyWindowMicros()) {
+                    || nowMicros > task.possibleRunSinceMicros + task.taskClass.keyWindowMicros()) {
                 recordViolation(
                         2,
                         nowMicros,
@@ -223,7 +225,8 @@
             recordViolation(
                     4,
                     nowMicros,
-                    entry.machine() + " gets more than this placer's share of its budget");
+                    entry.machine()
+                            + " gets more than this placer's share of offers in slow start");
         }
     }
 
--- a/decisions/src/test/java/thornferry/decisions/placement/RuleCheckerTest.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/RuleCheckerTest.java
@@ -17,7 +17,7 @@
 import thornferry.decisions.placement.Placement.OutcomeReason;
 import thornferry.decisions.placement.Placement.Reject;
 
-/** The rule checker catches actions that break each rule. */
+/** Tests that the rule checker detects violations of each rule. */
 class RuleCheckerTest {
     private final PolicyFixtures fixtures = new PolicyFixtures();
 
@@ -27,27 +27,27 @@
         return checker;
     }
 
-    private static void assertCaught(RuleChecker checker, String rule) {
+    private static void assertDetects(RuleChecker checker, String rule) {
         assertTrue(
-                checker.violations.stream().anyMatch(b -> b.startsWith(rule)),
+                checker.violations.stream().anyMatch(violation -> violation.startsWith(rule)),
                 rule + " in " + checker.violations);
     }
 
     @Test
-    void catchesMissingAndSecondFinalAnswer() {
-        RuleChecker unanswered = newChecker();
-        unanswered.recordEvent(0, request("r1", "safe", 1));
-        unanswered.finish(9 * SECOND);
-        assertCaught(unanswered, "rule 1");
-        RuleChecker twice = newChecker();
-        twice.recordEvent(0, request("r1", "safe", 1));
-        twice.recordAction(1, new Reject("r1", 0));
-        twice.recordAction(2, new Offer("r1", "m1", SECOND));
-        assertCaught(twice, "rule 1");
+    void detectsMissingResultAndOfferAfterResult() {
+        RuleChecker withoutResult = newChecker();
+        withoutResult.recordEvent(0, request("r1", "safe", 1));
+        withoutResult.finish(9 * SECOND);
+        assertDetects(withoutResult, "rule 1");
+        RuleChecker offeredAfterResult = newChecker();
+        offeredAfterResult.recordEvent(0, request("r1", "safe", 1));
+        offeredAfterResult.recordAction(1, new Reject("r1", 0));
+        offeredAfterResult.recordAction(2, new Offer("r1", "m1", SECOND));
+        assertDetects(offeredAfterResult, "rule 1");
     }
 
     @Test
-    void catchesSecondRunAndUnsafeRejection() {
+    void detectsSecondRunAndUnsafeRejection() {
         for (String taskClass : List.of("unsafe", "keyed")) {
             RuleChecker checker = newChecker();
             checker.recordEvent(0, request("r1", taskClass, 1));
@@ -56,13 +56,13 @@
             checker.recordEvent(
                     SECOND, attemptEnded(offer, 0, AttemptOutcome.TIMED_OUT, OutcomeReason.NONE));
             checker.recordAction(SECOND, new Offer("r1", "m2", SECOND));
-            assertCaught(checker, "rule 2");
+            assertDetects(checker, "rule 2");
         }
         RuleChecker parallel = newChecker();
         parallel.recordEvent(0, request("r1", "safe", 1));
         parallel.recordAction(0, new Offer("r1", "m1", SECOND));
         parallel.recordAction(0, new Offer("r1", "m2", SECOND));
-        assertCaught(parallel, "rule 2");
+        assertDetects(parallel, "rule 2");
         RuleChecker rejected = newChecker();
         rejected.recordEvent(0, request("r1", "unsafe", 1));
         Offer offer = new Offer("r1", "m1", SECOND);
@@ -70,20 +70,20 @@
         rejected.recordEvent(
                 SECOND, attemptEnded(offer, 0, AttemptOutcome.LOST, OutcomeReason.NONE));
         rejected.recordAction(SECOND, new Reject("r1", 0));
-        assertCaught(rejected, "rule 2");
+        assertDetects(rejected, "rule 2");
     }
 
     @Test
-    void catchesOfferToDrainingMachine() {
+    void detectsOfferToDrainingMachine() {
         RuleChecker checker = newChecker();
         checker.recordEvent(0, deltaList(machine("m1", "a", MachineState.DRAINING, 9, 0)));
         checker.recordEvent(0, request("r1", "safe", 1));
         checker.recordAction(SECOND, new Offer("r1", "m1", SECOND));
-        assertCaught(checker, "rule 3");
+        assertDetects(checker, "rule 3");
     }
 
     @Test
-    void catchesTooManyOffersInSlowStart() {
+    void detectsTooManyOffersInSlowStart() {
         fixtures.slowStartOffers = 3;
         RuleChecker checker = newChecker();
         checker.recordEvent(0, deltaList(machine("m1", "a", MachineState.READY, 9, 1)));
@@ -91,16 +91,16 @@
             checker.recordEvent(2, request("r" + i, "safe", 1));
             checker.recordAction(2, new Offer("r" + i, "m1", SECOND));
         }
-        assertCaught(checker, "rule 4");
+        assertDetects(checker, "rule 4");
     }
 
     @Test
-    void catchesTooManyTasksOfServiceInOneZone() {
+    void detectsTooManyTasksOfServiceInOneZone() {
         RuleChecker checker = newChecker();
         for (int i = 0; i < 3; i++) {
             checker.recordEvent(0, request("r" + i, "spread", 1));
             checker.recordAction(0, new Offer("r" + i, "m1", SECOND));
         }
-        assertCaught(checker, "rule 5");
+        assertDetects(checker, "rule 5");
     }
 }
--- a/decisions/src/test/java/thornferry/decisions/placement/SlowStartTest.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/SlowStartTest.java
@@ -24,11 +24,12 @@
 import thornferry.decisions.placement.PolicyFixtures.PolicyDriver;
 
 /**
- * Slow start limits what reaches a machine from all placers together, in every window: whatever
- * bursts of requests come, whichever placers have just restarted, and whenever each of them learns
- * of the machine's start. There are no other machines, so that all load falls on these.
+ * Tests that the offers of all placers together stay within the slow start limit of a machine in
+ * every window. The limit is at risk when requests come in bursts, placers restart and forget their
+ * offers, and placers learn of the machine's start at different times. There are no other machines,
+ * so that these get the whole load.
  */
-@SuppressWarnings("EnumOrdinal") // counts and draws are by position
+@SuppressWarnings("EnumOrdinal") // draws select constants by position
 class SlowStartTest {
     private static final long WINDOW_MICROS = 3 * SECOND;
     private static final long START_MICROS = 1_000 * SECOND;
@@ -55,8 +56,8 @@
                 nowMicros < START_MICROS + 40 * SECOND;
                 nowMicros += STEP_MICROS) {
             for (int i = 0; i < placers; i++) {
-                // half of the time most placers restart repeatedly, some between two offers to the
-                // same machine
+                // During half of the time most placers restart repeatedly, some of them between two
+                // offers to the same machine.
                 if (nowMicros % (20 * SECOND) >= 10 * SECOND
                         && nowMicros % (1_500 * MILLISECOND) < STEP_MICROS
                         && random.nextInt(10) < 7) {
@@ -65,7 +66,7 @@
                 runStep(drivers.get(i), nowMicros);
             }
         }
-        assertEquals(MACHINE_COUNT, arrivalsByMachine.size(), "all are used");
+        assertEquals(MACHINE_COUNT, arrivalsByMachine.size(), "every machine gets offers");
         double maxOffers = budget + 2 * Math.sqrt(budget) + 2;
         arrivalsByMachine.forEach(
                 (machine, arrivals) -> {
@@ -76,12 +77,15 @@
                         }
                         assertTrue(
                                 i - windowStart + 1 <= maxOffers,
-                                (i - windowStart + 1) + " in a window of " + machine);
+                                (i - windowStart + 1) + " offers in a window of " + machine);
                     }
                 });
     }
 
-    /** A placer that starts knows the current list and nothing of what its predecessor sent. */
+    /**
+     * Returns a placer that has just started: it knows the current list, but not the offers of its
+     * last incarnation.
+     */
     private PolicyDriver startPlacer(int instanceIndex, long nowMicros) {
         fixtures.instanceIndex = instanceIndex;
         fixtures.seed = random.nextLong();
@@ -117,9 +121,8 @@
         List<Action> actions =
                 new ArrayList<>(driver.advance(nowMicros + STEP_MICROS - driver.nowMicros));
         for (int machineIndex = 0; machineIndex < MACHINE_COUNT; machineIndex++) {
-            if (nowMicros >= startedAtMicros(machineIndex)
-                    && random.nextInt(10)
-                            == 0) { // placers learn of a start at different times, and again
+            if (nowMicros >= startedAtMicros(machineIndex) && random.nextInt(10) == 0) {
+                // Placers learn of a start at different times, and repeatedly.
                 actions.addAll(driver.send(PolicyFixtures.deltaList(machine(machineIndex))));
             }
         }
@@ -130,7 +133,7 @@
             Action action = actions.remove(0);
             if (action instanceof Offer offer) {
                 if (isWarmingUp(offer.machine(), driver.nowMicros)) {
-                    // a new connection may take up to 250 ms
+                    // An offer over a new connection may arrive up to 250 ms later.
                     arrivalsByMachine
                             .computeIfAbsent(offer.machine(), machine -> new ArrayList<>())
                             .add(driver.nowMicros + random.nextInt((int) (250 * MILLISECOND)));
