--- a/decisions/src/main/java/thornferry/decisions/placement/CandidateFilter.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/CandidateFilter.java
@@ -101,7 +101,7 @@
         if (requiredKind >= 0 && requiredKind != machine.kind()) {
             return FilterReason.WRONG_KIND;
         }
-        if (task.isBoundToKeyScope()
+        if (task.isRestrictedToKeyScope()
                 && !machine.sharesScope(
                         task.taskClass().keyScope(), task.possibleRun().machine())) {
             return FilterReason.OUTSIDE_KEY_SCOPE;
--- a/decisions/src/main/java/thornferry/decisions/placement/HealthChecker.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/HealthChecker.java
@@ -28,7 +28,7 @@
      * The fraction of the value of a request that checks may cost, if the endpoint list already
      * shows the free capacity at no cost.
      */
-    private static final double COST_PER_REQUEST = 0.008;
+    private static final double MAX_COST_PER_REQUEST = 0.008;
 
     private final Settings settings;
     private final EventContext context;
@@ -100,7 +100,7 @@
                 settings.listShowsFreeCapacity()
                         ? settings.costWeights().healthCheck()
                                 * CHECKS_PER_REQUEST
-                                / COST_PER_REQUEST
+                                / MAX_COST_PER_REQUEST
                         : 0;
         return Math.max(1, costFactor)
                 * Math.max(MIN_INTERVAL_MICROS, Math.min(MAX_INTERVAL_MICROS, intervalByRequests));
--- a/decisions/src/main/java/thornferry/decisions/placement/MachineHealth.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/MachineHealth.java
@@ -37,7 +37,7 @@
      */
     private static final long SHUTDOWN_EXCLUSION_MICROS = 5 * Micros.SECOND;
 
-    /** The factor by which each accepted attempt reduces the error rate. */
+    /** The factor by which each accepted attempt multiplies the error rate. */
     private static final double ERROR_RATE_DECAY = 0.7;
 
     private static final long LONG_AGO_MICROS = Long.MIN_VALUE / 2;
@@ -72,7 +72,7 @@
         return isEjected() && nowMicros >= excludedUntilMicros;
     }
 
-    /** Returns the reason of an exclusion that ends after a time, or null if there is none. */
+    /** Returns the reason for an exclusion that ends after a time, or null if there is none. */
     FilterReason timedExclusion(long nowMicros) {
         if (isEjected() || nowMicros >= excludedUntilMicros) {
             return null;
--- a/decisions/src/main/java/thornferry/decisions/placement/MachineScorer.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/MachineScorer.java
@@ -33,8 +33,8 @@
     private static final double CORE_OVERLOAD_RANGE = 0.3;
 
     /**
-     * The fraction of memory in use above which tasks slow down. It is avoided by this cost, and
-     * further up by {@link CapacityFilter}.
+     * The fraction of memory in use above which tasks slow down. Above it this cost makes the
+     * machine less preferred; further up {@link CapacityFilter} excludes it.
      */
     private static final double MEMORY_OVERLOAD_START = 0.85;
 
--- a/decisions/src/main/java/thornferry/decisions/placement/Placement.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/Placement.java
@@ -89,7 +89,7 @@
         }
     }
 
-    /** The reason of an outcome, NONE if the machine gave no reason. */
+    /** The reason for an outcome, NONE if the machine gave no reason. */
     enum OutcomeReason {
         NONE,
         INSUFFICIENT_CORES,
@@ -114,7 +114,7 @@
         WRONG_KIND,
         INSUFFICIENT_CORES,
         INSUFFICIENT_MEMORY,
-        /** The machine lacked capacity for a task of at most this size since its last report. */
+        /** The machine has rejected a task no larger for lack of capacity since its last report. */
         RECENTLY_REJECTED,
         /** The machine is ejected as an outlier. */
         MACHINE_EJECTED,
@@ -253,7 +253,7 @@
      * @param slowStartMicros how long after its start a machine is warming up
      * @param slowStartMultiple the limit on offers, as a multiple of the machine's start rate
      * @param slowStartWindowMicros the window within which offers to such a machine are counted
-     * @param slowStartOffers the number of offers that all placers may always send in one window
+     * @param slowStartOffers the offers that all placers together may always send in one window
      */
     record Rules(
             long answerGraceMicros,
@@ -418,12 +418,12 @@
             String requestId, int attempt, String machine, ObservationKind kind, double value)
             implements Event {}
 
-    /** The machine has accepted the task, which is the result of the request. */
+    /** The machine has accepted the task after this time, which is the result of the request. */
     record AttemptAccepted(String requestId, int attempt, String machine, long waitedMicros)
             implements Event {}
 
     /**
-     * The end of an attempt. Each attempt ends exactly once.
+     * The outcome of an attempt, exactly one for each, and the time that the attempt took.
      *
      * @param settled whether the request has had its result
      * @param report the machine's load report, null if it sent none
@@ -439,7 +439,7 @@
             LoadReport report)
             implements Event {}
 
-    /** The result of a health check. The report is null if the machine sent none. */
+    /** The result of a health check and the time that it took. The report is null if none came. */
     record HealthCheckCompleted(
             String machine, boolean answered, long waitedMicros, LoadReport report)
             implements Event {}
--- a/decisions/src/main/java/thornferry/decisions/placement/Policy.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/Policy.java
@@ -203,7 +203,7 @@
      */
     private void placeOrPend(TrackedTask task) {
         long nowMicros = context.nowMicros();
-        if (rejectOrFail.isRetryForbidden(task) || task.endsBeforeNextTick(nowMicros)) {
+        if (rejectOrFail.isRetryForbidden(task) || task.expiresBeforeNextTick(nowMicros)) {
             sendNegativeResult(task);
             return;
         }
@@ -293,7 +293,7 @@
             return;
         }
         task.abandon();
-        if (!task.hasAttempt()) {
+        if (!task.hasActiveAttempt()) {
             tasks.remove(requestId);
         }
     }
--- a/decisions/src/main/java/thornferry/decisions/placement/RejectOrFail.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/RejectOrFail.java
@@ -28,13 +28,13 @@
         boolean isNonIdempotent = task.taskClass().idempotency() == Idempotency.NON_IDEMPOTENT;
         return task.attempts() >= settings.limits().maxAttempts()
                 || (task.mayHaveRun() && isNonIdempotent)
-                || (task.isBoundToKeyScope() && isKeyWindowExpired(task));
+                || (task.isRestrictedToKeyScope() && isKeyWindowExpired(task));
     }
 
     /** Returns whether the idempotency key may expire before an offer that is sent now arrives. */
     private boolean isKeyWindowExpired(TrackedTask task) {
         long keyExpiresMicros =
-                task.possibleRun().sinceMicros() + task.taskClass().keyWindowMicros();
+                task.possibleRun().sentAtMicros() + task.taskClass().keyWindowMicros();
         return context.nowMicros() >= keyExpiresMicros - Policy.TICK_INTERVAL_MICROS;
     }
 
--- a/decisions/src/main/java/thornferry/decisions/placement/ServiceAffinity.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/ServiceAffinity.java
@@ -22,9 +22,9 @@
      * The likelihood of a set-up on the first preferred machine, followed by the increment for each
      * further one.
      */
-    private static final double FIRST_PREFERRED_SETUP = 0.1;
+    private static final double FIRST_PREFERRED_SETUP_LIKELIHOOD = 0.1;
 
-    private static final double NEXT_PREFERRED_SETUP = 0.12;
+    private static final double NEXT_PREFERRED_SETUP_INCREMENT = 0.12;
 
     private static final long LONG_AGO_MICROS = Long.MIN_VALUE / 2;
 
@@ -73,7 +73,7 @@
         if (accepted) {
             tasks.lastEndedMicros = context.nowMicros();
         }
-        tasksByMachine.values().removeIf(own -> own.isExpired(context.nowMicros()));
+        tasksByMachine.values().removeIf(ownTasks -> ownTasks.isExpired(context.nowMicros()));
     }
 
     /**
@@ -96,7 +96,8 @@
                 ? likelihoodByOwnTasks
                 : Math.min(
                         likelihoodByOwnTasks,
-                        FIRST_PREFERRED_SETUP + NEXT_PREFERRED_SETUP * preferenceIndex);
+                        FIRST_PREFERRED_SETUP_LIKELIHOOD
+                                + NEXT_PREFERRED_SETUP_INCREMENT * preferenceIndex);
     }
 
     /**
@@ -147,7 +148,9 @@
                 .values()
                 .forEach(
                         tasksByMachine ->
-                                tasksByMachine.values().removeIf(own -> own.isExpired(nowMicros)));
+                                tasksByMachine
+                                        .values()
+                                        .removeIf(ownTasks -> ownTasks.isExpired(nowMicros)));
         tasksByService.values().removeIf(Map::isEmpty);
     }
 
--- a/decisions/src/main/java/thornferry/decisions/placement/SlowStartLimiter.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/SlowStartLimiter.java
@@ -7,8 +7,9 @@
  * Slow start: limits the offers that all placers together send to a machine that has started
  * recently.
  *
- * <p>If this placer's share of the machine's budget is at least one offer, the placer sends no more
- * than its share within the counting span. If the share is smaller, placers send in time slots of a
+ * <p>The budget of a machine is the number of offers that it may get from all placers in one
+ * window. If this placer's share of the budget is at least one offer, the placer sends no more than
+ * its share within the counting span. If the share is smaller, placers send in time slots of a
  * clock that all of them share. The slots for one machine begin 1.5 windows / (budget - 1) apart
  * and last half a window, so that the number of slots that overlap any one window is at most the
  * budget. The previous incarnation of this placer is assumed to have used its whole share.
--- a/decisions/src/main/java/thornferry/decisions/placement/TaskClassCatalog.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/TaskClassCatalog.java
@@ -26,7 +26,10 @@
         classes.forEach(taskClass -> classesByName.put(taskClass.name(), taskClass));
         defaultClass = classes.get(0);
         maxCoreUtilization =
-                -max(c -> -c.contentionThreshold() - ALLOWED_CONTENTION * c.contentionRange());
+                -max(
+                        taskClass ->
+                                -taskClass.contentionThreshold()
+                                        - ALLOWED_CONTENTION * taskClass.contentionRange());
         maxPriorityWeight = Math.max(MIN_PRIORITY_WEIGHT, max(TaskClass::priorityWeight));
     }
 
--- a/decisions/src/main/java/thornferry/decisions/placement/TaskTracker.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/TaskTracker.java
@@ -23,7 +23,7 @@
     /** Returns the task if this is its latest attempt and has not ended, otherwise null. */
     TrackedTask findByAttempt(String requestId, int attempt) {
         TrackedTask task = tasksByRequestId.get(requestId);
-        boolean current = task != null && task.hasAttempt() && attempt == task.attempts() - 1;
+        boolean current = task != null && task.hasActiveAttempt() && attempt == task.attempts() - 1;
         return current ? task : null;
     }
 
--- a/decisions/src/main/java/thornferry/decisions/placement/TrackedMachine.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/TrackedMachine.java
@@ -109,8 +109,8 @@
     }
 
     /**
-     * Raises the size above which tasks count as rejected, since an own task has ended and its
-     * resources are free.
+     * Raises the rejected size by the resources that an ended own task has freed, since a task of
+     * the rejected size may fit now.
      */
     void raiseRejectedSize(ResourceVector freed) {
         rejectedSize.add(freed.cores(), freed.memory());
--- a/decisions/src/main/java/thornferry/decisions/placement/TrackedTask.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/TrackedTask.java
@@ -40,7 +40,7 @@
     }
 
     /** The first attempt that may have run: its machine and the time when it was sent. */
-    record PossibleRun(TrackedMachine machine, long sinceMicros) {}
+    record PossibleRun(TrackedMachine machine, long sentAtMicros) {}
 
     /**
      * The machines whose health checks one attempt waits for.
@@ -150,7 +150,7 @@
     }
 
     /** Returns whether an attempt is in flight or running. */
-    boolean hasAttempt() {
+    boolean hasActiveAttempt() {
         return stage == Stage.OFFERED || stage == Stage.ABANDONED || stage == Stage.RUNNING;
     }
 
@@ -209,7 +209,7 @@
     }
 
     /** Returns whether retries are restricted to machines that share the idempotency key. */
-    boolean isBoundToKeyScope() {
+    boolean isRestrictedToKeyScope() {
         return mayHaveRun() && taskClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY;
     }
 
@@ -258,7 +258,7 @@
     }
 
     /** Returns whether the client stops waiting before the next tick. */
-    boolean endsBeforeNextTick(long nowMicros) {
+    boolean expiresBeforeNextTick(long nowMicros) {
         return nowMicros >= deadlineMicros - Policy.TICK_INTERVAL_MICROS;
     }
 
--- a/decisions/src/main/java/thornferry/decisions/placement/UtilizationEstimator.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/UtilizationEstimator.java
@@ -12,7 +12,7 @@
      * The interval at which the means are refreshed if placers outnumber machines. The means change
      * little, and computing them takes a pass over a large cluster.
      */
-    private static final long MEAN_REFRESH_MICROS = 100 * Micros.MILLISECOND;
+    private static final long MEAN_REFRESH_INTERVAL_MICROS = 100 * Micros.MILLISECOND;
 
     private static final long LONG_AGO_MICROS = Long.MIN_VALUE / 2;
 
@@ -71,7 +71,8 @@
      * recent.
      */
     void refreshMeans() {
-        long refreshIntervalMicros = machines.isOutnumberedByPlacers() ? MEAN_REFRESH_MICROS : 1;
+        long refreshIntervalMicros =
+                machines.isOutnumberedByPlacers() ? MEAN_REFRESH_INTERVAL_MICROS : 1;
         if (context.nowMicros() - meansComputedMicros < refreshIntervalMicros) {
             return;
         }
--- a/decisions/src/test/java/thornferry/decisions/placement/CandidateFilterTest.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/CandidateFilterTest.java
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void underestimatesRequestedCoresWhereReportsMeasureUsage() {
+    void underestimatesRequestedCoresIfReportsMeasureUsage() {
         fixtures.loadReportMode = LoadReportMode.ON_HEALTH_CHECK;
         fixtures.reportsMeasureUsage = true;
         PolicyDriver driver = fixtures.driverWith(readyMachine("m1", "a", Double.NaN));
--- a/decisions/src/test/java/thornferry/decisions/placement/HealthCheckerTest.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/HealthCheckerTest.java
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void idlePlacersInLargeClusterSetFewTimers() {
+    void idlePlacerSetsFewTimersIfPlacersOutnumberMachines() {
         fixtures.instanceCount = 200;
         fixtures.loadReportMode = LoadReportMode.ON_HEALTH_CHECK;
         PolicyDriver driver = fixtures.driverWith(cluster(40, 15));
--- a/decisions/src/test/java/thornferry/decisions/placement/PlacementRulesTest.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/PlacementRulesTest.java
@@ -36,7 +36,7 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {60, 200, 400})
-    void manyPlacersTogetherKeepSlowStartBudget(int placers) {
+    void placersTogetherKeepSlowStartBudget(int placers) {
         PolicyFixtures fixtures = new PolicyFixtures();
         fixtures.instanceCount = placers;
         fixtures.slowStartOffers = 48;
--- a/decisions/src/test/java/thornferry/decisions/placement/RandomEventStream.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/RandomEventStream.java
@@ -155,7 +155,7 @@
                 outcome == AttemptOutcome.REJECTED
                         ? OutcomeReason.values()[random.nextInt(5)]
                         : OutcomeReason.NONE;
-        send(ended(attempt, outcome, 10 * MILLISECOND, false, reason, null));
+        send(attemptEnded(attempt, outcome, 10 * MILLISECOND, false, reason, null));
     }
 
     private void acceptAndEnd(OpenAttempt attempt) {
@@ -168,10 +168,10 @@
         AttemptOutcome outcome =
                 random.nextInt(4) == 0 ? AttemptOutcome.LOST : AttemptOutcome.COMPLETED;
         LoadReport report = LoadReport.ofFreeCapacity(random.nextInt(20), random.nextInt(40));
-        send(ended(attempt, outcome, SECOND, true, OutcomeReason.NONE, report));
+        send(attemptEnded(attempt, outcome, SECOND, true, OutcomeReason.NONE, report));
     }
 
-    private static AttemptEnded ended(
+    private static AttemptEnded attemptEnded(
             OpenAttempt attempt,
             AttemptOutcome outcome,
             long waitedMicros,
@@ -246,7 +246,7 @@
         openAttempts.remove(attempt);
         long waitedMicros = driver.nowMicros - attempt.sentMicros();
         send(
-                ended(
+                attemptEnded(
                         attempt,
                         AttemptOutcome.TIMED_OUT,
                         waitedMicros,
