--- a/decisions/src/main/java/thornferry/decisions/attempts/Attempt.java
+++ b/decisions/src/main/java/thornferry/decisions/attempts/Attempt.java
@@ -2,11 +2,11 @@
 
 import thornferry.decisions.placement.Placement.Idempotency;
 
-/** An attempt without an outcome: its offer and its state. */
+/** An attempt that has no outcome yet, with its offer and its state. */
 final class Attempt {
     private final AttemptOffer offer;
     private AttemptState state;
-    private TerminationCause cancellationCause; // null while nobody has cancelled it
+    private TerminationCause cancellationCause; // null unless the attempt was cancelled
 
     Attempt(AttemptOffer offer, AttemptState state) {
         this.offer = offer;
@@ -45,25 +45,25 @@
         return offer.idempotency() == Idempotency.IDEMPOTENT;
     }
 
-    void becomePlaced() {
+    void markPlaced() {
         state = AttemptState.PLACED;
     }
 
-    void becomeRunning() {
+    void markRunning() {
         state = AttemptState.RUNNING;
     }
 
-    /** Records why the task is cancelled, to be the termination cause once it has ended. */
-    void cancelledBecause(TerminationCause cause) {
+    /** Records why the task is cancelled; this becomes its termination cause once it has ended. */
+    void recordCancellation(TerminationCause cause) {
         cancellationCause = cause;
     }
 
-    /** The recorded cause of a cancellation, or {@code otherwise} where there was none. */
-    TerminationCause cancellationCauseOr(TerminationCause otherwise) {
-        return cancellationCause == null ? otherwise : cancellationCause;
+    /** Returns the cause of the cancellation, or {@code defaultCause} if there was none. */
+    TerminationCause cancellationCauseOr(TerminationCause defaultCause) {
+        return cancellationCause == null ? defaultCause : cancellationCause;
     }
 
-    /** How long the offer has been out. */
+    /** Returns the time since the offer was made. */
     long ageMicros(long now) {
         return now - offer.sentAtMicros();
     }
--- a/decisions/src/main/java/thornferry/decisions/attempts/AttemptEnding.java
+++ b/decisions/src/main/java/thornferry/decisions/attempts/AttemptEnding.java
@@ -6,9 +6,9 @@
 import thornferry.decisions.placement.Placement.OutcomeReason;
 
 /**
- * How an attempt ended, for the placement policy.
+ * The outcome of an attempt, as the placement policy is notified of it.
  *
- * @param load the machine's load report that came with it, or null where there is none
+ * @param load the machine's load report that came with the outcome, or null if there is none
  */
 record AttemptEnding(AttemptOutcome outcome, OutcomeReason reason, LoadReport load) {
     static final AttemptEnding LOST = withoutReason(AttemptOutcome.LOST);
@@ -22,11 +22,11 @@
     }
 
     /**
-     * The event for the policy.
+     * Returns the event that notifies the placement policy.
      *
-     * @param placed whether the attempt had been placed, so that its request is settled
+     * @param placed whether the attempt had been placed, so that its request already has its result
      */
-    AttemptEnded event(long now, Attempt attempt, boolean placed) {
+    AttemptEnded toPolicyEvent(long now, Attempt attempt, boolean placed) {
         return new AttemptEnded(
                 attempt.requestId(),
                 attempt.number(),
--- a/decisions/src/main/java/thornferry/decisions/attempts/AttemptIndex.java
+++ b/decisions/src/main/java/thornferry/decisions/attempts/AttemptIndex.java
@@ -7,68 +7,69 @@
 import java.util.Map;
 
 /**
- * All attempts without an outcome, by attempt, request and machine, and the machines of the latest
- * attempts that have one. Iteration is in the order of insertion.
+ * An index of all attempts without an outcome by attempt id, request id and machine. For the latest
+ * attempts that have an outcome, only the machine is stored. Iteration is in insertion order.
  */
 final class AttemptIndex {
     /**
-     * So many ended attempts are remembered, the latest ones. Without them a report that arrives
-     * after the end of its attempt would be taken for a protocol violation.
+     * The number of ended attempts that are remembered; the oldest are dropped first. A report that
+     * arrives after the end of a remembered attempt is not taken for a protocol violation.
      */
     private static final int MAX_ENDED_ATTEMPTS = 50_000;
 
     private final Map<String, Attempt> byId = new LinkedHashMap<>();
-    private final Map<String, Attempt> byRequest = new HashMap<>();
+    private final Map<String, Attempt> byRequestId = new HashMap<>();
     private final Map<String, Map<String, Attempt>> byMachine = new HashMap<>();
 
-    /** Open ones only, so that a search for expired offers need not look at running tasks. */
-    private final Map<String, Attempt> open = new LinkedHashMap<>();
+    /** The open attempts only, so that a search for expired offers does not visit running tasks. */
+    private final Map<String, Attempt> openById = new LinkedHashMap<>();
 
-    private final Map<String, String> machineOfEnded = new LinkedHashMap<>(); // by attempt
+    /** The machines of the latest ended attempts, by attempt id. */
+    private final Map<String, String> machineByEndedAttempt = new LinkedHashMap<>();
 
     void add(Attempt attempt) {
         byId.put(attempt.id(), attempt);
-        byRequest.put(attempt.requestId(), attempt);
+        byRequestId.put(attempt.requestId(), attempt);
         byMachine
                 .computeIfAbsent(attempt.machine(), machine -> new LinkedHashMap<>())
                 .put(attempt.id(), attempt);
         if (attempt.isOpen()) {
-            open.put(attempt.id(), attempt);
+            openById.put(attempt.id(), attempt);
         }
     }
 
-    /** The attempt was admitted: it is in no danger of expiring any more. */
+    /** Marks the attempt as placed; its offer no longer expires. */
     void markPlaced(Attempt attempt) {
-        attempt.becomePlaced();
-        open.remove(attempt.id());
+        attempt.markPlaced();
+        openById.remove(attempt.id());
     }
 
-    /** The attempt has an outcome; of it only its machine is remembered. */
+    /** Removes an attempt that has an outcome; only its machine is remembered. */
     void remove(Attempt attempt) {
         byId.remove(attempt.id());
-        byRequest.remove(attempt.requestId(), attempt);
+        byRequestId.remove(attempt.requestId(), attempt);
         byMachine.get(attempt.machine()).remove(attempt.id());
-        open.remove(attempt.id());
-        machineOfEnded.put(attempt.id(), attempt.machine());
-        if (machineOfEnded.size() > MAX_ENDED_ATTEMPTS) {
-            machineOfEnded.remove(machineOfEnded.keySet().iterator().next());
+        openById.remove(attempt.id());
+        machineByEndedAttempt.put(attempt.id(), attempt.machine());
+        if (machineByEndedAttempt.size() > MAX_ENDED_ATTEMPTS) {
+            machineByEndedAttempt.remove(machineByEndedAttempt.keySet().iterator().next());
         }
     }
 
-    /** The attempt, or null where it is unknown or has an outcome. */
+    /** Returns the attempt, or null if it is unknown or has an outcome. */
     Attempt find(String attemptId) {
         return byId.get(attemptId);
     }
 
-    /** The latest attempt of the request, or null where it has an outcome. */
+    /** Returns the latest attempt of the request, or null if there is none or it has an outcome. */
     Attempt findByRequest(String requestId) {
-        return byRequest.get(requestId);
+        return byRequestId.get(requestId);
     }
 
-    /** The machine that the attempt was offered to, or null where that is not remembered. */
+    /** Returns the machine that the attempt was offered to, or null if it is not remembered. */
     String machineOf(String attemptId) {
         Attempt attempt = byId.get(attemptId);
-        return attempt == null ? machineOfEnded.get(attemptId) : attempt.machine();
+        return attempt == null ? machineByEndedAttempt.get(attemptId) : attempt.machine();
     }
 
     boolean contains(Attempt attempt) {
@@ -76,15 +77,15 @@
     }
 
     boolean isOpen(String attemptId) {
-        return open.containsKey(attemptId);
+        return openById.containsKey(attemptId);
     }
 
-    /** A copy: the index may change while a caller iterates over it. */
+    /** Returns a copy, as the index may change while a caller iterates over the attempts. */
     List<Attempt> openAttempts() {
-        return open.isEmpty() ? List.of() : new ArrayList<>(open.values());
+        return openById.isEmpty() ? List.of() : new ArrayList<>(openById.values());
     }
 
-    /** A copy: the index may change while a caller iterates over it. */
+    /** Returns a copy, as the index may change while a caller iterates over the attempts. */
     List<Attempt> onMachine(String machine) {
         return new ArrayList<>(byMachine.getOrDefault(machine, Map.of()).values());
     }
--- a/decisions/src/main/java/thornferry/decisions/attempts/AttemptOffer.java
+++ b/decisions/src/main/java/thornferry/decisions/attempts/AttemptOffer.java
@@ -3,15 +3,15 @@
 import thornferry.decisions.placement.Placement.Idempotency;
 
 /**
- * What was offered to which machine; the part of an attempt that never changes.
+ * The offer of an attempt to a machine: the immutable part of the attempt.
  *
- * @param attemptId unique across placers and their incarnations
+ * @param attemptId the id of the attempt, unique across placers and their incarnations
  * @param requestId the request that the attempt belongs to
- * @param number counts the attempts of the request, from 0
+ * @param number the number of the attempt within its request, from 0
  * @param incarnation the incarnation of the machine at the time of the offer
- * @param idempotency whether a second start of the task could do harm
- * @param sentAtMicros when the offer was made
- * @param expiresAtMicros an attempt that is still open then is cancelled
+ * @param idempotency whether the task may start twice
+ * @param sentAtMicros the time at which the offer was made
+ * @param expiresAtMicros the time at which an attempt that is still open is cancelled
  */
 record AttemptOffer(
         String attemptId,
--- a/decisions/src/main/java/thornferry/decisions/attempts/AttemptState.java
+++ b/decisions/src/main/java/thornferry/decisions/attempts/AttemptState.java
@@ -1,11 +1,11 @@
 package thornferry.decisions.attempts;
 
-/** The state of an attempt that has no outcome yet; an attempt with an outcome is not tracked. */
+/** The state of an attempt that has no outcome yet. Attempts with an outcome are not tracked. */
 enum AttemptState {
-    /** Offered, or about to be, and not answered. */
+    /** The attempt is offered, or about to be, and its machine has not answered. */
     OPEN,
-    /** Admitted by its machine, and not known to have started. */
+    /** The machine has admitted the task, which is not known to have started. */
     PLACED,
-    /** Admitted by its machine, and started. */
+    /** The machine has admitted the task, and the task has started. */
     RUNNING
 }
--- a/decisions/src/main/java/thornferry/decisions/attempts/AttemptStatus.java
+++ b/decisions/src/main/java/thornferry/decisions/attempts/AttemptStatus.java
@@ -4,16 +4,18 @@
 public enum AttemptStatus {
     /** The machine has admitted the task and will start it. */
     ACCEPTED,
-    /** The machine has not admitted the task; it never ran there. */
+    /** The machine has not admitted the task, which never ran there. */
     REJECTED,
     /** The task has started. */
     RUNNING,
-    /** The task ran to its end. */
+    /** The task completed by itself. */
     COMPLETED,
     /** The machine ended the task to free resources. */
     EVICTED,
-    /** The machine ended the task because the machine itself is shutting down. */
+    /** The machine ended the task because the machine is shutting down. */
     EVACUATED,
-    /** The task was ended, or dropped before its start, because the placer cancelled it. */
+    /**
+     * The machine ended the task, or dropped it before its start, because the placer cancelled it.
+     */
     CANCELLED
 }
--- a/decisions/src/main/java/thornferry/decisions/attempts/AttemptTracker.java
+++ b/decisions/src/main/java/thornferry/decisions/attempts/AttemptTracker.java
@@ -15,53 +15,54 @@
 import thornferry.decisions.placement.Placement.TaskObserved;
 
 /**
- * Follows each attempt from its offer to its outcome. Each attempt ends with exactly one {@link
- * AttemptEnded} for the placement policy.
+ * Tracks each attempt from its offer to its outcome. Each attempt ends with exactly one {@link
+ * AttemptEnded} event for the placement policy.
  *
- * <p>Above all it decides <b>what proves that an attempt never ran</b>, so that a task whose second
- * start could do harm may be offered elsewhere:
+ * <p>The main rule is <b>which observations prove that an attempt never ran</b>, because only then
+ * may a task that must not start twice be offered to another machine:
  *
  * <table>
- * <caption>What becomes of an open attempt</caption>
+ * <caption>Observations and the resulting outcome of an open attempt</caption>
  * <tr><th>observation</th><th>conclusion</th><th>outcome</th></tr>
- * <tr><td>not all bytes of the offer were written</td><td>never ran: no machine can have read a
+ * <tr><td>not all bytes of the offer were written</td><td>never ran: the machine cannot have read a
  *     complete offer</td><td>{@code UNREACHABLE}</td></tr>
  * <tr><td>the machine reports {@code REJECTED}</td><td>never ran</td><td>{@code REJECTED}</td></tr>
  * <tr><td>the machine reports {@code CANCELLED} without a start</td><td>never ran</td>
  *     <td>{@code REJECTED}</td></tr>
- * <tr><td>the inventory of the same machine incarnation, after a reconnect, does not contain it,
- *     and reaches back beyond the offer</td><td>never ran: the offer was not received</td>
+ * <tr><td>the inventory of the same machine incarnation, after a reconnect, does not contain the
+ *     attempt, and is complete since before the offer</td><td>never ran: the offer was not received</td>
  *     <td>{@code UNREACHABLE}</td></tr>
- * <tr><td>the same, but the inventory does not reach back that far</td><td>may have run</td>
+ * <tr><td>the same, but the inventory is complete only since after the offer</td><td>may have run</td>
  *     <td>{@code LOST}</td></tr>
- * <tr><td>the inventory contains it, or the machine reports anything but {@code REJECTED} and
- *     {@code CANCELLED}</td><td>it was admitted</td><td>none yet, or that of the placed task</td>
+ * <tr><td>the inventory contains the attempt, or the machine reports a status other than {@code
+ *     REJECTED} and {@code CANCELLED}</td><td>the task was admitted</td><td>none yet, or that of
+ *     the placed task</td>
  *     </tr>
  * <tr><td>the incarnation of the machine ended</td><td>may have run</td><td>{@code LOST}</td></tr>
  * <tr><td>the offer expired</td><td>may have run</td><td>{@code TIMED_OUT}</td></tr>
- * <tr><td>the connection broke</td><td>nothing: an idempotent attempt ends as {@code LOST}, any
- *     other stays open until one of the above</td><td>{@code LOST} or none</td></tr>
+ * <tr><td>the connection broke</td><td>may have run: the attempt of an idempotent task ends, any
+ *     other stays open until one of the above is observed</td><td>{@code LOST} or none</td></tr>
  * </table>
  *
  * <p>All times are microseconds of the caller's clock; the class does no I/O.
  */
 public final class AttemptTracker {
-    /** What the caller is to do; actions are to be carried out in the order in which they come. */
+    /** An action for the caller, to be carried out in the order of receipt. */
     public sealed interface Action {}
 
-    /** Pass the event to the placement policy. */
+    /** Passes the event to the placement policy. */
     public record NotifyPolicy(Placement.Event event) implements Action {}
 
-    /** Make the machine drop the attempt, whatever became of it. */
+    /** Cancels the attempt on the machine, in whatever state it is there. */
     public record CancelAttempt(String machine, String attempt) implements Action {}
 
     /**
-     * The attempt is proven never to have run; comes before its {@link NotifyPolicy}. Omitted for
-     * idempotent tasks, where it makes no difference.
+     * The attempt is proven never to have run. This precedes the {@link NotifyPolicy} of its
+     * outcome, and is omitted for idempotent tasks, which may start twice.
      */
     public record NeverRan(String requestId, String attempt) implements Action {}
 
-    /** The request is placed, which is its result. */
+    /** A machine admitted the task: the result of the request is that it is placed. */
     public record RequestPlaced(String requestId, String machine) implements Action {}
 
     /** A placed task has terminated. */
@@ -69,22 +70,22 @@
             String requestId, String machine, TerminationCause terminationCause)
             implements Action {}
 
-    /** The machine rejected an offer, for a reason that the owner may be given. */
+    /** The machine rejected an offer. The owner may be told the reason. */
     public record OfferRejected(String requestId, String machine, OutcomeReason reason)
             implements Action {}
 
-    /** The machine runs work of an earlier incarnation of this placer: track it from now on. */
+    /** Adopts a task that an earlier incarnation of this placer offered to the machine. */
     public record AdoptTask(String machine, String attempt) implements Action {}
 
-    /** The machine reported on an attempt that it was never offered. */
+    /** The machine reported a status of an attempt that it was never offered. */
     public record ProtocolViolation(String machine, String description) implements Action {}
 
     /**
-     * What a machine reports about an attempt.
+     * A report of a machine about an attempt.
      *
-     * @param reason why it was rejected, {@code NONE} with any other status
-     * @param ran with {@code CANCELLED}: whether the task had started
-     * @param load the machine's load report that came with it, or null where it sent none
+     * @param reason the reason of a rejection, {@code NONE} with any other status
+     * @param ran with {@code CANCELLED}, whether the task had started
+     * @param load the machine's load report that came with this report, or null if it sent none
      */
     public record Report(
             String attempt,
@@ -98,18 +99,18 @@
     }
 
     /**
-     * How far back the inventory of a machine reaches that does not report it: the minimum that the
-     * protocol requires.
+     * The time for which the protocol requires machines to remember ended attempts. It is assumed
+     * for a machine that does not report since when its inventory is complete.
      */
-    private static final long DEFAULT_INVENTORY_REACH_MICROS = 30_000_000;
+    private static final long MIN_ATTEMPT_RETENTION_MICROS = 30_000_000;
 
     private final String incarnationName;
-    private final AttemptIndex attempts = new AttemptIndex();
-    private long attemptCount;
+    private final AttemptIndex attemptIndex = new AttemptIndex();
+    private long lastAttemptNumber;
 
     /**
-     * @param incarnationName names this incarnation of this placer, unlike any earlier one; it is
-     *     the prefix of the names of its attempts
+     * @param incarnationName the name of this incarnation of the placer, which no earlier one had;
+     *     the prefix of the ids of its attempts
      */
     public AttemptTracker(String incarnationName) {
         this.incarnationName = incarnationName;
@@ -119,10 +120,10 @@
     /**
      * Starts to track an attempt that is about to be offered.
      *
-     * @param attemptNumber counts the attempts of the request, from 0
+     * @param attemptNumber the number of the attempt within its request, from 0
      * @param incarnation the machine's incarnation
-     * @param timeoutMicros an attempt without an answer for so long is cancelled
-     * @return the attempt's name, which no other placer or incarnation uses
+     * @param timeoutMicros the time after which an unanswered attempt is cancelled
+     * @return the attempt's id, which no other placer or incarnation uses
      */
     public String begin(
             long now,
@@ -134,7 +135,7 @@
             long timeoutMicros) {
         AttemptOffer offer =
                 new AttemptOffer(
-                        incarnationName + "-" + ++attemptCount,
+                        incarnationName + "-" + ++lastAttemptNumber,
                         requestId,
                         attemptNumber,
                         machine,
@@ -142,86 +143,89 @@
                         idempotency,
                         now,
                         now + timeoutMicros);
-        attempts.add(new Attempt(offer, AttemptState.OPEN));
+        attemptIndex.add(new Attempt(offer, AttemptState.OPEN));
         return offer.attemptId();
     }
 
-    /** Not all bytes of the offer were written, so that no machine can have read it. */
+    /**
+     * Ends an attempt whose offer was not written completely, so that no machine can have read it.
+     */
     public void notWritten(long now, String attemptId, Consumer<Action> actions) {
-        Attempt attempt = attempts.find(attemptId);
+        Attempt attempt = attemptIndex.find(attemptId);
         if (attempt != null && attempt.isOpen()) {
             end(now, attempt, AttemptEnding.withoutReason(AttemptOutcome.UNREACHABLE), actions);
         }
     }
 
     /**
-     * Nobody waits for the request any more, or the policy migrates it: its attempt is cancelled.
+     * Cancels the attempt of a request that was abandoned or whose task is being migrated.
      *
-     * @param cause the termination cause of the task if it ends because of this
+     * @param cause the termination cause of the task if this cancellation ends it
      */
     public void cancel(String requestId, TerminationCause cause, Consumer<Action> actions) {
-        Attempt attempt = attempts.findByRequest(requestId);
+        Attempt attempt = attemptIndex.findByRequest(requestId);
         if (attempt != null) {
-            attempt.cancelledBecause(cause);
+            attempt.recordCancellation(cause);
             actions.accept(new CancelAttempt(attempt.machine(), attempt.id()));
         }
     }
 
-    /** Cancels and ends the attempts that were not answered in time. */
+    /** Cancels and ends the attempts whose offers have expired without an answer. */
     public void tick(long now, Consumer<Action> actions) {
-        for (Attempt attempt : attempts.openAttempts()) {
+        for (Attempt attempt : attemptIndex.openAttempts()) {
             if (now < attempt.offer().expiresAtMicros()) {
                 continue;
             }
             actions.accept(new CancelAttempt(attempt.machine(), attempt.id()));
-            // the cancellation has already ended an attempt whose offer was not sent
-            if (attempts.contains(attempt)) {
+            // an attempt whose offer was not sent yet has already been ended by its cancellation
+            if (attemptIndex.contains(attempt)) {
                 end(now, attempt, AttemptEnding.withoutReason(AttemptOutcome.TIMED_OUT), actions);
             }
         }
     }
 
     // ---- reports ----
-    /** A machine reports the status of an attempt. */
+    /** Processes the status of an attempt as reported by a machine. */
     public void reported(long now, String machine, Report report, Consumer<Action> actions) {
-        Attempt attempt = attempts.find(report.attempt());
+        Attempt attempt = attemptIndex.find(report.attempt());
         if (attempt == null || !attempt.machine().equals(machine)) {
-            reportedUntracked(machine, report, actions);
+            handleUntracked(machine, report, actions);
             return;
         }
         switch (report.status()) {
             case ACCEPTED -> place(now, attempt, actions);
-            case RUNNING -> startedRunning(now, attempt, actions);
-            case REJECTED -> rejected(now, attempt, report, actions);
-            case CANCELLED -> cancelled(now, attempt, report, actions);
-            case COMPLETED, EVICTED, EVACUATED -> terminated(now, attempt, report, actions);
+            case RUNNING -> handleRunning(now, attempt, actions);
+            case REJECTED -> handleRejected(now, attempt, report, actions);
+            case CANCELLED -> handleCancelled(now, attempt, report, actions);
+            case COMPLETED, EVICTED, EVACUATED -> handleTermination(now, attempt, report, actions);
             default -> throw new IllegalArgumentException("no such status: " + report.status());
         }
     }
 
-    private void reportedUntracked(String machine, Report report, Consumer<Action> actions) {
+    private void handleUntracked(String machine, Report report, Consumer<Action> actions) {
         String attemptId = report.attempt();
-        if (isOwn(attemptId) && !machine.equals(attempts.machineOf(attemptId))) {
+        if (isOwn(attemptId) && !machine.equals(attemptIndex.machineOf(attemptId))) {
             actions.accept(
                     new ProtocolViolation(
                             machine, "attempt " + attemptId + " was not offered to this node"));
         } else if (report.status() == AttemptStatus.ACCEPTED
                 || report.status() == AttemptStatus.RUNNING) {
-            // the attempt ended meanwhile: nobody would track the task if it stayed
+            // the attempt has ended for this placer: without this, an untracked task would run
             actions.accept(new CancelAttempt(machine, attemptId));
         }
     }
 
-    private void startedRunning(long now, Attempt attempt, Consumer<Action> actions) {
-        // it was admitted, even where the report of that was lost
+    private void handleRunning(long now, Attempt attempt, Consumer<Action> actions) {
+        // a running task was admitted, even if the report of its admission was lost
         place(now, attempt, actions);
         if (!attempt.isRunning()) {
-            attempt.becomeRunning();
-            actions.accept(observed(attempt, ObservationKind.RUNNING, 1));
+            attempt.markRunning();
+            actions.accept(observation(attempt, ObservationKind.RUNNING, 1));
         }
     }
 
-    private void rejected(long now, Attempt attempt, Report report, Consumer<Action> actions) {
+    private void handleRejected(
+            long now, Attempt attempt, Report report, Consumer<Action> actions) {
         if (attempt.isOpen()) {
             actions.accept(
                     new OfferRejected(attempt.requestId(), attempt.machine(), report.reason()));
@@ -233,7 +237,8 @@
         }
     }
 
-    private void cancelled(long now, Attempt attempt, Report report, Consumer<Action> actions) {
+    private void handleCancelled(
+            long now, Attempt attempt, Report report, Consumer<Action> actions) {
         if (attempt.isOpen()) {
             AttemptOutcome outcome =
                     report.ran() ? AttemptOutcome.CANCELLED : AttemptOutcome.REJECTED;
@@ -252,7 +257,8 @@
         }
     }
 
-    private void terminated(long now, Attempt attempt, Report report, Consumer<Action> actions) {
+    private void handleTermination(
+            long now, Attempt attempt, Report report, Consumer<Action> actions) {
         if (report.status() == AttemptStatus.COMPLETED) {
             terminate(
                     now,
@@ -274,27 +280,28 @@
                 actions);
     }
 
-    /** A machine reports what a task placed there uses. */
+    /** Processes the resource usage of a placed task as reported by its machine. */
     public void usageReported(
             String machine,
             String attemptId,
             double cores,
             double memory,
             Consumer<Action> actions) {
-        Attempt attempt = attempts.find(attemptId);
+        Attempt attempt = attemptIndex.find(attemptId);
         if (attempt != null && attempt.machine().equals(machine) && !attempt.isOpen()) {
-            actions.accept(observed(attempt, ObservationKind.CORES_USED, cores));
-            actions.accept(observed(attempt, ObservationKind.MEMORY_USED, memory));
+            actions.accept(observation(attempt, ObservationKind.CORES_USED, cores));
+            actions.accept(observation(attempt, ObservationKind.MEMORY_USED, memory));
         }
     }
 
     // ---- connections and incarnations of machines ----
     /**
-     * The connection to a machine broke. Open attempts of idempotent tasks are given up; other open
-     * attempts wait for proof, and placed tasks for the machine's return.
+     * Processes the loss of a machine's connection. Open attempts of idempotent tasks end as {@code
+     * LOST}. Other open attempts stay open until it is proven whether they ran, and placed tasks
+     * until the machine registers again.
      */
     public void connectionLost(long now, String machine, Consumer<Action> actions) {
-        for (Attempt attempt : attempts.onMachine(machine)) {
+        for (Attempt attempt : attemptIndex.onMachine(machine)) {
             if (attempt.isOpen() && attempt.isIdempotent()) {
                 end(now, attempt, AttemptEnding.LOST, actions);
             }
@@ -302,17 +309,18 @@
     }
 
     /**
-     * A machine is connected and lists what it has of this placer's attempts.
+     * Processes the inventory of a machine that registers: the attempts of this placer that it has.
      *
-     * <p>A machine connects again only after it has seen its former connection closed, so nothing
-     * sent on that one can still reach it. An attempt that is missing from the inventory of the
-     * same incarnation, and whose end was not reported just before, was never received; provided
-     * that it is not older than what the machine remembers.
+     * <p>A machine connects again only after its previous connection is closed on its side, so that
+     * nothing sent on the previous connection can still arrive. The caller has processed the
+     * machine's reports of ended attempts before. An attempt that is missing from the inventory of
+     * the same incarnation was therefore never received, provided that its offer is more recent
+     * than the time since which the inventory is complete.
      *
-     * @param attemptIds the attempts that the machine has
-     * @param runningAttemptIds those of them that run
-     * @param completeSinceMicros by idempotency: since when the machine remembers all attempts that
-     *     it accepted; absent where it does not report it
+     * @param attemptIds the attempts that the machine has: admitted and not ended
+     * @param runningAttemptIds those of them whose tasks have started
+     * @param completeSinceMicros by idempotency, the time since which the machine remembers all
+     *     attempts that it accepted; absent if the machine does not report it
      */
     public void inventory(
             long now,
@@ -322,24 +330,25 @@
             Set<String> runningAttemptIds,
             Map<Idempotency, Long> completeSinceMicros,
             Consumer<Action> actions) {
-        for (Attempt attempt : attempts.onMachine(machine)) {
-            // those of an earlier incarnation are up to incarnationEnded
+        for (Attempt attempt : attemptIndex.onMachine(machine)) {
+            // incarnationEnded processes the attempts of earlier incarnations
             if (attempt.offer().incarnation() != incarnation) {
                 continue;
             }
             if (attemptIds.contains(attempt.id())) {
                 place(now, attempt, actions);
             } else {
-                missingFromInventory(now, attempt, completeSinceMicros, actions);
+                endMissing(now, attempt, completeSinceMicros, actions);
             }
         }
         for (String attemptId : new LinkedHashSet<>(attemptIds)) {
-            if (attempts.find(attemptId) != null) {
+            if (attemptIndex.find(attemptId) != null) {
                 if (runningAttemptIds.contains(attemptId)) {
                     reported(now, machine, Report.running(attemptId), actions);
                 }
             } else if (isOwn(attemptId)) {
-                // it ended for this placer, and its owner was notified, while the machine was away
+                // the attempt ended for this placer, and its owner was notified, during the
+                // disconnection
                 actions.accept(new CancelAttempt(machine, attemptId));
             } else {
                 actions.accept(new AdoptTask(machine, attemptId));
@@ -347,20 +356,20 @@
         }
     }
 
-    private void missingFromInventory(
+    private void endMissing(
             long now,
             Attempt attempt,
             Map<Idempotency, Long> completeSinceMicros,
             Consumer<Action> actions) {
         if (!attempt.isOpen()) {
-            lose(now, attempt, actions);
+            terminateAsLost(now, attempt, actions);
             return;
         }
-        // a machine that has had to forget how attempts ended proves nothing by not listing one
+        // a machine may have forgotten an attempt from before this time, which then proves nothing
         AttemptOffer offer = attempt.offer();
         long completeSince =
                 completeSinceMicros.getOrDefault(
-                        offer.idempotency(), now - DEFAULT_INVENTORY_REACH_MICROS);
+                        offer.idempotency(), now - MIN_ATTEMPT_RETENTION_MICROS);
         boolean provesNeverRan = offer.sentAtMicros() > completeSince;
         end(
                 now,
@@ -371,26 +380,26 @@
     }
 
     /**
-     * An incarnation of a machine ended, and with it all earlier ones: tasks placed there are lost,
-     * open attempts may have run.
+     * Processes the end of an incarnation of a machine, and of all earlier ones: placed tasks are
+     * lost, and open attempts may have run.
      */
     public void incarnationEnded(
             long now, String machine, long incarnation, Consumer<Action> actions) {
-        for (Attempt attempt : attempts.onMachine(machine)) {
+        for (Attempt attempt : attemptIndex.onMachine(machine)) {
             if (attempt.offer().incarnation() > incarnation) {
                 continue;
             }
             if (attempt.isOpen()) {
                 end(now, attempt, AttemptEnding.LOST, actions);
             } else {
-                lose(now, attempt, actions);
+                terminateAsLost(now, attempt, actions);
             }
         }
     }
 
     /**
-     * Tracks work of an earlier incarnation of this placer, as the placed attempt 0 of {@code
-     * requestId}.
+     * Starts to track a task that an earlier incarnation of this placer offered, as the placed
+     * attempt 0 of {@code requestId}.
      */
     public void adopted(
             long now,
@@ -403,13 +412,13 @@
         AttemptOffer offer =
                 new AttemptOffer(
                         attemptId, requestId, 0, machine, incarnation, idempotency, now, now);
-        attempts.add(new Attempt(offer, running ? AttemptState.RUNNING : AttemptState.PLACED));
+        attemptIndex.add(new Attempt(offer, running ? AttemptState.RUNNING : AttemptState.PLACED));
     }
 
     // ---- state transitions ----
     private void place(long now, Attempt attempt, Consumer<Action> actions) {
         if (attempt.isOpen()) {
-            attempts.markPlaced(attempt);
+            attemptIndex.markPlaced(attempt);
             actions.accept(
                     new NotifyPolicy(
                             new AttemptAccepted(
@@ -423,14 +432,14 @@
 
     /** Ends an attempt that was not placed. */
     private void end(long now, Attempt attempt, AttemptEnding ending, Consumer<Action> actions) {
-        attempts.remove(attempt);
+        attemptIndex.remove(attempt);
         if (!attempt.isIdempotent() && ending.provesNeverRan()) {
             actions.accept(new NeverRan(attempt.requestId(), attempt.id()));
         }
-        actions.accept(new NotifyPolicy(ending.event(now, attempt, false)));
+        actions.accept(new NotifyPolicy(ending.toPolicyEvent(now, attempt, false)));
     }
 
-    /** Ends a task that was placed, or that proves by its end that it had been. */
+    /** Ends a placed task, or one whose end proves that it had been placed. */
     private void terminate(
             long now,
             Attempt attempt,
@@ -438,41 +447,44 @@
             TerminationCause cause,
             Consumer<Action> actions) {
         place(now, attempt, actions);
-        attempts.remove(attempt);
-        actions.accept(new NotifyPolicy(ending.event(now, attempt, true)));
+        attemptIndex.remove(attempt);
+        actions.accept(new NotifyPolicy(ending.toPolicyEvent(now, attempt, true)));
         actions.accept(new TaskTerminated(attempt.requestId(), attempt.machine(), cause));
     }
 
-    /** A placed task is gone with its machine; one that was being cancelled counts as cancelled. */
-    private void lose(long now, Attempt attempt, Consumer<Action> actions) {
+    /**
+     * Ends a placed task that is lost with its machine. The cause of a cancellation takes
+     * precedence over {@code LOST}.
+     */
+    private void terminateAsLost(long now, Attempt attempt, Consumer<Action> actions) {
         TerminationCause cause = attempt.cancellationCauseOr(TerminationCause.LOST);
         terminate(now, attempt, AttemptEnding.LOST, cause, actions);
     }
 
-    private static NotifyPolicy observed(Attempt attempt, ObservationKind kind, double value) {
+    private static NotifyPolicy observation(Attempt attempt, ObservationKind kind, double value) {
         return new NotifyPolicy(
                 new TaskObserved(
                         attempt.requestId(), attempt.number(), attempt.machine(), kind, value));
     }
 
     // ---- queries ----
-    /** Whether the attempt is open: offered, or about to be, and without an outcome. */
+    /** Returns whether the attempt is offered, or about to be, and not answered. */
     public boolean isOpen(String attemptId) {
-        return attempts.isOpen(attemptId);
+        return attemptIndex.isOpen(attemptId);
     }
 
-    /** Whether the attempt was made by this incarnation of the placer. */
+    /** Returns whether this incarnation of the placer made the attempt. */
     public boolean isOwn(String attemptId) {
         return attemptId.startsWith(incarnationName + "-");
     }
 
-    /** The number of attempts without an outcome on a machine, open and placed ones. */
+    /** Returns the number of attempts without an outcome on a machine, open and placed ones. */
     public int attemptCountOnMachine(String machine) {
-        return attempts.countOnMachine(machine);
+        return attemptIndex.countOnMachine(machine);
     }
 
-    /** The number of attempts without an outcome on all machines, open and placed ones. */
+    /** Returns the number of attempts without an outcome on all machines, open and placed ones. */
     public int attemptCount() {
-        return attempts.size();
+        return attemptIndex.size();
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/attempts/TerminationCause.java
+++ b/decisions/src/main/java/thornferry/decisions/attempts/TerminationCause.java
@@ -1,15 +1,18 @@
 package thornferry.decisions.attempts;
 
-/** Why a placed task terminated, as its owner is notified. */
+/** The reason why a placed task terminated, as given to its owner. */
 public enum TerminationCause {
-    /** It ran to its end. */
+    /** The task completed by itself. */
     COMPLETED,
-    /** Its machine ended it, to free resources or because the machine shut down. */
+    /** The machine ended the task, to free resources or because the machine was shutting down. */
     EVICTED,
-    /** Its machine, or the machine's incarnation, is gone; whether it completed is unknown. */
+    /**
+     * The machine, or the incarnation of it that ran the task, is gone. It is unknown whether the
+     * task completed.
+     */
     LOST,
-    /** The placement policy moved it to another machine. */
+    /** The placement policy moved the task to another machine. */
     MIGRATED,
-    /** Its owner stopped it. */
+    /** The owner stopped the task. */
     STOPPED
 }
--- a/decisions/src/main/java/thornferry/decisions/attempts/package-info.java
+++ b/decisions/src/main/java/thornferry/decisions/attempts/package-info.java
@@ -1,10 +1,9 @@
 /**
- * The attempts of a placement request: which of them were offered to which machine, and what became
- * of each.
+ * The attempts of a placement request, each from its offer to a machine to its outcome.
  *
- * <p>{@link thornferry.decisions.attempts.AttemptTracker} receives what machines report about
- * attempts and what happens to their connections, and answers with actions for its caller. The
- * records of single attempts are in {@code Attempt}, the indexes over them in {@code AttemptIndex}.
- * The package does no I/O and reads no clock; the current time is an argument in microseconds.
+ * <p>{@link thornferry.decisions.attempts.AttemptTracker} receives the reports of machines about
+ * attempts and the changes of their connections, and returns actions for its caller to carry out.
+ * {@code Attempt} holds the state of one attempt, and {@code AttemptIndex} finds attempts. The
+ * package does no I/O and reads no clock; the current time is an argument in microseconds.
  */
 package thornferry.decisions.attempts;
--- a/decisions/src/test/java/thornferry/decisions/attempts/AttemptTrackerTest.java
+++ b/decisions/src/test/java/thornferry/decisions/attempts/AttemptTrackerTest.java
@@ -22,24 +22,27 @@
 import thornferry.decisions.placement.Placement.Idempotency;
 import thornferry.decisions.placement.Placement.OutcomeReason;
 
-/** What proves that an attempt never ran, and what does not. */
+/**
+ * Guards against a task that starts twice, because an attempt that may have run was taken for one
+ * that never ran, and against an attempt that ends more than once or not at all.
+ */
 class AttemptTrackerTest {
     private static final long SECOND = 1_000_000;
     private static final List<Idempotency> IDEMPOTENCIES = List.of(Idempotency.values());
     private static final List<AttemptStatus> STATUSES = List.of(AttemptStatus.values());
     private static final long OFFER_TIMEOUT_MICROS = 2 * SECOND;
 
-    private final AttemptTracker attempts = new AttemptTracker("p.1");
+    private final AttemptTracker tracker = new AttemptTracker("p.1");
     private final List<Action> actions = new ArrayList<>();
     private long now = 100 * SECOND;
 
-    private String offered(Idempotency idempotency) {
-        return attempts.begin(now, "q1", 0, "n", 5, idempotency, OFFER_TIMEOUT_MICROS);
+    private String beginAttempt(Idempotency idempotency) {
+        return tracker.begin(now, "q1", 0, "n", 5, idempotency, OFFER_TIMEOUT_MICROS);
     }
 
-    private List<Action> reported(String attempt, AttemptStatus status) {
+    private List<Action> report(String attempt, AttemptStatus status) {
         Report report = new Report(attempt, status, OutcomeReason.INSUFFICIENT_CORES, false, null);
-        return actionsOf(() -> attempts.reported(now, "n", report, actions::add));
+        return actionsOf(() -> tracker.reported(now, "n", report, actions::add));
     }
 
     private List<Action> actionsOf(Runnable call) {
@@ -48,8 +51,8 @@
         return List.copyOf(actions);
     }
 
-    /** The single outcome that the policy was notified of, or null. */
-    private static AttemptOutcome outcome(List<Action> actions) {
+    /** Returns the only outcome that the policy was notified of, or null if there is none. */
+    private static AttemptOutcome outcomeOf(List<Action> actions) {
         List<AttemptOutcome> outcomes =
                 actions.stream()
                         .filter(NotifyPolicy.class::isInstance)
@@ -61,10 +64,10 @@
         return outcomes.isEmpty() ? null : outcomes.get(0);
     }
 
-    private List<Action> inventory(long incarnation, Set<String> attemptIds) {
+    private List<Action> reportInventory(long incarnation, Set<String> attemptIds) {
         return actionsOf(
                 () ->
-                        attempts.inventory(
+                        tracker.inventory(
                                 now,
                                 "n",
                                 incarnation,
@@ -75,128 +78,130 @@
     }
 
     @Test
-    void incompletelyWrittenOfferNeverRan() {
-        String attempt = offered(Idempotency.NON_IDEMPOTENT);
+    void attemptOfIncompletelyWrittenOfferNeverRan() {
+        String attempt = beginAttempt(Idempotency.NON_IDEMPOTENT);
         AttemptOutcome outcome =
-                outcome(actionsOf(() -> attempts.notWritten(now, attempt, actions::add)));
+                outcomeOf(actionsOf(() -> tracker.notWritten(now, attempt, actions::add)));
         assertThat(outcome.neverRan).isTrue();
     }
 
     @Test
     void rejectedAttemptNeverRanAndEndsOnce() {
-        String attempt = offered(Idempotency.NON_IDEMPOTENT);
-        assertThat(outcome(reported(attempt, AttemptStatus.REJECTED)).neverRan).isTrue();
-        assertThat(reported(attempt, AttemptStatus.REJECTED)).isEmpty();
+        String attempt = beginAttempt(Idempotency.NON_IDEMPOTENT);
+        assertThat(outcomeOf(report(attempt, AttemptStatus.REJECTED)).neverRan).isTrue();
+        assertThat(report(attempt, AttemptStatus.REJECTED)).isEmpty();
     }
 
     @Test
     void nonIdempotentAttemptStaysOpenAfterConnectionLossUntilInventoryProvesItNeverRan() {
-        String attempt = offered(Idempotency.NON_IDEMPOTENT);
-        assertThat(actionsOf(() -> attempts.connectionLost(now, "n", actions::add))).isEmpty();
-        assertThat(outcome(inventory(5, Set.of())).neverRan).isTrue();
-        assertThat(reported(attempt, AttemptStatus.ACCEPTED))
+        String attempt = beginAttempt(Idempotency.NON_IDEMPOTENT);
+        assertThat(actionsOf(() -> tracker.connectionLost(now, "n", actions::add))).isEmpty();
+        assertThat(outcomeOf(reportInventory(5, Set.of())).neverRan).isTrue();
+        assertThat(report(attempt, AttemptStatus.ACCEPTED))
                 .containsExactly(new CancelAttempt("n", attempt));
     }
 
     @Test
     void idempotentAttemptIsLostWithItsConnection() {
-        String attempt = offered(Idempotency.IDEMPOTENT);
-        assertThat(outcome(actionsOf(() -> attempts.connectionLost(now, "n", actions::add))))
+        String attempt = beginAttempt(Idempotency.IDEMPOTENT);
+        assertThat(outcomeOf(actionsOf(() -> tracker.connectionLost(now, "n", actions::add))))
                 .isEqualTo(AttemptOutcome.LOST);
-        assertThat(inventory(5, Set.of(attempt)))
-                .containsExactly(new CancelAttempt("n", attempt)); // a copy that nobody tracks
+        // the placer no longer tracks the attempt
+        assertThat(reportInventory(5, Set.of(attempt)))
+                .containsExactly(new CancelAttempt("n", attempt));
     }
 
     @Test
     void inventoryListingTheAttemptProvesAcceptance() {
-        String attempt = offered(Idempotency.IDEMPOTENT_WITH_KEY);
-        actionsOf(() -> attempts.connectionLost(now, "n", actions::add));
-        assertThat(inventory(5, Set.of(attempt))).contains(new RequestPlaced("q1", "n"));
+        String attempt = beginAttempt(Idempotency.IDEMPOTENT_WITH_KEY);
+        actionsOf(() -> tracker.connectionLost(now, "n", actions::add));
+        assertThat(reportInventory(5, Set.of(attempt))).contains(new RequestPlaced("q1", "n"));
     }
 
     @Test
-    void inventoryOfLaterIncarnationProvesNothing() {
-        offered(Idempotency.NON_IDEMPOTENT);
-        assertThat(inventory(6, Set.of())).isEmpty();
-        assertThat(outcome(actionsOf(() -> attempts.incarnationEnded(now, "n", 5, actions::add))))
+    void inventoryOfLaterMachineIncarnationDoesNotProveThatAttemptNeverRan() {
+        beginAttempt(Idempotency.NON_IDEMPOTENT);
+        assertThat(reportInventory(6, Set.of())).isEmpty();
+        assertThat(outcomeOf(actionsOf(() -> tracker.incarnationEnded(now, "n", 5, actions::add))))
                 .isEqualTo(AttemptOutcome.LOST);
     }
 
     @Test
     void unansweredAttemptTimesOutAndLateAcceptanceIsCancelled() {
-        String attempt = offered(Idempotency.IDEMPOTENT);
+        String attempt = beginAttempt(Idempotency.IDEMPOTENT);
         now += 2 * SECOND;
-        List<Action> timeoutActions = actionsOf(() -> attempts.tick(now, actions::add));
+        List<Action> timeoutActions = actionsOf(() -> tracker.tick(now, actions::add));
         assertThat(timeoutActions.get(0)).isEqualTo(new CancelAttempt("n", attempt));
-        assertThat(outcome(timeoutActions)).isEqualTo(AttemptOutcome.TIMED_OUT);
-        assertThat(reported(attempt, AttemptStatus.ACCEPTED))
+        assertThat(outcomeOf(timeoutActions)).isEqualTo(AttemptOutcome.TIMED_OUT);
+        assertThat(report(attempt, AttemptStatus.ACCEPTED))
                 .containsExactly(new CancelAttempt("n", attempt));
-        assertThat(reported(attempt, AttemptStatus.CANCELLED)).isEmpty();
+        assertThat(report(attempt, AttemptStatus.CANCELLED)).isEmpty();
     }
 
     @Test
     void placedTaskOutlivesOfferTimeoutAndTerminatesOnce() {
-        String attempt = offered(Idempotency.IDEMPOTENT);
-        assertThat(reported(attempt, AttemptStatus.ACCEPTED))
+        String attempt = beginAttempt(Idempotency.IDEMPOTENT);
+        assertThat(report(attempt, AttemptStatus.ACCEPTED))
                 .anyMatch(
                         action ->
                                 action instanceof NotifyPolicy notify
                                         && notify.event() instanceof AttemptAccepted);
         now += 10 * SECOND;
-        assertThat(actionsOf(() -> attempts.tick(now, actions::add))).isEmpty();
-        assertThat(reported(attempt, AttemptStatus.COMPLETED))
+        assertThat(actionsOf(() -> tracker.tick(now, actions::add))).isEmpty();
+        assertThat(report(attempt, AttemptStatus.COMPLETED))
                 .contains(new TaskTerminated("q1", "n", TerminationCause.COMPLETED));
-        assertThat(reported(attempt, AttemptStatus.COMPLETED)).isEmpty();
-        assertThat(attempts.attemptCount()).isZero();
+        assertThat(report(attempt, AttemptStatus.COMPLETED)).isEmpty();
+        assertThat(tracker.attemptCount()).isZero();
     }
 
     @Test
     void runningReportProvesAcceptanceWhenAcceptedReportWasLost() {
-        String attempt = offered(Idempotency.NON_IDEMPOTENT);
-        assertThat(reported(attempt, AttemptStatus.RUNNING)).contains(new RequestPlaced("q1", "n"));
+        String attempt = beginAttempt(Idempotency.NON_IDEMPOTENT);
+        assertThat(report(attempt, AttemptStatus.RUNNING)).contains(new RequestPlaced("q1", "n"));
     }
 
     @Test
     void placedTaskMissingFromInventoryOfSameIncarnationIsLost() {
-        String attempt = offered(Idempotency.IDEMPOTENT);
-        reported(attempt, AttemptStatus.ACCEPTED);
-        assertThat(actionsOf(() -> attempts.connectionLost(now, "n", actions::add))).isEmpty();
-        assertThat(inventory(5, Set.of()))
+        String attempt = beginAttempt(Idempotency.IDEMPOTENT);
+        report(attempt, AttemptStatus.ACCEPTED);
+        assertThat(actionsOf(() -> tracker.connectionLost(now, "n", actions::add))).isEmpty();
+        assertThat(reportInventory(5, Set.of()))
                 .contains(new TaskTerminated("q1", "n", TerminationCause.LOST));
     }
 
     @Test
     void cancelledTaskTerminatesWithTheCauseOfItsCancellation() {
-        String attempt = offered(Idempotency.IDEMPOTENT);
-        reported(attempt, AttemptStatus.ACCEPTED);
-        assertThat(actionsOf(() -> attempts.cancel("q1", TerminationCause.MIGRATED, actions::add)))
+        String attempt = beginAttempt(Idempotency.IDEMPOTENT);
+        report(attempt, AttemptStatus.ACCEPTED);
+        assertThat(actionsOf(() -> tracker.cancel("q1", TerminationCause.MIGRATED, actions::add)))
                 .containsExactly(new CancelAttempt("n", attempt));
-        assertThat(reported(attempt, AttemptStatus.CANCELLED))
+        assertThat(report(attempt, AttemptStatus.CANCELLED))
                 .contains(new TaskTerminated("q1", "n", TerminationCause.MIGRATED));
     }
 
     @Test
     void reportOnAttemptNeverOfferedIsProtocolViolation() {
-        String attempt = offered(Idempotency.IDEMPOTENT);
+        String attempt = beginAttempt(Idempotency.IDEMPOTENT);
         Report fromOtherMachine =
                 new Report(attempt, AttemptStatus.ACCEPTED, OutcomeReason.NONE, false, null);
-        assertThat(actionsOf(() -> attempts.reported(now, "m", fromOtherMachine, actions::add)))
+        assertThat(actionsOf(() -> tracker.reported(now, "m", fromOtherMachine, actions::add)))
                 .singleElement()
                 .isInstanceOf(ProtocolViolation.class);
         Report ofUnknownAttempt =
                 new Report("p.1-999", AttemptStatus.COMPLETED, OutcomeReason.NONE, false, null);
-        assertThat(actionsOf(() -> attempts.reported(now, "n", ofUnknownAttempt, actions::add)))
+        assertThat(actionsOf(() -> tracker.reported(now, "n", ofUnknownAttempt, actions::add)))
                 .singleElement()
                 .isInstanceOf(ProtocolViolation.class);
-        assertThat(reported(attempt, AttemptStatus.ACCEPTED))
-                .contains(new RequestPlaced("q1", "n")); // the right machine is not affected
+        // the machine that was offered the attempt is not affected
+        assertThat(report(attempt, AttemptStatus.ACCEPTED)).contains(new RequestPlaced("q1", "n"));
     }
 
     @Test
-    void workOfEarlierIncarnationIsAdoptedAndTracked() {
-        assertThat(inventory(5, Set.of("p.0-7"))).containsExactly(new AdoptTask("n", "p.0-7"));
-        attempts.adopted(now, "p.0-7", "q9", "n", 5, Idempotency.NON_IDEMPOTENT, true);
-        assertThat(reported("p.0-7", AttemptStatus.COMPLETED))
+    void taskOfEarlierPlacerIncarnationIsAdoptedAndTracked() {
+        assertThat(reportInventory(5, Set.of("p.0-7")))
+                .containsExactly(new AdoptTask("n", "p.0-7"));
+        tracker.adopted(now, "p.0-7", "q9", "n", 5, Idempotency.NON_IDEMPOTENT, true);
+        assertThat(report("p.0-7", AttemptStatus.COMPLETED))
                 .contains(new TaskTerminated("q9", "n", TerminationCause.COMPLETED));
     }
 
@@ -207,15 +212,15 @@
             AttemptTracker tracker = new AttemptTracker("r" + run);
             Idempotency idempotency = IDEMPOTENCIES.get(random.nextInt(IDEMPOTENCIES.size()));
             String attempt = tracker.begin(0, "q", 0, "n", 5, idempotency, 1_000);
-            List<Action> seen = new ArrayList<>();
+            List<Action> allActions = new ArrayList<>();
             for (int step = 0; step < 8; step++) {
-                randomEvent(random, tracker, attempt, step * 200L, seen);
+                randomEvent(random, tracker, attempt, step * 200L, allActions);
             }
-            tracker.incarnationEnded(5_000, "n", 5, seen::add);
-            assertThat(seen.stream().filter(AttemptTrackerTest::isAttemptEnded).count())
-                    .as("run " + run + ": " + seen)
+            tracker.incarnationEnded(5_000, "n", 5, allActions::add);
+            assertThat(allActions.stream().filter(AttemptTrackerTest::isAttemptEnded).count())
+                    .as("run " + run + ": " + allActions)
                     .isEqualTo(1);
-            assertThat(seen.stream().filter(RequestPlaced.class::isInstance).count())
+            assertThat(allActions.stream().filter(RequestPlaced.class::isInstance).count())
                     .isLessThanOrEqualTo(1);
         }
     }
@@ -229,9 +234,9 @@
             AttemptTracker tracker,
             String attempt,
             long at,
-            List<Action> seen) {
+            List<Action> allActions) {
         switch (random.nextInt(6)) {
-            case 0 -> tracker.connectionLost(at, "n", seen::add);
+            case 0 -> tracker.connectionLost(at, "n", allActions::add);
             case 1 ->
                     tracker.inventory(
                             at,
@@ -240,11 +245,11 @@
                             random.nextBoolean() ? Set.of(attempt) : Set.of(),
                             Set.of(),
                             Map.of(),
-                            seen::add);
-            case 2 -> tracker.reported(at, "n", randomReport(random, attempt), seen::add);
-            case 3 -> tracker.tick(at, seen::add);
-            case 4 -> tracker.notWritten(at, attempt, seen::add);
-            default -> tracker.cancel("q", TerminationCause.STOPPED, seen::add);
+                            allActions::add);
+            case 2 -> tracker.reported(at, "n", randomReport(random, attempt), allActions::add);
+            case 3 -> tracker.tick(at, allActions::add);
+            case 4 -> tracker.notWritten(at, attempt, allActions::add);
+            default -> tracker.cancel("q", TerminationCause.STOPPED, allActions::add);
         }
     }
 
