--- a/decisions/src/main/java/thornferry/decisions/recovery/JournalRecord.java
+++ b/decisions/src/main/java/thornferry/decisions/recovery/JournalRecord.java
@@ -6,15 +6,18 @@
 import thornferry.decisions.requests.TaskSpec;
 
 /**
- * A record of a placer's write-ahead journal: what a later incarnation must know so that no effect
- * happens twice. Written for tasks whose second start could do harm: non-idempotent ones, and those
- * idempotent by a key.
+ * A record of a placer's write-ahead journal, from which a later incarnation learns which tasks may
+ * have run, so that it does not start them again. Records are written only for tasks whose second
+ * start could do harm: non-idempotent ones, and those that are idempotent with a key.
  */
 public sealed interface JournalRecord {
-    /** When the record was written, in microseconds since 1970. */
+    /** Returns the time at which the record was written, in microseconds since 1970. */
     long atMicros();
 
-    /** An attempt is about to be offered; durable before the first byte of the offer is sent. */
+    /**
+     * An attempt is about to be offered. The record is durable before the first byte of the offer
+     * is sent.
+     */
     record Offered(
             long atMicros,
             String attempt,
@@ -31,8 +34,8 @@
             implements JournalRecord {}
 
     /**
-     * The result of a request, {@code PLACED} or {@code FAILED}; a rejection is not recorded, as it
-     * has no consequences.
+     * The result of a request, {@code PLACED} or {@code FAILED}. A rejection is not recorded: after
+     * it, the task has not run and may be requested again.
      */
     record Completed(
             long atMicros,
--- a/decisions/src/main/java/thornferry/decisions/recovery/JournaledTasks.java
+++ b/decisions/src/main/java/thornferry/decisions/recovery/JournaledTasks.java
@@ -8,19 +8,21 @@
 import thornferry.decisions.requests.RequestResult;
 import thornferry.decisions.requests.TaskKey;
 
-/** The tasks of the journal: what its records, read in order, say of each. Bounded. */
+/**
+ * The states of the tasks in the journal, built from its records in order. Their number is bounded.
+ */
 final class JournaledTasks {
     /**
-     * So many tasks are looked at for a completed one to drop early. It suffices, as nearly all of
-     * the oldest are completed.
+     * The number of tasks that are searched for a completed one to drop early. The search nearly
+     * always succeeds, as nearly all of the oldest tasks are completed.
      */
     private static final int MAX_EVICTION_CANDIDATES = 64;
 
     private final Recovery.Limits limits;
-    private final Map<String, TaskState> tasks = new LinkedHashMap<>();
+    private final Map<String, TaskState> tasksByKey = new LinkedHashMap<>();
 
-    /** Keys of tasks that expire, about in the order in which they do. */
-    private final LinkedHashSet<String> expiring = new LinkedHashSet<>();
+    /** The keys of the tasks that expire, approximately in the order of their expiry. */
+    private final LinkedHashSet<String> expiringKeys = new LinkedHashSet<>();
 
     JournaledTasks(Recovery.Limits limits) {
         this.limits = limits;
@@ -42,7 +44,7 @@
     private void applyOffered(JournalRecord.Offered offered) {
         TaskState task = find(offered.owner(), offered.spec().id());
         if (task == null || task.isCompleted()) {
-            // requested again after its end: what was before has no consequences any more
+            // the task is requested again after its end, so that its former state no longer matters
             task =
                     new TaskState(
                             offered.owner(),
@@ -51,7 +53,7 @@
                             offered.idempotency());
             add(task);
         }
-        task.offered(
+        task.recordOffer(
                 offered.attempt(),
                 new OutstandingAttempt(
                         offered.machine(), offered.incarnation(), offered.atMicros()));
@@ -70,7 +72,7 @@
 
     private void applyCompleted(JournalRecord.Completed completed) {
         TaskState task =
-                tasks.computeIfAbsent(
+                tasksByKey.computeIfAbsent(
                         TaskKey.of(completed.owner(), completed.spec().id()),
                         key ->
                                 new TaskState(
@@ -79,12 +81,12 @@
                                         completed.spec(),
                                         completed.idempotency()));
         task.complete(completed);
-        expiring.remove(task.key());
+        expiringKeys.remove(task.key());
         if (completed.result() == RequestResult.PLACED) {
-            task.expireAt(TaskState.NEVER);
+            task.expireAt(TaskState.NO_EXPIRY);
         } else {
             task.expireAt(completed.atMicros() + limits.retentionMicros());
-            expiring.add(task.key());
+            expiringKeys.add(task.key());
         }
     }
 
@@ -93,26 +95,26 @@
         if (task != null && task.isCompleted()) {
             task.finish(finished);
             task.expireAt(finished.atMicros() + limits.retentionMicros());
-            expiring.add(task.key());
+            expiringKeys.add(task.key());
         }
     }
 
-    /** The fewest records that say the same. */
+    /** Returns the fewest records from which the same states can be built. */
     List<JournalRecord> snapshot() {
         List<JournalRecord> records = new ArrayList<>();
-        tasks.values().forEach(task -> records.addAll(task.records()));
+        tasksByKey.values().forEach(task -> records.addAll(task.records()));
         return records;
     }
 
     // ---- tasks ----
     private void add(TaskState task) {
-        tasks.put(task.key(), task);
-        expiring.remove(task.key());
-        expiring.add(task.key());
-        if (tasks.size() > limits.maxTasks()) {
-            expiring.stream()
+        tasksByKey.put(task.key(), task);
+        expiringKeys.remove(task.key());
+        expiringKeys.add(task.key());
+        if (tasksByKey.size() > limits.maxTasks()) {
+            expiringKeys.stream()
                     .limit(MAX_EVICTION_CANDIDATES)
-                    .map(tasks::get)
+                    .map(tasksByKey::get)
                     .filter(candidate -> candidate != null && candidate.isCompleted())
                     .findFirst()
                     .ifPresent(this::remove);
@@ -120,37 +122,37 @@
     }
 
     void remove(TaskState task) {
-        tasks.remove(task.key(), task);
-        expiring.remove(task.key());
+        tasksByKey.remove(task.key(), task);
+        expiringKeys.remove(task.key());
     }
 
     void removeExpired(long now) {
-        while (!expiring.isEmpty()) {
-            String key = expiring.iterator().next();
-            TaskState oldest = tasks.get(key);
+        while (!expiringKeys.isEmpty()) {
+            String key = expiringKeys.iterator().next();
+            TaskState oldest = tasksByKey.get(key);
             if (oldest != null && !oldest.isExpired(now)) {
                 break;
             }
-            expiring.remove(key);
-            tasks.remove(key);
+            expiringKeys.remove(key);
+            tasksByKey.remove(key);
         }
     }
 
-    /** The task, or null where the journal does not say anything of it. */
+    /** Returns the task, or null if the journal has no record of it. */
     TaskState find(String owner, String task) {
-        return tasks.get(TaskKey.of(owner, task));
+        return tasksByKey.get(TaskKey.of(owner, task));
     }
 
     TaskState find(String key) {
-        return tasks.get(key);
+        return tasksByKey.get(key);
     }
 
-    /** A copy: tasks may be removed while a caller iterates over it. */
+    /** Returns a copy, as tasks may be removed while a caller iterates over it. */
     List<TaskState> all() {
-        return List.copyOf(tasks.values());
+        return List.copyOf(tasksByKey.values());
     }
 
     int size() {
-        return tasks.size();
+        return tasksByKey.size();
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/recovery/MachineInventory.java
+++ b/decisions/src/main/java/thornferry/decisions/recovery/MachineInventory.java
@@ -6,12 +6,13 @@
 import thornferry.decisions.placement.Placement.Idempotency;
 
 /**
- * What a machine reports about attempts when it registers.
+ * The attempts that a machine reports when it registers.
  *
- * @param heldAttempts the attempts that it has: admitted, and not ended
- * @param retainedAttempts the ended attempts that it remembers
- * @param completeSinceMicros by idempotency: since when it remembers all attempts that it accepted,
- *     in microseconds since 1970, or {@link #WHOLE_INCARNATION}; absent where it does not report it
+ * @param heldAttempts the attempts that the machine has: admitted and not ended
+ * @param retainedAttempts the ended attempts that the machine remembers
+ * @param completeSinceMicros by idempotency, the time since which the machine remembers all
+ *     attempts that it accepted, in microseconds since 1970, or {@link #WHOLE_INCARNATION}; absent
+ *     if the machine does not report it
  */
 public record MachineInventory(
         String machine,
@@ -19,6 +20,6 @@
         Set<String> heldAttempts,
         List<RetainedAttempt> retainedAttempts,
         Map<Idempotency, Long> completeSinceMicros) {
-    /** The machine has forgotten nothing in this incarnation. */
+    /** The machine remembers all attempts that it accepted in this incarnation. */
     public static final long WHOLE_INCARNATION = Long.MIN_VALUE;
 }
--- a/decisions/src/main/java/thornferry/decisions/recovery/OutstandingAttempt.java
+++ b/decisions/src/main/java/thornferry/decisions/recovery/OutstandingAttempt.java
@@ -1,10 +1,10 @@
 package thornferry.decisions.recovery;
 
 /**
- * An attempt that was offered and is not proven never to have run.
+ * An attempt that was offered and of which it is not yet known whether it ran.
  *
  * @param machine the machine that it was offered to
- * @param incarnation the incarnation of that machine at the time
- * @param offeredAtMicros in microseconds since 1970
+ * @param incarnation the incarnation of the machine at the time of the offer
+ * @param offeredAtMicros the time of the offer, in microseconds since 1970
  */
 record OutstandingAttempt(String machine, long incarnation, long offeredAtMicros) {}
--- a/decisions/src/main/java/thornferry/decisions/recovery/Recovery.java
+++ b/decisions/src/main/java/thornferry/decisions/recovery/Recovery.java
@@ -15,25 +15,27 @@
 import thornferry.decisions.requests.Uncertainty;
 
 /**
- * What became of the tasks that earlier incarnations of this placer offered: from the journal, as
- * far as there is one, and from what machines remember when they register. A request for a task
- * that may have run waits until the machines concerned prove that it did or did not; what cannot be
- * proven any more counts as may have run. {@code AttemptEvidence} lists what proves what.
+ * Determines whether the tasks that earlier incarnations of this placer offered have run: from the
+ * journal, if there is one, and from what machines remember when they register. A request for a
+ * task that may have run waits until the machines that were offered it prove whether it ran. If
+ * that can no longer be proven, the task counts as one that may have run. {@code AttemptEvidence}
+ * lists what an inventory proves.
  *
- * <p>The tasks of this incarnation are followed in the same way, as a compacted journal must
+ * <p>The tasks of this incarnation are recorded in the same way, as a compacted journal must
  * contain them. The class does no I/O and reads no clock; times are microseconds since 1970.
  */
 public final class Recovery {
     /**
      * The limits of recovery.
      *
-     * @param retentionMicros how long a result is retained after the task has failed or terminated
-     * @param maxWaitMicros the maximum wait of a request: how long after an offer its owner may
-     *     still request the task again
-     * @param goneAfterMicros a machine that has not registered so long after the start is gone, and
-     *     tasks placed there are lost
-     * @param maxTasks tasks known at once; beyond it the oldest completed ones are dropped
-     * @param journaled whether a complete journal says what earlier incarnations offered
+     * @param retentionMicros the time for which a result is retained after the task has failed or
+     *     terminated
+     * @param maxWaitMicros the maximum wait of a request: the time after an offer in which its
+     *     owner may still request the task again
+     * @param goneAfterMicros the time after the start by which a machine must have registered;
+     *     otherwise the tasks placed there are lost
+     * @param maxTasks the maximum number of known tasks; beyond it, old completed tasks are dropped
+     * @param journaled whether a complete journal records what earlier incarnations offered
      */
     public record Limits(
             long retentionMicros,
@@ -51,21 +53,21 @@
         private static void requirePositive(String field, long value) {
             if (value <= 0) {
                 throw new IllegalArgumentException(
-                        "recovery limit " + field + " must be above 0: " + value);
+                        "recovery limit " + field + " must be above 0, is " + value);
             }
         }
 
-        /** How long machines must remember what they ran. */
+        /** Returns the time for which machines must remember the attempts that ended there. */
         public long machineRetentionMicros() {
             return retentionMicros + maxWaitMicros;
         }
     }
 
-    /** What the caller is to do; actions are to be carried out in the order in which they come. */
+    /** An action for the caller, to be carried out in the order of receipt. */
     public sealed interface Action {}
 
     /**
-     * An earlier incarnation gave this result.
+     * An earlier incarnation completed a request with this result.
      *
      * @param terminationCause null while the task is not known to have terminated
      */
@@ -82,8 +84,8 @@
     /**
      * An earlier incarnation placed the task on this machine, and it has terminated.
      *
-     * @param alreadyNotified its owner may have been notified before: where no request waits, it is
-     *     retained without a notification
+     * @param alreadyNotified whether the owner may have been notified before; if so, and no request
+     *     waits for the task, its termination is retained without a notification
      */
     public record FinishedEarlier(
             String owner,
@@ -94,49 +96,49 @@
             boolean alreadyNotified)
             implements Action {}
 
-    /** The task started in an earlier incarnation and was cancelled: its result is a failure. */
+    /** The task was cancelled after its start in an earlier incarnation: its request fails. */
     public record Failed(String owner, String tenant, TaskSpec spec, String reason)
             implements Action {}
 
-    /** No attempt of the task ever ran: a request that waits for this may go on. */
+    /** No attempt of the task ever ran: a request that waits for this proof may be dispatched. */
     public record ProvenNotRun(String owner, String task) implements Action {}
 
-    /** Nothing can prove any more whether the task ran: a request that waits for this fails. */
+    /** It can no longer be proven whether the task ran: a request that waits for proof fails. */
     public record BecameIndeterminate(String owner, String task, String machine)
             implements Action {}
 
-    /** Reaches clients as the reason of a result: must not be changed. */
+    /** The reason of a failure as clients receive and may match it; it must not be changed. */
     private static final String CANCELLED_AFTER_START = "it had started and was withdrawn";
 
     private final Limits limits;
     private final JournaledTasks tasks;
 
-    /** Keys of unsettled tasks by the machines that can prove what became of them. */
-    private final Map<String, Set<String>> unsettledByMachine = new HashMap<>();
+    /** The keys of unsettled tasks, by each machine that can prove whether or how they ran. */
+    private final Map<String, Set<String>> unsettledKeysByMachine = new HashMap<>();
 
     private boolean absentMachinesAwaited;
     private long machinesGoneAtMicros;
 
-    /** Starts without any task; {@link #apply} is next, then {@link #begin}. */
+    /** Creates an instance without tasks. {@link #apply} is called next, then {@link #begin}. */
     public Recovery(Limits limits) {
         this.limits = limits;
         this.tasks = new JournaledTasks(limits);
     }
 
     // ---- the journal ----
-    /** Takes a record: when the journal is read, and when this incarnation writes it. */
+    /** Applies a record that was read from the journal or that this incarnation writes to it. */
     public void apply(JournalRecord journalRecord) {
         tasks.apply(journalRecord);
     }
 
-    /** The fewest records that say all this: what a compacted journal begins with. */
+    /** Returns the fewest records that hold the state of all tasks, for a compacted journal. */
     public List<JournalRecord> snapshot() {
         return tasks.snapshot();
     }
 
     /**
-     * The journal has been read. From now on, tasks whose attempts have no outcome are uncertain,
-     * and placed tasks wait for their machines.
+     * Begins this incarnation after the journal has been read. From now on, tasks whose attempts
+     * have no outcome are uncertain, and placed tasks wait for their machines to register.
      */
     public void begin(long now, Consumer<Action> actions) {
         machinesGoneAtMicros = now + limits.goneAfterMicros();
@@ -146,16 +148,16 @@
                 tasks.remove(task);
                 continue;
             }
-            // a journal written with a clock ahead of this one must not retain tasks for ever: what
-            // lies in the future counts as of now
+            // a record that was written with a clock ahead of this one counts as written now;
+            // otherwise its task could be retained for ever
             task.expireAtLatest(now + limits.machineRetentionMicros());
             task.beginIncarnation();
             if (task.isCompleted()) {
-                actions.accept(restored(task));
+                actions.accept(restoredResult(task));
             }
             if (task.isUnsettled()) {
                 for (String machine : task.machinesWithProof()) {
-                    unsettledByMachine
+                    unsettledKeysByMachine
                             .computeIfAbsent(machine, name -> new LinkedHashSet<>())
                             .add(task.key());
                 }
@@ -163,7 +165,7 @@
         }
     }
 
-    private static Restored restored(TaskState task) {
+    private static Restored restoredResult(TaskState task) {
         JournalRecord.Completed completed = task.completed();
         JournalRecord.Finished finished = task.finished();
         return new Restored(
@@ -177,36 +179,41 @@
     }
 
     // ---- queries ----
-    /** Whether a task may have run in earlier incarnations: to be known before it is dispatched. */
+    /**
+     * Returns whether a task may have run in earlier incarnations. The caller must take this into
+     * account before it dispatches the task.
+     */
     public Uncertainty uncertaintyOf(String owner, String task) {
         TaskState state = tasks.find(owner, task);
         return state == null ? Uncertainty.NONE : state.uncertainty();
     }
 
     /**
-     * The machine whose proof is missing, or cannot come any more, for an uncertain task; empty for
-     * none.
+     * Returns the machine whose proof about an uncertain task is missing or is no longer possible,
+     * or an empty string if there is none.
      */
     public String machineAwaited(String owner, String task) {
         TaskState state = tasks.find(owner, task);
         return state == null ? "" : state.machineAwaited();
     }
 
-    /** The limits given at construction. */
+    /** Returns the limits given at construction. */
     public Limits limits() {
         return limits;
     }
 
-    /** The number of tasks known. */
+    /** Returns the number of known tasks. */
     public int size() {
         return tasks.size();
     }
 
     // ---- machines ----
     /**
-     * A machine registers. The attempts that it has must have been adopted before.
+     * Processes the inventory of a machine that registers. The caller must have adopted the
+     * attempts that the machine has.
      *
-     * @param isOwnAttempt recognizes attempts of this incarnation, which are not judged here
+     * @param isOwnAttempt matches attempts of this incarnation, which {@code AttemptTracker}
+     *     follows
      */
     public void machineRegistered(
             long now,
@@ -214,40 +221,42 @@
             Predicate<String> isOwnAttempt,
             Consumer<Action> actions) {
         for (RetainedAttempt attempt : inventory.retainedAttempts()) {
-            boolean relevant = attempt.idempotency() != Idempotency.IDEMPOTENT;
-            if (relevant && !isOwnAttempt.test(attempt.attempt())) {
-                judgeRetained(now, inventory.machine(), attempt, actions);
+            boolean mustNotStartTwice = attempt.idempotency() != Idempotency.IDEMPOTENT;
+            if (mustNotStartTwice && !isOwnAttempt.test(attempt.attempt())) {
+                evaluateRetained(now, inventory.machine(), attempt, actions);
             }
         }
-        Set<String> unsettled = unsettledByMachine.getOrDefault(inventory.machine(), Set.of());
-        for (String key : List.copyOf(unsettled)) {
+        Set<String> unsettledKeys =
+                unsettledKeysByMachine.getOrDefault(inventory.machine(), Set.of());
+        for (String key : List.copyOf(unsettledKeys)) {
             TaskState task = tasks.find(key);
             if (task == null || !task.isUnsettled()) {
-                unsettled.remove(key);
+                unsettledKeys.remove(key);
             } else if (task.isPlaced()) {
-                // it would have been adopted if the machine still had it, and the machine does not
-                // remember its end
-                actions.accept(lost(task, inventory.machine()));
+                // the task would have been adopted if the machine still had it, and the machine
+                // does
+                // not remember its end
+                actions.accept(lostTask(task, inventory.machine()));
             } else {
-                judgeMissing(now, task, inventory, actions);
+                evaluateMissing(now, task, inventory, actions);
             }
         }
     }
 
-    private void judgeRetained(
+    private void evaluateRetained(
             long now, String machine, RetainedAttempt attempt, Consumer<Action> actions) {
         TaskState task = tasks.find(attempt.owner(), attempt.spec().id());
         boolean settled = task != null && !task.isUnsettled();
         if (settled) {
-            return; // this incarnation has a result of its own
+            return; // it is known whether the task ran, or this incarnation offers it
         }
         String tenant = task == null ? "" : task.tenant();
         switch (AttemptEvidence.of(attempt)) {
-            case TERMINATED -> terminatedEarlier(now, machine, attempt, task, actions);
+            case TERMINATED -> handleTermination(now, machine, attempt, task, actions);
             case CANCELLED_AFTER_START -> {
                 if (task != null && task.isPlaced()) {
                     TerminationCause cause = TerminationCause.STOPPED;
-                    actions.accept(finished(attempt, tenant, machine, cause, false));
+                    actions.accept(finishedEarlier(attempt, tenant, machine, cause, false));
                 } else {
                     actions.accept(
                             new Failed(
@@ -259,13 +268,13 @@
             }
             default -> {
                 if (task != null && task.isOutstanding(attempt.attempt())) {
-                    attemptNeverRan(task, attempt.attempt(), actions);
+                    recordNeverRan(task, attempt.attempt(), actions);
                 }
             }
         }
     }
 
-    private void terminatedEarlier(
+    private void handleTermination(
             long now,
             String machine,
             RetainedAttempt attempt,
@@ -275,16 +284,16 @@
             task.settleAttempt(attempt.attempt());
         }
         String tenant = task == null ? "" : task.tenant();
-        boolean alreadyNotified = task == null && wasNotified(now, attempt);
+        boolean alreadyNotified = task == null && mayHaveBeenNotified(now, attempt);
         TerminationCause cause = terminationCause(attempt.status());
-        actions.accept(finished(attempt, tenant, machine, cause, alreadyNotified));
+        actions.accept(finishedEarlier(attempt, tenant, machine, cause, alreadyNotified));
     }
 
     /**
-     * Whether the owner of a task that the journal does not know may have been notified of its end.
-     * Without a journal only the time since its end is known.
+     * Returns whether the owner of a task that is not in the journal may have been notified of its
+     * end. Without a journal, only the time since its end is known.
      */
-    private boolean wasNotified(long now, RetainedAttempt attempt) {
+    private boolean mayHaveBeenNotified(long now, RetainedAttempt attempt) {
         return limits.journaled() || attempt.endedAtMicros() < now - limits.retentionMicros();
     }
 
@@ -294,7 +303,7 @@
                 : TerminationCause.EVICTED;
     }
 
-    private static FinishedEarlier finished(
+    private static FinishedEarlier finishedEarlier(
             RetainedAttempt attempt,
             String tenant,
             String machine,
@@ -304,13 +313,13 @@
                 attempt.owner(), tenant, attempt.spec(), machine, cause, alreadyNotified);
     }
 
-    private static FinishedEarlier lost(TaskState task, String machine) {
+    private static FinishedEarlier lostTask(TaskState task, String machine) {
         return new FinishedEarlier(
                 task.owner(), task.tenant(), task.spec(), machine, TerminationCause.LOST, false);
     }
 
-    /** Judges the attempts of a task that a machine should have or remember, and does not. */
-    private void judgeMissing(
+    /** Evaluates the attempts of a task that a machine was offered and does not have. */
+    private void evaluateMissing(
             long now, TaskState task, MachineInventory inventory, Consumer<Action> actions) {
         task.outstanding()
                 .forEach(
@@ -323,20 +332,20 @@
                                     AttemptEvidence.ofMissing(
                                             now, offer, task.idempotency(), inventory);
                             if (evidence == AttemptEvidence.NEVER_RAN) {
-                                attemptNeverRan(task, attempt, actions);
+                                recordNeverRan(task, attempt, actions);
                             } else {
-                                becameIndeterminate(task, inventory.machine(), actions);
+                                markIndeterminate(task, inventory.machine(), actions);
                             }
                         });
     }
 
-    private static void becameIndeterminate(
+    private static void markIndeterminate(
             TaskState task, String machine, Consumer<Action> actions) {
-        task.becomeIndeterminate(machine);
+        task.markIndeterminate(machine);
         actions.accept(new BecameIndeterminate(task.owner(), task.spec().id(), machine));
     }
 
-    private void attemptNeverRan(TaskState task, String attempt, Consumer<Action> actions) {
+    private void recordNeverRan(TaskState task, String attempt, Consumer<Action> actions) {
         task.settleAttempt(attempt);
         if (!task.hasOutstanding()) {
             tasks.remove(task);
@@ -346,15 +355,15 @@
 
     // ---- time ----
     /**
-     * Lets time pass: expired results are dropped, and tasks placed on machines that have not
-     * registered in time are lost.
+     * Drops expired results, and declares tasks lost that are placed on machines that have not
+     * registered in time.
      */
     public void tick(long now, Consumer<Action> actions) {
         if (absentMachinesAwaited && now >= machinesGoneAtMicros) {
             absentMachinesAwaited = false;
             for (TaskState task : tasks.all()) {
                 if (task.isUnsettled() && task.isPlaced()) {
-                    actions.accept(lost(task, task.completed().machine()));
+                    actions.accept(lostTask(task, task.completed().machine()));
                 }
             }
         }
--- a/decisions/src/main/java/thornferry/decisions/recovery/TaskState.java
+++ b/decisions/src/main/java/thornferry/decisions/recovery/TaskState.java
@@ -12,18 +12,21 @@
 import thornferry.decisions.requests.TaskSpec;
 import thornferry.decisions.requests.Uncertainty;
 
-/** What the journal says of a task, and what is proven of it since the start of the placer. */
+/**
+ * The state of a task according to the journal, and to what machines have proven about it since the
+ * start of the placer.
+ */
 final class TaskState {
-    /** The expiry of a task that runs as far as is known. */
-    static final long NEVER = Long.MAX_VALUE;
+    /** The expiry of a placed task that is not known to have terminated. */
+    static final long NO_EXPIRY = Long.MAX_VALUE;
 
-    /** Whether it is known what became of a task in earlier incarnations of the placer. */
+    /** The degree to which it is known whether a task ran in earlier incarnations of the placer. */
     private enum Certainty {
-        /** It is known, or the task is one of this incarnation only. */
+        /** It is known whether the task ran, or the task belongs to this incarnation only. */
         SETTLED,
-        /** It is for machines to prove that have not registered yet. */
+        /** Machines that have not registered yet may prove whether the task ran. */
         AWAITING_PROOF,
-        /** It is not known, and the machine that could have proven it cannot. */
+        /** It is unknown whether the task ran, and no machine can prove it any more. */
         INDETERMINATE
     }
 
@@ -32,7 +35,7 @@
     private final TaskSpec spec;
     private final Idempotency idempotency;
     private final Map<String, OutstandingAttempt> outstanding = new LinkedHashMap<>();
-    private JournalRecord.Completed completed; // null without a result
+    private JournalRecord.Completed completed; // null until the task has a result
     private JournalRecord.Finished finished; // null until the placed task has terminated
     private Certainty certainty = Certainty.SETTLED;
     private String indeterminateMachine = "";
@@ -45,12 +48,12 @@
         this.idempotency = idempotency;
     }
 
-    // ---- what the journal says ----
-    void offered(String attempt, OutstandingAttempt offer) {
+    // ---- state from the journal ----
+    void recordOffer(String attempt, OutstandingAttempt offer) {
         outstanding.put(attempt, offer);
     }
 
-    /** An attempt ran, or never did; in either case it is not outstanding any more. */
+    /** Records that it is known whether the attempt ran, so that it is no longer outstanding. */
     void settleAttempt(String attempt) {
         outstanding.remove(attempt);
     }
@@ -67,7 +70,7 @@
         outstanding.clear();
     }
 
-    /** The fewest records from which this can be read again. */
+    /** Returns the fewest records from which this state can be built again. */
     List<JournalRecord> records() {
         List<JournalRecord> records = new ArrayList<>();
         outstanding.forEach(
@@ -91,27 +94,27 @@
         return records;
     }
 
-    // ---- what is proven ----
+    // ---- certainty ----
     /**
-     * The journal has been read: a task without a result, or placed and not terminated, awaits
-     * proof of what became of it.
+     * Sets the certainty after the journal has been read. A task that has no result, or is placed
+     * and not known to have terminated, awaits proof from its machines.
      */
     void beginIncarnation() {
         boolean ended = isPlaced() ? finished != null : completed != null;
         certainty = ended ? Certainty.SETTLED : Certainty.AWAITING_PROOF;
     }
 
-    void becomeIndeterminate(String machine) {
+    void markIndeterminate(String machine) {
         certainty = Certainty.INDETERMINATE;
         indeterminateMachine = machine;
     }
 
-    /** Whether it is not known what became of it in earlier incarnations. */
+    /** Returns whether it is unknown if or how the task ran in earlier incarnations. */
     boolean isUnsettled() {
         return certainty != Certainty.SETTLED;
     }
 
-    /** What a request for the task must take into account. */
+    /** Returns whether a request for the task must assume that the task may have run. */
     Uncertainty uncertainty() {
         if (completed != null) {
             return Uncertainty.NONE;
@@ -123,7 +126,7 @@
         };
     }
 
-    /** The machine whose proof is missing, or cannot come any more; empty for none. */
+    /** Returns the machine whose proof is missing or is no longer possible, or an empty string. */
     String machineAwaited() {
         return switch (certainty) {
             case SETTLED -> "";
@@ -136,7 +139,7 @@
         };
     }
 
-    /** The machines that can prove what became of the task. */
+    /** Returns the machines that can prove whether the task ran, or how it terminated. */
     Set<String> machinesWithProof() {
         Set<String> machines = new LinkedHashSet<>();
         if (isPlaced()) {
@@ -152,9 +155,11 @@
         expiresAtMicros = atMicros;
     }
 
-    /** Brings the expiry forward; one that never comes stays so. */
+    /**
+     * Sets the expiry to this time if this is earlier. A task without an expiry is left unchanged.
+     */
     void expireAtLatest(long atMicros) {
-        if (expiresAtMicros != NEVER) {
+        if (expiresAtMicros != NO_EXPIRY) {
             expiresAtMicros = Math.min(expiresAtMicros, atMicros);
         }
     }
@@ -180,17 +185,19 @@
         return outstanding.containsKey(attempt);
     }
 
-    /** A copy, by attempt, in the order of the offers. */
+    /** Returns a copy of the outstanding attempts by attempt id, in the order of the offers. */
     Map<String, OutstandingAttempt> outstanding() {
         return new LinkedHashMap<>(outstanding);
     }
 
-    /** The result, or null where there is none. */
+    /** Returns the record of the result, or null if there is none. */
     JournalRecord.Completed completed() {
         return completed;
     }
 
-    /** The termination, or null where the task has not terminated. */
+    /**
+     * Returns the record of the termination, or null if the task is not known to have terminated.
+     */
     JournalRecord.Finished finished() {
         return finished;
     }
--- a/decisions/src/test/java/thornferry/decisions/recovery/RecoveryTest.java
+++ b/decisions/src/test/java/thornferry/decisions/recovery/RecoveryTest.java
@@ -20,22 +20,25 @@
 import thornferry.decisions.requests.TaskSpec;
 import thornferry.decisions.requests.Uncertainty;
 
+/**
+ * Guards against a task that starts twice, or an owner that is not notified, because a restarted
+ * placer draws a wrong conclusion from its journal or from the inventory of a machine.
+ */
 class RecoveryTest {
     private static final long SECOND = 1_000_000;
+    private static final long NOW = 1_000 * SECOND;
     private static final TaskSpec SPEC = new TaskSpec("t", "levy-run", "s", "", 1, 1, null, 0);
 
     private final Recovery recovery =
             new Recovery(new Recovery.Limits(60 * SECOND, 600 * SECOND, 10 * SECOND, 100, false));
     private final List<Action> actions = new ArrayList<>();
-    private static final long NOW = 1_000 * SECOND;
-    private final long now = NOW;
 
-    private static JournalRecord offered(long at) {
+    private static JournalRecord offeredRecord(long at) {
         return new JournalRecord.Offered(
                 at, "old-1", "o", "x", SPEC, Idempotency.NON_IDEMPOTENT, "n", 7);
     }
 
-    private static JournalRecord completed(long at, RequestResult result) {
+    private static JournalRecord completedRecord(long at, RequestResult result) {
         return new JournalRecord.Completed(
                 at, "o", "x", SPEC, Idempotency.NON_IDEMPOTENT, result, "n", "why");
     }
@@ -44,14 +47,14 @@
         for (JournalRecord journalRecord : journal) {
             recovery.apply(journalRecord);
         }
-        recovery.begin(now, actions::add);
+        recovery.begin(NOW, actions::add);
     }
 
     private List<Action> register(
             long incarnation, long completeSince, RetainedAttempt... retained) {
         actions.clear();
         recovery.machineRegistered(
-                now,
+                NOW,
                 new MachineInventory(
                         "n",
                         incarnation,
@@ -63,14 +66,14 @@
         return actions;
     }
 
-    private static RetainedAttempt retained(AttemptStatus status, boolean ran) {
+    private static RetainedAttempt retainedAttempt(AttemptStatus status, boolean ran) {
         return new RetainedAttempt(
                 "old-1", "o", SPEC, Idempotency.NON_IDEMPOTENT, status, ran, NOW - SECOND);
     }
 
     @Test
     void offerWithoutOutcomeAwaitsProofFromItsMachine() {
-        begin(offered(now - SECOND));
+        begin(offeredRecord(NOW - SECOND));
         assertThat(recovery.uncertaintyOf("o", "t")).isEqualTo(Uncertainty.PENDING_PROOF);
         assertThat(recovery.uncertaintyOf("other", "t")).isEqualTo(Uncertainty.NONE);
         assertThat(recovery.machineAwaited("o", "t")).isEqualTo("n");
@@ -81,73 +84,74 @@
 
     @Test
     void inventoryCompleteSinceBeforeTheOfferProvesItNeverRan() {
-        begin(offered(now - SECOND));
-        assertThat(register(7, now - 2 * SECOND)).containsExactly(new ProvenNotRun("o", "t"));
+        begin(offeredRecord(NOW - SECOND));
+        assertThat(register(7, NOW - 2 * SECOND)).containsExactly(new ProvenNotRun("o", "t"));
     }
 
     @Test
-    void inventoryCompleteOnlySinceAfterTheOfferProvesNothing() {
-        begin(offered(now - 2 * SECOND));
-        assertThat(register(7, now - SECOND))
+    void inventoryCompleteOnlySinceAfterTheOfferIsIndeterminate() {
+        begin(offeredRecord(NOW - 2 * SECOND));
+        assertThat(register(7, NOW - SECOND))
                 .containsExactly(new BecameIndeterminate("o", "t", "n"));
         assertThat(recovery.uncertaintyOf("o", "t")).isEqualTo(Uncertainty.MAY_HAVE_RUN);
     }
 
     @Test
     void offerInTheFutureIsIndeterminate() {
-        begin(offered(now + 5 * SECOND)); // the clock was set back between the incarnations
-        assertThat(register(7, now - SECOND))
+        begin(offeredRecord(NOW + 5 * SECOND)); // the clock was set back between the incarnations
+        assertThat(register(7, NOW - SECOND))
                 .containsExactly(new BecameIndeterminate("o", "t", "n"));
     }
 
     @Test
-    void otherMachineIncarnationProvesNothing() {
-        begin(offered(now - SECOND));
+    void inventoryOfOtherMachineIncarnationIsIndeterminate() {
+        begin(offeredRecord(NOW - SECOND));
         assertThat(register(8, MachineInventory.WHOLE_INCARNATION))
                 .containsExactly(new BecameIndeterminate("o", "t", "n"));
     }
 
     @Test
     void retainedTerminationIsTheResultOfTheTask() {
-        begin(offered(now - SECOND));
+        begin(offeredRecord(NOW - SECOND));
         assertThat(
                         register(
                                 7,
                                 MachineInventory.WHOLE_INCARNATION,
-                                retained(AttemptStatus.COMPLETED, true)))
+                                retainedAttempt(AttemptStatus.COMPLETED, true)))
                 .contains(
                         new FinishedEarlier("o", "x", SPEC, "n", TerminationCause.COMPLETED, false))
                 .doesNotHaveAnyElementsOfTypes(ProvenNotRun.class);
-        recovery.apply(completed(now, RequestResult.PLACED)); // as the placer does then
-        recovery.apply(new JournalRecord.Finished(now, "o", "t", TerminationCause.COMPLETED));
+        // the placer then writes both records
+        recovery.apply(completedRecord(NOW, RequestResult.PLACED));
+        recovery.apply(new JournalRecord.Finished(NOW, "o", "t", TerminationCause.COMPLETED));
         assertThat(
                         register(
                                 7,
                                 MachineInventory.WHOLE_INCARNATION,
-                                retained(AttemptStatus.COMPLETED, true)))
-                .isEmpty(); // notified once
+                                retainedAttempt(AttemptStatus.COMPLETED, true)))
+                .isEmpty(); // the owner is notified only once
     }
 
     @Test
     void cancelledBeforeStartNeverRanAndCancelledAfterStartFailed() {
-        begin(offered(now - SECOND));
-        assertThat(register(7, now, retained(AttemptStatus.CANCELLED, false)))
+        begin(offeredRecord(NOW - SECOND));
+        assertThat(register(7, NOW, retainedAttempt(AttemptStatus.CANCELLED, false)))
                 .containsExactly(new ProvenNotRun("o", "t"));
-        recovery.apply(offered(now));
+        recovery.apply(offeredRecord(NOW));
         begin();
-        assertThat(register(7, now, retained(AttemptStatus.CANCELLED, true)))
+        assertThat(register(7, NOW, retainedAttempt(AttemptStatus.CANCELLED, true)))
                 .first()
                 .isInstanceOf(Failed.class);
     }
 
     @Test
-    void withoutJournalRetainedAttemptsAloneShowWhatRan() {
+    void withoutJournalRetainedAttemptsProveWhichTasksRan() {
         begin();
         assertThat(
                         register(
                                 7,
                                 MachineInventory.WHOLE_INCARNATION,
-                                retained(AttemptStatus.EVICTED, true)))
+                                retainedAttempt(AttemptStatus.EVICTED, true)))
                 .containsExactly(
                         new FinishedEarlier("o", "", SPEC, "n", TerminationCause.EVICTED, false));
         assertThat(
@@ -161,8 +165,8 @@
                                         Idempotency.NON_IDEMPOTENT,
                                         AttemptStatus.COMPLETED,
                                         true,
-                                        now)))
-                .isEmpty(); // of this incarnation: AttemptTracker follows it
+                                        NOW)))
+                .isEmpty(); // an attempt of this incarnation, which AttemptTracker follows
     }
 
     @Test
@@ -179,14 +183,14 @@
                                         Idempotency.NON_IDEMPOTENT,
                                         AttemptStatus.COMPLETED,
                                         true,
-                                        now - 61 * SECOND)))
+                                        NOW - 61 * SECOND)))
                 .containsExactly(
                         new FinishedEarlier("o", "", SPEC, "n", TerminationCause.COMPLETED, true));
     }
 
     @Test
     void restoresResultAndLosesPlacedTaskMissingOnItsMachine() {
-        begin(offered(now - SECOND), completed(now - SECOND, RequestResult.PLACED));
+        begin(offeredRecord(NOW - SECOND), completedRecord(NOW - SECOND, RequestResult.PLACED));
         assertThat(actions)
                 .containsExactly(
                         new Restored("o", "x", SPEC, RequestResult.PLACED, "n", "why", null));
@@ -198,11 +202,11 @@
 
     @Test
     void placedTaskIsLostWhenItsMachineDoesNotRegisterInTime() {
-        begin(offered(now - SECOND), completed(now - SECOND, RequestResult.PLACED));
+        begin(offeredRecord(NOW - SECOND), completedRecord(NOW - SECOND, RequestResult.PLACED));
         actions.clear();
-        recovery.tick(now + 9 * SECOND, actions::add);
+        recovery.tick(NOW + 9 * SECOND, actions::add);
         assertThat(actions).isEmpty();
-        recovery.tick(now + 10 * SECOND, actions::add);
+        recovery.tick(NOW + 10 * SECOND, actions::add);
         assertThat(actions)
                 .containsExactly(
                         new FinishedEarlier("o", "x", SPEC, "n", TerminationCause.LOST, false));
@@ -210,34 +214,36 @@
 
     @Test
     void restoresFailureAndDropsItAfterRetention() {
-        begin(offered(now - 30 * SECOND), completed(now - 20 * SECOND, RequestResult.FAILED));
+        begin(
+                offeredRecord(NOW - 30 * SECOND),
+                completedRecord(NOW - 20 * SECOND, RequestResult.FAILED));
         assertThat(actions)
                 .containsExactly(
                         new Restored("o", "x", SPEC, RequestResult.FAILED, "n", "why", null));
-        recovery.tick(now + 39 * SECOND, actions::add);
+        recovery.tick(NOW + 39 * SECOND, actions::add);
         assertThat(recovery.size()).isOne();
-        recovery.tick(now + 40 * SECOND, actions::add);
+        recovery.tick(NOW + 40 * SECOND, actions::add);
         assertThat(recovery.size()).isZero();
     }
 
     @Test
-    void dropsExpiredOffersAndTreatsFutureOffersAsOfNow() {
-        begin(offered(now - 661 * SECOND));
+    void dropsExpiredOffersAndTreatsFutureOffersAsMadeNow() {
+        begin(offeredRecord(NOW - 661 * SECOND));
         assertThat(recovery.size()).isZero();
-        begin(offered(now + 86_400 * SECOND));
-        recovery.tick(now + 659 * SECOND, actions::add);
+        begin(offeredRecord(NOW + 86_400 * SECOND));
+        recovery.tick(NOW + 659 * SECOND, actions::add);
         assertThat(recovery.uncertaintyOf("o", "t")).isEqualTo(Uncertainty.PENDING_PROOF);
-        recovery.tick(now + 660 * SECOND, actions::add);
+        recovery.tick(NOW + 660 * SECOND, actions::add);
         assertThat(recovery.uncertaintyOf("o", "t")).isEqualTo(Uncertainty.NONE);
     }
 
     @Test
-    void snapshotReadAgainIsEqual() {
+    void recoveryBuiltFromSnapshotGivesTheSameSnapshot() {
         begin(
-                offered(now),
-                completed(now, RequestResult.PLACED),
+                offeredRecord(NOW),
+                completedRecord(NOW, RequestResult.PLACED),
                 new JournalRecord.Offered(
-                        now,
+                        NOW,
                         "old-2",
                         "o",
                         "x",
@@ -245,10 +251,10 @@
                         Idempotency.NON_IDEMPOTENT,
                         "m",
                         3));
-        Recovery again = new Recovery(recovery.limits());
-        recovery.snapshot().forEach(again::apply);
-        assertThat(again.snapshot()).isEqualTo(recovery.snapshot()).hasSize(3);
-        recovery.apply(new JournalRecord.NeverRan(now, "o", "u", "old-2"));
-        assertThat(recovery.snapshot()).hasSize(2); // no record is needed of what never ran
+        Recovery rebuilt = new Recovery(recovery.limits());
+        recovery.snapshot().forEach(rebuilt::apply);
+        assertThat(rebuilt.snapshot()).isEqualTo(recovery.snapshot()).hasSize(3);
+        recovery.apply(new JournalRecord.NeverRan(NOW, "o", "u", "old-2"));
+        assertThat(recovery.snapshot()).hasSize(2); // a task that never ran needs no record
     }
 }
