--- a/decisions/src/main/java/thornferry/decisions/requests/DroppedResults.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/DroppedResults.java
@@ -3,9 +3,9 @@
 import java.util.LinkedHashMap;
 
 /**
- * Tasks whose results were dropped before their retention time ended, as there were too many.
- * Without this, a repeated request would start such a task again. Of a task only the hash of its
- * key is stored, and of a bounded number of tasks.
+ * The tasks whose results were dropped before the end of their retention time because too many
+ * results were retained. Without this set, a repeated request would start such a task again. Only
+ * the hash of each task key is stored, and the number of tasks is bounded.
  */
 final class DroppedResults {
     private static final int MAX_DROPPED = 200_000;
@@ -33,7 +33,10 @@
         }
     }
 
-    /** A polynomial hash of 64 bits: {@link String#hashCode} has too few for so many keys. */
+    /**
+     * Returns a polynomial hash of 64 bits. The 32 bits of {@link String#hashCode} would collide
+     * too often with this many keys.
+     */
     private static long hash(String taskKey) {
         long hash = HASH_SEED;
         for (int i = 0; i < taskKey.length(); i++) {
--- a/decisions/src/main/java/thornferry/decisions/requests/InvalidRequestException.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/InvalidRequestException.java
@@ -1,8 +1,9 @@
 package thornferry.decisions.requests;
 
 /**
- * A client's request that cannot be accepted, with a message for the client; nothing has changed.
- * It carries no stack trace, as it is an ordinary answer.
+ * Thrown if the request of a client is invalid; the request then has no effect. The message is
+ * meant for the client. There is no stack trace, as an invalid request is not a fault of the
+ * placer.
  */
 public final class InvalidRequestException extends Exception {
     private static final long serialVersionUID = 1;
--- a/decisions/src/main/java/thornferry/decisions/requests/OwnedTask.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/OwnedTask.java
@@ -1,7 +1,7 @@
 package thornferry.decisions.requests;
 
 /**
- * A task and whom it belongs to.
+ * A task with its owner and tenant.
  *
  * @param tenant the owner's tenant, empty for none
  */
--- a/decisions/src/main/java/thornferry/decisions/requests/PendingNotifications.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/PendingNotifications.java
@@ -9,14 +9,17 @@
 
 /** Creates the notifications of owners and keeps them until they are delivered. */
 final class PendingNotifications {
-    /** Beyond it the oldest are dropped; a repeated request still gives their results. */
+    /**
+     * The maximum number of pending notifications of an owner. Beyond it, the oldest are dropped; a
+     * repeated request still returns their results.
+     */
     private static final int MAX_PENDING_PER_OWNER = 10_000;
 
     private final Map<String, LinkedHashMap<Long, ResultNotification>> byOwner = new HashMap<>();
     private long lastSequence;
 
     // ---- creation ----
-    ResultNotification ofResult(RequestEntry entry, RequestOutcome outcome, boolean repeated) {
+    ResultNotification createResult(RequestEntry entry, RequestOutcome outcome, boolean repeated) {
         return new ResultNotification(
                 ++lastSequence,
                 entry.owner(),
@@ -29,7 +32,7 @@
                 repeated);
     }
 
-    ResultNotification ofTermination(
+    ResultNotification createTermination(
             RequestEntry entry, String machine, TerminationCause cause, boolean repeated) {
         return new ResultNotification(
                 ++lastSequence,
@@ -43,8 +46,8 @@
                 repeated);
     }
 
-    /** The same notification, to be delivered again. */
-    ResultNotification repeated(ResultNotification original) {
+    /** Creates a copy of the notification that is marked as repeated. */
+    ResultNotification createRepeated(ResultNotification original) {
         return new ResultNotification(
                 ++lastSequence,
                 original.owner(),
@@ -67,7 +70,7 @@
         }
     }
 
-    /** The notification is not to be delivered any more; nothing for null. */
+    /** Removes a notification that must no longer be delivered. Does nothing if it is null. */
     void discard(ResultNotification notification) {
         if (notification != null) {
             delivered(notification.owner(), notification.sequence());
@@ -81,7 +84,7 @@
         }
     }
 
-    /** The notifications that the owner has not received, oldest first. */
+    /** Returns the notifications that the owner has not received, oldest first. */
     List<ResultNotification> undelivered(String owner) {
         LinkedHashMap<Long, ResultNotification> pending = byOwner.get(owner);
         return pending == null ? new ArrayList<>() : new ArrayList<>(pending.values());
--- a/decisions/src/main/java/thornferry/decisions/requests/RecoveredTasks.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/RecoveredTasks.java
@@ -8,9 +8,9 @@
 import thornferry.decisions.requests.RequestTracker.Action;
 
 /**
- * What becomes known of tasks of earlier incarnations of the placer. Where an owner has requested
- * such a task again meanwhile, it completes that request; otherwise it is retained for one who
- * does.
+ * Processes what becomes known about tasks of earlier incarnations of the placer. If the owner has
+ * requested such a task again in the meantime, that request is completed; otherwise the result is
+ * retained for a later request.
  */
 final class RecoveredTasks {
     private final RequestValidator validator;
@@ -33,27 +33,29 @@
     }
 
     /**
-     * Retains a result of an earlier incarnation; {@code cause} null where the task may still run.
+     * Retains a result of an earlier incarnation.
+     *
+     * @param cause how the placed task terminated, or null if it may still run
      */
     void restore(long now, OwnedTask task, RequestOutcome outcome, TerminationCause cause) {
         TaskClass taskClass = validator.classOf(task.spec());
         if (taskClass == null) {
-            return; // the class is not configured any more: nobody can request the task
+            return; // the class is no longer configured, so that the task cannot be requested
         }
         RequestEntry entry = new RequestEntry(task, taskClass);
         RequestEntry replaced = index.put(entry);
         if (replaced != null) {
-            lifecycle.release(replaced);
+            lifecycle.removeRetained(replaced);
             index.removeRequestId(replaced);
         }
-        ResultNotification result = notifications.ofResult(entry, outcome, true);
+        ResultNotification result = notifications.createResult(entry, outcome, true);
         if (outcome.result() == RequestResult.FAILED) {
             entry.complete(result);
         } else {
             entry.restoreUnconfirmed(result);
         }
         if (cause != null) {
-            entry.finish(notifications.ofTermination(entry, outcome.machine(), cause, true));
+            entry.finish(notifications.createTermination(entry, outcome.machine(), cause, true));
         }
         if (entry.state() != RequestState.PLACED_UNCONFIRMED) {
             lifecycle.retain(now, entry);
@@ -69,11 +71,11 @@
         if (settling.isOver(now) || entry.idempotency() != Idempotency.NON_IDEMPOTENT) {
             lifecycle.dispatchDeferred(now, entry, actions);
         } else {
-            entry.proveNotRun();
+            entry.markProvenNotRun();
         }
     }
 
-    /** An earlier incarnation placed the task, and it has terminated. */
+    /** See {@link RequestTracker#finishedEarlier}. */
     void finishedEarlier(
             long now,
             OwnedTask task,
@@ -98,7 +100,7 @@
             restore(now, task, placed, null);
             entry = index.find(task.key());
             RequestOutcome withoutReason = RequestOutcome.placed(machine);
-            actions.accept(RequestLifecycle.completed(entry, null, task, withoutReason));
+            actions.accept(RequestLifecycle.completedAction(entry, null, task, withoutReason));
         }
         lifecycle.finish(now, entry, machine, cause, actions);
     }
@@ -114,10 +116,10 @@
             lifecycle.abandon(entry, actions);
             lifecycle.complete(now, entry, failed, actions);
         } else {
-            // nobody requests it now; one who does will be notified
+            // no request waits for the task; a later one receives this result
             restore(now, task, failed, null);
             RequestEntry restored = index.find(task.key());
-            actions.accept(RequestLifecycle.completed(restored, null, task, failed));
+            actions.accept(RequestLifecycle.completedAction(restored, null, task, failed));
         }
     }
 
@@ -148,21 +150,23 @@
             lifecycle.abandon(entry, actions);
             index.removeRequestId(entry);
         }
-        lifecycle.release(entry);
+        lifecycle.removeRetained(entry);
         index.assignRequestId(entry);
         if (pending) {
             lifecycle.complete(now, entry, RequestOutcome.placedEarlier(machine), actions);
         } else {
             RequestOutcome outcome = RequestOutcome.placedEarlier(machine);
-            entry.complete(notifications.ofResult(entry, outcome, false));
+            entry.complete(notifications.createResult(entry, outcome, false));
             actions.accept(
-                    RequestLifecycle.completed(
+                    RequestLifecycle.completedAction(
                             entry, entry.requestId(), task, RequestOutcome.placed(machine)));
         }
         return RequestLifecycle.placementRequest(entry, task.spec(), task.tenant(), 0, true);
     }
 
-    /** Whether the task already runs elsewhere, or its owner was notified that it does not run. */
+    /**
+     * Returns whether the task runs on another machine, or its owner was told that it does not run.
+     */
     private static boolean mustNotBeAdopted(RequestEntry entry) {
         return switch (entry.state()) {
             case FAILED, PLACED -> true;
@@ -172,8 +176,9 @@
     }
 
     /**
-     * Whether this incarnation has given the task a result that takes precedence over what machines
-     * report later. A rejection does not: after it, the owner may request the task again.
+     * Returns whether this incarnation has given the task a result that takes precedence over what
+     * machines report later. A rejection does not take precedence, as the owner may request the
+     * task again after it.
      */
     private static boolean hasOwnResult(RequestEntry entry) {
         return entry != null
--- a/decisions/src/main/java/thornferry/decisions/requests/RequestDeadlines.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/RequestDeadlines.java
@@ -4,8 +4,8 @@
 import java.util.PriorityQueue;
 
 /**
- * When each dispatched request must have its result. Without this, a policy that fails to answer
- * would leave its owner without one.
+ * The times at which dispatched requests must have their results. Without these deadlines, an owner
+ * would get no result if the placement policy failed to give one.
  */
 final class RequestDeadlines {
     private record Deadline(long atMicros, RequestEntry entry, String requestId) {}
@@ -13,7 +13,7 @@
     private final PriorityQueue<Deadline> deadlines =
             new PriorityQueue<>(Comparator.comparingLong(Deadline::atMicros));
 
-    /** The request that the entry has now must be completed by then. */
+    /** Adds the time by which the current request of the entry must be completed. */
     void add(RequestEntry entry, long atMicros) {
         deadlines.add(new Deadline(atMicros, entry, entry.requestId()));
     }
--- a/decisions/src/main/java/thornferry/decisions/requests/RequestEntry.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/RequestEntry.java
@@ -6,9 +6,7 @@
 import thornferry.decisions.placement.Placement.TaskClass;
 import thornferry.decisions.requests.RequestTracker.OfferDetails;
 
-/**
- * A task that was requested: the state of its latest request, and what its owner was notified of.
- */
+/** A requested task, with the state of its latest request and the notifications of its owner. */
 final class RequestEntry {
     private final String key;
     private final String owner;
@@ -18,8 +16,8 @@
     private RequestState state = RequestState.NEW;
     private String requestId; // null until dispatched or adopted
     private long deadlineMicros;
-    private int offerCount; // since it was last dispatched
-    private int dispatchCount; // of all requests for the task
+    private int offerCount; // since the last dispatch
+    private int dispatchCount; // over all requests for the task
     private String lastRejection = "";
     private String lastRejectedBy = "";
     private ResultNotification result;
@@ -35,7 +33,9 @@
         this.taskClass = taskClass;
     }
 
-    /** A request for the task is submitted, or submitted again after its end. */
+    /**
+     * Begins a new request for the task, the first one or one after the end of the previous one.
+     */
     void submit(TaskSpec newSpec, long newDeadlineMicros) {
         spec = newSpec;
         deadlineMicros = newDeadlineMicros;
@@ -43,23 +43,24 @@
         termination = null;
     }
 
-    /** The request is accepted but not dispatched yet. */
+    /** Records that the request is accepted and not dispatched yet. */
     void defer(RequestState newState) {
         changeState(newState);
         requestId = null;
     }
 
     /**
-     * It is proven that the task has not run; only the time after the start is to be waited for.
+     * Records the proof that the task has not run. The request then waits only for the end of the
+     * settling time after the placer's start.
      */
-    void proveNotRun() {
+    void markProvenNotRun() {
         changeState(RequestState.SETTLING);
     }
 
     /**
-     * The request is given to the policy, under a request id that is set next.
+     * Records that the request is given to the policy. The caller assigns a new request id next.
      *
-     * @return whether one was given to it for this task before
+     * @return whether a request for this task was given to the policy before
      */
     boolean dispatch() {
         changeState(RequestState.DISPATCHED);
@@ -73,13 +74,13 @@
         terminationCause = null;
     }
 
-    /** The result was given by an earlier incarnation of the placer, and the task may still run. */
+    /** Records a result that an earlier incarnation gave for a placed task, which may still run. */
     void restoreUnconfirmed(ResultNotification earlierResult) {
         changeState(RequestState.PLACED_UNCONFIRMED);
         result = earlierResult;
     }
 
-    /** The placed task has terminated. */
+    /** Records the termination of the placed task. */
     void finish(ResultNotification newTermination) {
         changeState(RequestState.FINISHED);
         termination = newTermination;
@@ -87,14 +88,14 @@
     }
 
     private void changeState(RequestState next) {
-        assert state.canBecome(next) : key + " cannot become " + next + " from " + state;
+        assert state.canTransitionTo(next) : key + " cannot change to " + next + " from " + state;
         state = next;
     }
 
     /**
-     * Whether a request for the task is a new one. The owner may well request a task again that was
-     * placed and then lost, evicted or migrated; but not a non-idempotent one under the same name,
-     * for that one did start.
+     * Returns whether a further request for the task is a new request. That is the case after a
+     * rejection, and for a task that was placed and then lost, evicted or migrated, unless it is
+     * non-idempotent: such a task has started and must not start again under the same id.
      */
     boolean mayBeResubmitted() {
         if (state != RequestState.FINISHED) {
@@ -106,7 +107,7 @@
                         || terminationCause == TerminationCause.MIGRATED);
     }
 
-    /** A machine has rejected an offer, which may become the reason of a later rejection. */
+    /** Records that a machine rejected an offer, which may become the reason of the result. */
     void offerRejected(String machine, OutcomeReason reason) {
         lastRejection = RequestMessages.rejectedLastBy(machine, reason);
         lastRejectedBy = machine;
@@ -116,7 +117,7 @@
         lastRejection = "";
     }
 
-    /** The details for the next offer, which is counted. */
+    /** Returns the details of the next offer and counts that offer. */
     OfferDetails nextOffer() {
         OfferDetails details = offerDetails();
         offerCount++;
@@ -180,32 +181,34 @@
         return deadlineMicros;
     }
 
-    /** How often requests for the task were given to the policy. */
+    /** Returns how often requests for the task were given to the policy. */
     int dispatchCount() {
         return dispatchCount;
     }
 
-    /** Why a machine last rejected an offer, as a sentence for the owner; empty for never. */
+    /**
+     * Returns the reason of the last rejected offer as a sentence for the owner, empty for none.
+     */
     String lastRejection() {
         return lastRejection;
     }
 
-    /** The machine that last rejected an offer, empty for none. */
+    /** Returns the machine that last rejected an offer, empty for none. */
     String lastRejectedBy() {
         return lastRejectedBy;
     }
 
-    /** The notification of the latest result, or null before the first. */
+    /** Returns the notification of the latest result, or null before the first. */
     ResultNotification result() {
         return result;
     }
 
-    /** The notification of the termination, or null where the latest request has not led to one. */
+    /** Returns the notification of the task's termination, or null if it has not terminated. */
     ResultNotification termination() {
         return termination;
     }
 
-    /** When the result need not be retained any longer. */
+    /** Returns the time at which the retention of the result ends. */
     long expiresAtMicros() {
         return expiresAtMicros;
     }
--- a/decisions/src/main/java/thornferry/decisions/requests/RequestLifecycle.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/RequestLifecycle.java
@@ -11,11 +11,14 @@
 import thornferry.decisions.requests.RequestTracker.RequestCompleted;
 import thornferry.decisions.requests.RequestTracker.TaskFinished;
 
-/** The state transitions of requests, and what each of them entails. */
+/**
+ * Performs the state transitions of requests, with the notifications and actions that they entail.
+ */
 final class RequestLifecycle {
     /**
-     * The policy completes each request before its deadline. So long after it, or where it was not
-     * dispatched so long before it, the request is completed in the policy's stead.
+     * The margin around the deadline of a request, by which the policy normally completes it. A
+     * dispatched request that still has no result this long after its deadline fails. A deferred
+     * request that is still not dispatched this long before its deadline fails.
      */
     static final long DEADLINE_GRACE_MICROS = 2_000;
 
@@ -23,8 +26,8 @@
     private final RequestIndex index;
     private final StartupSettling settling;
     private final PendingNotifications notifications;
-    private final RetainedResults retained;
-    private final DroppedResults dropped = new DroppedResults();
+    private final RetainedResults retainedResults;
+    private final DroppedResults droppedResults = new DroppedResults();
     private final RequestDeadlines deadlines = new RequestDeadlines();
     private int pendingCount;
 
@@ -37,19 +40,19 @@
         this.index = index;
         this.settling = settling;
         this.notifications = notifications;
-        this.retained = new RetainedResults(limits.retentionMicros());
+        this.retainedResults = new RetainedResults(limits.retentionMicros());
     }
 
     // ---- transitions ----
-    /** What is known of the task's former request is void, as a new one is submitted. */
-    void supersede(RequestEntry entry) {
-        // without this, an undelivered result could be taken for that of the new request
+    /** Discards the notifications and the retained result of the task's previous request. */
+    void discardPrevious(RequestEntry entry) {
+        // otherwise an undelivered result could be taken for the result of the new request
         notifications.discard(entry.result());
         notifications.discard(entry.termination());
-        retained.release(entry);
+        retainedResults.remove(entry);
     }
 
-    /** Accepts a request that has to wait, for the settling after the start or for proof. */
+    /** Accepts a request that waits for the end of the settling time, or for proof. */
     void defer(RequestEntry entry, boolean awaitsProof) {
         pendingCount++;
         entry.clearLastRejection();
@@ -86,7 +89,7 @@
                         entry.lastRejectedBy()));
     }
 
-    /** The request as the policy gets it. */
+    /** Returns the request in the form that the placement policy receives. */
     static PlacementRequest placementRequest(
             RequestEntry entry, TaskSpec spec, String tenant, long maxWaitMicros, boolean retry) {
         return new PlacementRequest(
@@ -102,22 +105,22 @@
                 retry);
     }
 
-    /** Gives the request its result and notifies the owner. */
+    /** Completes the request with its result and notifies the owner. */
     void complete(long now, RequestEntry entry, RequestOutcome outcome, Consumer<Action> actions) {
         if (entry.isPending()) {
             pendingCount--;
         }
         settling.remove(entry);
-        entry.complete(notifications.ofResult(entry, outcome, false));
+        entry.complete(notifications.createResult(entry, outcome, false));
         if (outcome.result() != RequestResult.PLACED) {
-            retained.retain(now, entry);
+            retainedResults.retain(now, entry);
         }
         OwnedTask task = new OwnedTask(entry.owner(), entry.tenant(), entry.spec());
-        actions.accept(completed(entry, entry.requestId(), task, outcome));
+        actions.accept(completedAction(entry, entry.requestId(), task, outcome));
         deliver(entry.result(), actions);
     }
 
-    static RequestCompleted completed(
+    static RequestCompleted completedAction(
             RequestEntry entry, String requestId, OwnedTask task, RequestOutcome outcome) {
         return new RequestCompleted(
                 requestId,
@@ -130,14 +133,14 @@
                 outcome.reason());
     }
 
-    /** The placed task has terminated: notifies the owner. */
+    /** Records the termination of the placed task and notifies the owner. */
     void finish(
             long now,
             RequestEntry entry,
             String machine,
             TerminationCause cause,
             Consumer<Action> actions) {
-        entry.finish(notifications.ofTermination(entry, machine, cause, false));
+        entry.finish(notifications.createTermination(entry, machine, cause, false));
         actions.accept(
                 new TaskFinished(
                         entry.requestId(),
@@ -146,10 +149,10 @@
                         entry.idempotency(),
                         cause));
         deliver(entry.termination(), actions);
-        retained.retain(now, entry);
+        retainedResults.retain(now, entry);
     }
 
-    /** Nobody waits for what the policy makes of the request; it is to be completed next. */
+    /** Abandons the request at the policy. The caller completes the request next. */
     void abandon(RequestEntry entry, Consumer<Action> actions) {
         settling.remove(entry);
         if (entry.requestId() != null) {
@@ -158,18 +161,20 @@
     }
 
     // ---- notifications ----
-    /** Delivers the result, and the termination if there is one, again. */
+    /**
+     * Delivers the notification of the result again, and that of the termination if there is one.
+     */
     void repeatNotifications(RequestEntry entry, Consumer<Action> actions) {
-        ResultNotification result = repeat(entry.result(), actions);
-        entry.replaceNotifications(result, repeat(entry.termination(), actions));
+        ResultNotification result = deliverAgain(entry.result(), actions);
+        entry.replaceNotifications(result, deliverAgain(entry.termination(), actions));
     }
 
-    private ResultNotification repeat(ResultNotification original, Consumer<Action> actions) {
+    private ResultNotification deliverAgain(ResultNotification original, Consumer<Action> actions) {
         if (original == null) {
             return null;
         }
         notifications.discard(original);
-        ResultNotification repeated = notifications.repeated(original);
+        ResultNotification repeated = notifications.createRepeated(original);
         deliver(repeated, actions);
         return repeated;
     }
@@ -180,14 +185,16 @@
     }
 
     // ---- time ----
-    /** Dispatches deferred requests when they may be, and completes those that waited too long. */
+    /**
+     * Dispatches deferred requests that need not wait any more; fails those that waited too long.
+     */
     void tickDeferred(long now, Consumer<Action> actions) {
-        for (RequestEntry entry : settling.waiting()) {
+        for (RequestEntry entry : settling.deferredRequests()) {
             boolean awaitsProof = entry.state() == RequestState.AWAITING_PROOF;
             if (settling.isOver(now) && !awaitsProof) {
                 dispatchDeferred(now, entry, actions);
             } else if (now >= entry.deadlineMicros() - DEADLINE_GRACE_MICROS) {
-                // not REJECTED, which says that a retry is harmless: what ran is not known yet
+                // not REJECTED, after which a retry is harmless: whether the task ran is unknown
                 String reason =
                         awaitsProof
                                 ? RequestMessages.MAY_HAVE_RUN_MACHINE_ABSENT
@@ -197,7 +204,7 @@
         }
     }
 
-    /** Completes the requests that the policy has not completed in time. */
+    /** Abandons and fails the requests that the policy has not completed in time. */
     void tickDeadlines(long now, Consumer<Action> actions) {
         for (RequestEntry entry = deadlines.pollMissed(now);
                 entry != null;
@@ -209,42 +216,46 @@
 
     // ---- retention ----
     void retain(long now, RequestEntry entry) {
-        retained.retain(now, entry);
+        retainedResults.retain(now, entry);
     }
 
-    void release(RequestEntry entry) {
-        retained.release(entry);
+    void removeRetained(RequestEntry entry) {
+        retainedResults.remove(entry);
     }
 
-    /** Whether the result of the task was dropped early, so that it must not be started again. */
+    /**
+     * Returns whether the result of the task was dropped early, so that it must not start again.
+     */
     boolean wasDropped(long now, String taskKey) {
-        return dropped.contains(now, taskKey);
+        return droppedResults.contains(now, taskKey);
     }
 
-    /** Forgets results whose retention time is over, and the oldest where there are too many. */
+    /** Removes results whose retention time is over, and the oldest ones if there are too many. */
     void expireResults(long now) {
-        for (RequestEntry oldest = retained.oldest(); oldest != null; oldest = retained.oldest()) {
+        for (RequestEntry oldest = retainedResults.oldest();
+                oldest != null;
+                oldest = retainedResults.oldest()) {
             boolean expired = now >= oldest.expiresAtMicros();
             if (!expired && index.size() <= maxRetained) {
                 break;
             }
-            retained.release(oldest);
-            forget(oldest, expired);
+            retainedResults.remove(oldest);
+            remove(oldest, expired);
         }
-        dropped.removeExpired(now);
+        droppedResults.removeExpired(now);
     }
 
-    private void forget(RequestEntry entry, boolean expired) {
+    private void remove(RequestEntry entry, boolean expired) {
         index.remove(entry);
-        // not retained any longer, so not for an owner who subscribes later either
+        // an owner who subscribes later does not receive results that are no longer retained
         notifications.discard(entry.result());
         notifications.discard(entry.termination());
         if (!expired && entry.state() != RequestState.REJECTED) {
-            dropped.add(entry.key(), entry.expiresAtMicros());
+            droppedResults.add(entry.key(), entry.expiresAtMicros());
         }
     }
 
-    /** The number of accepted requests without a result. */
+    /** Returns the number of accepted requests without a result. */
     int pendingCount() {
         return pendingCount;
     }
--- a/decisions/src/main/java/thornferry/decisions/requests/RequestMessages.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/RequestMessages.java
@@ -3,8 +3,8 @@
 import thornferry.decisions.placement.Placement.OutcomeReason;
 
 /**
- * The sentences that clients receive as reasons and error messages. They go over the wire as they
- * are and clients may match them: they must not be changed.
+ * The sentences that clients receive as reasons of results and as error messages. They must not be
+ * changed, as clients may match them.
  */
 final class RequestMessages {
     // ---- reasons of results ----
@@ -60,11 +60,11 @@
         return "a task of class " + taskClass + " needs a key";
     }
 
-    static String differentShape(String task) {
+    static String taskSpecDiffers(String task) {
         return "task " + task + " is known with another shape";
     }
 
-    static String nothingToStop(String task) {
+    static String noTaskToStop(String task) {
         return "no task " + task + " of yours is in hand or placed";
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/requests/RequestOutcome.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/RequestOutcome.java
@@ -1,18 +1,18 @@
 package thornferry.decisions.requests;
 
 /**
- * How a request is completed.
+ * The outcome with which a request is completed.
  *
- * @param machine where the task is placed, empty for nowhere
+ * @param machine the machine where the task is placed, empty if it is not placed
  * @param reason a sentence for the owner, empty for none
- * @param retryAfterMicros with a rejection: how long the owner should wait before a retry
+ * @param retryAfterMicros with a rejection, the time that the owner should wait before a retry
  */
 record RequestOutcome(RequestResult result, String machine, String reason, long retryAfterMicros) {
     static RequestOutcome placed(String machine) {
         return new RequestOutcome(RequestResult.PLACED, machine, "", 0);
     }
 
-    /** The task was found to be placed already, by an earlier incarnation of the placer. */
+    /** Returns the outcome for a task that an earlier incarnation of the placer has placed. */
     static RequestOutcome placedEarlier(String machine) {
         return new RequestOutcome(RequestResult.PLACED, machine, RequestMessages.RAN_ALREADY, 0);
     }
--- a/decisions/src/main/java/thornferry/decisions/requests/RequestResult.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/RequestResult.java
@@ -6,6 +6,6 @@
     PLACED,
     /** The task has not been placed and has not run; a retry is harmless. */
     REJECTED,
-    /** The task has not been placed, and nothing is promised about whether it ran. */
+    /** The task has not been placed. It may have run. */
     FAILED
 }
--- a/decisions/src/main/java/thornferry/decisions/requests/RequestState.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/RequestState.java
@@ -1,60 +1,62 @@
 package thornferry.decisions.requests;
 
-/** The state of a request; {@link #canBecome} lists the allowed transitions. */
+/** The state of a request; {@link #canTransitionTo} lists the allowed transitions. */
 enum RequestState {
-    /** Being submitted or restored. */
+    /** The request is being submitted or restored. */
     NEW,
-    /** Accepted; waits after the start of the placer until machines have reported what runs. */
+    /**
+     * The request is accepted. After a start of the placer, it waits until machines have reported
+     * which tasks they have.
+     */
     SETTLING,
     /**
-     * Accepted; waits for proof that the task did or did not run in an earlier incarnation of the
-     * placer.
+     * The request is accepted. It waits for proof whether the task ran in an earlier incarnation of
+     * the placer.
      */
     AWAITING_PROOF,
-    /** Accepted, and given to the placement policy. */
+    /** The request is accepted and was given to the placement policy. */
     DISPATCHED,
-    /** Completed without a placement; the owner may retry. */
+    /** The request is completed without a placement, and the owner may retry. */
     REJECTED,
-    /** Completed without a placement, for good. */
+    /** The request is completed without a placement, and the result is final. */
     FAILED,
-    /** Completed: the task is placed. */
+    /** The request is completed: the task is placed. */
     PLACED,
     /**
-     * Completed by an earlier incarnation of the placer: the task was placed, and its machine has
-     * not yet confirmed that it has it.
+     * The request was completed by an earlier incarnation of the placer: the task was placed, and
+     * its machine has not confirmed yet that it has the task.
      */
     PLACED_UNCONFIRMED,
     /** The placed task has terminated. */
     FINISHED;
 
-    /** Whether the request has been accepted and has no result. */
+    /** Returns whether the request has been accepted and has no result. */
     boolean isPending() {
         return this == SETTLING || this == AWAITING_PROOF || this == DISPATCHED;
     }
 
-    /** Whether the transition to {@code next} is allowed. */
-    boolean canBecome(RequestState next) {
+    /** Returns whether the transition to {@code next} is allowed. */
+    boolean canTransitionTo(RequestState next) {
         return switch (this) {
             case NEW -> true;
-            case SETTLING -> next == DISPATCHED || next.isCompletion();
-            case AWAITING_PROOF -> next == SETTLING || next == DISPATCHED || next.isCompletion();
-            case DISPATCHED -> next.isCompletion();
-            // FINISHED: a machine reports the end of a task of this name from an earlier
-            // incarnation,
-            // with a class that is not configured any more
-            case REJECTED -> next.isPending() || next.isCompletion() || next == FINISHED;
+            case SETTLING -> next == DISPATCHED || next.hasResult();
+            case AWAITING_PROOF -> next == SETTLING || next == DISPATCHED || next.hasResult();
+            case DISPATCHED -> next.hasResult();
+            // FINISHED: a machine reports the end of a task of this id that an earlier incarnation
+            // offered, with a class that is no longer configured
+            case REJECTED -> next.isPending() || next.hasResult() || next == FINISHED;
             case FAILED -> false;
             case PLACED -> next == FINISHED;
             case PLACED_UNCONFIRMED -> next == PLACED || next == FINISHED;
-            case FINISHED -> next.isPending() || next.isCompletion();
+            case FINISHED -> next.isPending() || next.hasResult();
         };
     }
 
-    private boolean isCompletion() {
+    private boolean hasResult() {
         return this == REJECTED || this == FAILED || this == PLACED;
     }
 
-    /** The state of a request with this result. */
+    /** Returns the state of a request with this result. */
     static RequestState of(RequestResult result) {
         return switch (result) {
             case PLACED -> PLACED;
--- a/decisions/src/main/java/thornferry/decisions/requests/RequestSubmission.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/RequestSubmission.java
@@ -9,8 +9,8 @@
 import thornferry.decisions.requests.RequestTracker.RequestWaiting;
 
 /**
- * What becomes of a submitted request: an error, a retained result, an immediate result, or
- * acceptance.
+ * Decides how a submitted request is answered: with an error, with a retained result, with an
+ * immediate result, or by accepting it.
  */
 final class RequestSubmission {
     private final Limits limits;
@@ -19,7 +19,7 @@
     private final RequestLifecycle lifecycle;
     private final StartupSettling settling;
     private final RetryBackoff backoff;
-    private String unavailableReason = ""; // empty while durable records can be written
+    private String unavailableReason = ""; // empty while journal records can be written
 
     RequestSubmission(
             Limits limits,
@@ -56,17 +56,17 @@
                 lifecycle.complete(now, entry, failed, actions);
                 return;
             }
-        } else if (!entry.spec().sameShape(spec)) {
-            throw new InvalidRequestException(RequestMessages.differentShape(spec.id()));
+        } else if (!entry.spec().describesSameTask(spec)) {
+            throw new InvalidRequestException(RequestMessages.taskSpecDiffers(spec.id()));
         } else if (!entry.mayBeResubmitted()) {
             if (!entry.isPending()) {
                 lifecycle.repeatNotifications(entry, actions);
             }
             return;
         }
-        lifecycle.supersede(entry);
+        lifecycle.discardPrevious(entry);
         entry.submit(spec, now + maxWaitMicros(spec, taskClass));
-        start(now, entry, task.tenant(), uncertainty, actions);
+        acceptOrComplete(now, entry, task.tenant(), uncertainty, actions);
     }
 
     private long maxWaitMicros(TaskSpec spec, TaskClass taskClass) {
@@ -75,18 +75,18 @@
         return Math.min(limits.maxWaitMicros(), requestedMicros);
     }
 
-    private void start(
+    private void acceptOrComplete(
             long now,
             RequestEntry entry,
             String tenant,
             Uncertainty uncertainty,
             Consumer<Action> actions) {
         boolean awaitsProof = uncertainty == Uncertainty.PENDING_PROOF;
-        // without the wait a task could start twice: after a restart of the placer it may be
-        // running, and its machine reports that soon
-        boolean settles =
+        // after a restart of the placer, the task may be running on a machine that has not
+        // reported it yet; without this wait it could start twice
+        boolean mustSettle =
                 !settling.isOver(now) && entry.idempotency() == Idempotency.NON_IDEMPOTENT;
-        boolean deferred = awaitsProof || settles;
+        boolean deferred = awaitsProof || mustSettle;
         actions.accept(
                 new RequestWaiting(
                         entry.owner(),
@@ -95,9 +95,9 @@
                         entry.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY,
                         deferred,
                         awaitsProof));
-        Optional<RequestOutcome> immediate = immediateOutcome(entry, uncertainty);
-        if (immediate.isPresent()) {
-            lifecycle.complete(now, entry, immediate.get(), actions);
+        Optional<RequestOutcome> immediateOutcome = immediateOutcome(entry, uncertainty);
+        if (immediateOutcome.isPresent()) {
+            lifecycle.complete(now, entry, immediateOutcome.get(), actions);
         } else if (deferred) {
             lifecycle.defer(entry, awaitsProof);
         } else {
@@ -105,7 +105,7 @@
         }
     }
 
-    /** The outcome of a request that is not accepted. */
+    /** Returns the outcome of a request that cannot be accepted, or empty if it can. */
     private Optional<RequestOutcome> immediateOutcome(RequestEntry entry, Uncertainty uncertainty) {
         if (lifecycle.pendingCount() >= limits.maxPending()) {
             String reason = RequestMessages.tooManyPending(limits.maxPending());
--- a/decisions/src/main/java/thornferry/decisions/requests/RequestTracker.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/RequestTracker.java
@@ -9,33 +9,35 @@
 import thornferry.decisions.placement.Placement.TaskClass;
 
 /**
- * One result for each request: takes requests of owners, gives them to the placement policy, and
- * notifies owners.
+ * Tracks the placement requests of owners. Each request is given to the placement policy and has
+ * exactly one result, of which its owner is notified.
  *
- * <p>A task is identified by its owner and the owner's own name for it, so that owners cannot
- * conflict by accident or learn of each other's tasks. A repeated request has no effect while the
- * first is pending; after {@code PLACED} or {@code FAILED} it is given the retained result; after
- * {@code REJECTED}, which says that a retry is harmless, it is a new request. A notification that
- * cannot be delivered waits until its owner subscribes.
+ * <p>A task is identified by its owner and the id that the owner gave it, so that the tasks of
+ * different owners cannot be confused and owners cannot learn of each other's tasks. A repeated
+ * request has no effect while the first is pending. After {@code PLACED} or {@code FAILED}, it
+ * receives the retained result. After {@code REJECTED}, which means that a retry is harmless, it is
+ * a new request. A notification that cannot be delivered waits until its owner subscribes.
  *
  * <p>All times are microseconds of the caller's clock; the class does no I/O. Methods ignore
- * request ids that are unknown or have their result already, as events may arrive late.
+ * request ids that are unknown or whose request already has its result, as events may arrive late.
  */
 public final class RequestTracker {
     /**
      * The limits of requests.
      *
-     * @param maxPending tasks without a result at once; beyond it a request is rejected
-     * @param maxRetained results and running tasks retained at once; beyond it the oldest results
-     *     are dropped
-     * @param retentionMicros how long a result is retained after the task has its result or, once
-     *     placed, has terminated
-     * @param maxWaitMicros the maximum wait of a request for its result; a longer one is reduced
-     * @param settleMicros after the start, requests for non-idempotent tasks wait so long for
-     *     machines to report what runs and ran; 0 where a complete journal says what earlier
-     *     incarnations offered
-     * @param minRetryAfterMicros the first retry-after of rejections; doubles with each rejection
-     *     of the same task
+     * @param maxPending the maximum number of accepted requests without a result; beyond it,
+     *     requests are rejected
+     * @param maxRetained the maximum number of known tasks, with or without a result; beyond it,
+     *     the oldest retained results are dropped
+     * @param retentionMicros the time for which a result is retained, from the result or, for a
+     *     placed task, from its termination
+     * @param maxWaitMicros the maximum wait of a request for its result; a longer wait is reduced
+     *     to this
+     * @param settleMicros the settling time after the start, in which requests for non-idempotent
+     *     tasks wait for machines to report their running and ended tasks; 0 if a complete journal
+     *     records what earlier incarnations offered
+     * @param minRetryAfterMicros the first backoff of a task after a rejection; doubles with each
+     *     further dispatch of the task
      * @param maxRetryAfterMicros the maximum retry-after
      */
     public record Limits(
@@ -59,11 +61,11 @@
         private static void requireAtLeast(long min, String field, long value) {
             if (value < min) {
                 throw new IllegalArgumentException(
-                        "request limit " + field + " must be at least " + min + ": " + value);
+                        "request limit " + field + " must be at least " + min + ", is " + value);
             }
         }
 
-        /** The same limits without the wait after the start. */
+        /** Returns the same limits without the settling time after the start. */
         public Limits withoutSettling() {
             return new Limits(
                     maxPending,
@@ -76,15 +78,16 @@
         }
     }
 
-    /** What the caller is to do; actions are to be carried out in the order in which they come. */
+    /** An action for the caller, to be carried out in the order of receipt. */
     public sealed interface Action {}
 
     /**
-     * A request was submitted and is considered.
+     * A request was submitted. Its result, or its dispatch, may follow at once.
      *
-     * @param keyed whether the task is idempotent by its key
-     * @param settling whether it waits for machines to report what runs and ran
-     * @param uncertain whether it waits because the task may have run in an earlier incarnation
+     * @param keyed whether the task is idempotent with a key
+     * @param settling whether the request is deferred, for the settling time or for proof
+     * @param uncertain whether the request waits for proof, as the task may have run in an earlier
+     *     incarnation
      */
     public record RequestWaiting(
             String owner,
@@ -96,9 +99,9 @@
             implements Action {}
 
     /**
-     * Put the request into the admission queue.
+     * Puts the request into the admission queue.
      *
-     * @param deadlineMicros it is to be placed before then
+     * @param deadlineMicros the time by which the task must be placed
      * @param rejectedBy the machine that last rejected the task, empty for none
      */
     public record Dispatch(
@@ -111,9 +114,9 @@
             implements Action {}
 
     /**
-     * The request has its result; comes before its {@link Notify}.
+     * The request has its result. This action precedes the {@link Notify} action for it.
      *
-     * @param requestId null where the request was never dispatched
+     * @param requestId the id of the request, null if it was never dispatched
      */
     public record RequestCompleted(
             String requestId,
@@ -127,9 +130,9 @@
             implements Action {}
 
     /**
-     * The placed task has terminated; comes before its {@link Notify}.
+     * The placed task has terminated. This action precedes the {@link Notify} action for it.
      *
-     * @param requestId null where this incarnation of the placer did not track the task
+     * @param requestId the id of the request, null if this incarnation did not track the task
      */
     public record TaskFinished(
             String requestId,
@@ -139,14 +142,16 @@
             TerminationCause terminationCause)
             implements Action {}
 
-    /** Notify the owner; {@link #delivered} is to be called once that is done. */
+    /** Notifies the owner. The caller calls {@link #delivered} once the owner has received it. */
     public record Notify(ResultNotification notification) implements Action {}
 
-    /** Nobody waits for the request: notify the policy, and cancel its attempt if there is one. */
+    /**
+     * Notifies the policy that the request is abandoned, and cancels its attempt if there is one.
+     */
     public record Abandon(String requestId, TerminationCause terminationCause) implements Action {}
 
     /**
-     * What is needed of a request to offer it to a machine.
+     * The details of a request that an offer to a machine contains.
      *
      * @param attempt the number of the offer, from 0
      */
@@ -161,9 +166,9 @@
     private final RecoveredTasks recoveredTasks;
 
     /**
-     * Starts without any request.
+     * Creates a tracker without requests.
      *
-     * @param seed for the jitter of retry-after
+     * @param seed the seed of the random jitter of retry-after
      */
     public RequestTracker(Limits limits, List<TaskClass> classes, long seed, long now) {
         RequestValidator validator = new RequestValidator(classes);
@@ -179,8 +184,9 @@
 
     // ---- requests of owners ----
     /**
-     * The same as {@link #submit(long, String, String, TaskSpec, Uncertainty, Consumer)} for a task
-     * that no earlier incarnation can have started.
+     * Submits a request for a task that no earlier incarnation can have started.
+     *
+     * @see #submit(long, String, String, TaskSpec, Uncertainty, Consumer)
      */
     public void submit(
             long now, String owner, String tenant, TaskSpec spec, Consumer<Action> actions)
@@ -189,12 +195,13 @@
     }
 
     /**
-     * An owner requests a task. Once this returns, the request has its result or will have it.
+     * Submits the request of an owner for a task. Once this method returns, the request has its
+     * result or will have it.
      *
      * @param uncertainty whether the task may have run in an earlier incarnation of this placer; a
      *     request that awaits proof waits for {@link #provenNotRun}, {@link #finishedEarlier},
      *     {@link #adopt} or {@link #mayHaveRun}, and fails at its deadline
-     * @throws InvalidRequestException if it cannot be accepted; nothing has changed then
+     * @throws InvalidRequestException if the request is invalid; it then has no effect
      */
     public void submit(
             long now,
@@ -209,7 +216,7 @@
     }
 
     /**
-     * An owner stops a task: a pending request fails, a placed task is cancelled.
+     * Stops a task of an owner: a pending request fails, a placed task is cancelled.
      *
      * @throws InvalidRequestException if the owner has no such task that is pending or placed
      */
@@ -225,26 +232,27 @@
             }
             case PLACED, PLACED_UNCONFIRMED ->
                     actions.accept(new Abandon(entry.requestId(), TerminationCause.STOPPED));
-            default -> throw new InvalidRequestException(RequestMessages.nothingToStop(task));
+            default -> throw new InvalidRequestException(RequestMessages.noTaskToStop(task));
         }
     }
 
     /**
-     * Requests for tasks that are not idempotent are rejected with this reason from now on, as no
-     * durable record can be written for them; empty to accept them again.
+     * Rejects requests for tasks that are non-idempotent or idempotent with a key from now on, with
+     * this reason, because no journal record can be written for them. An empty reason accepts them
+     * again.
      */
     public void setUnavailable(String reason) {
         submission.setUnavailable(reason);
     }
 
     // ---- results ----
-    /** The details for the next offer of the request, or null where it is not pending any more. */
+    /** Returns the details of the next offer, or null if the request is not pending any more. */
     public OfferDetails nextOffer(String requestId) {
         RequestEntry entry = findPending(requestId);
         return entry == null ? null : entry.nextOffer();
     }
 
-    /** A machine rejected an offer; retained as the reason of a result that may follow. */
+    /** Records that a machine rejected an offer, which may become the reason of the result. */
     public void offerRejected(String requestId, String machine, OutcomeReason reason) {
         RequestEntry entry = index.findByRequestId(requestId);
         if (entry != null) {
@@ -253,10 +261,11 @@
     }
 
     /**
-     * The policy rejects the request, which may be retried.
+     * Rejects a request by decision of the policy; the owner may retry.
      *
-     * @param retryAfterMicros how long the owner should wait before that, 0 for the usual backoff
-     * @param reason a sentence for the owner, empty where not known
+     * @param retryAfterMicros how long the owner should wait before a retry, 0 for the usual
+     *     backoff
+     * @param reason a sentence for the owner, empty if not known
      */
     public void rejected(
             long now,
@@ -278,8 +287,8 @@
     }
 
     /**
-     * The admission queue sheds the request, which may be retried after {@code retryAfterMicros},
-     * or after its backoff if that is longer.
+     * Rejects a request that the admission queue sheds. The owner may retry after {@code
+     * retryAfterMicros}, or after the backoff of the task if that is longer.
      */
     public void shed(
             long now,
@@ -295,7 +304,7 @@
         }
     }
 
-    /** The request failed, by the policy's decision or a fault; the task may have run. */
+    /** Fails a request, by decision of the policy or after a fault; the task may have run. */
     public void failed(long now, String requestId, String reason, Consumer<Action> actions) {
         RequestEntry entry = findPending(requestId);
         if (entry != null) {
@@ -305,7 +314,7 @@
         }
     }
 
-    /** A machine accepted the task. */
+    /** Completes a request whose task a machine accepted. */
     public void placed(long now, String requestId, String machine, Consumer<Action> actions) {
         RequestEntry entry = findPending(requestId);
         if (entry != null) {
@@ -313,7 +322,7 @@
         }
     }
 
-    /** A placed task has terminated. */
+    /** Records the termination of a placed task. */
     public void finished(
             long now,
             String requestId,
@@ -331,7 +340,7 @@
         return entry == null || !entry.isPending() ? null : entry;
     }
 
-    /** Whose request it is, and for which task; null where it is not known. */
+    /** Returns the owner and the task of a request, or null if the request is not known. */
     public OfferDetails offerDetails(String requestId) {
         RequestEntry entry = index.findByRequestId(requestId);
         return entry == null ? null : entry.offerDetails();
@@ -339,7 +348,7 @@
 
     // ---- tasks of earlier incarnations ----
     /**
-     * Retains a result of an earlier incarnation as if it were of this one.
+     * Retains a result that an earlier incarnation gave.
      *
      * @param cause how the placed task terminated, or null where it may still run
      */
@@ -353,17 +362,20 @@
         recoveredTasks.restore(now, task, new RequestOutcome(result, machine, reason, 0), cause);
     }
 
-    /** It is proven that no attempt of an earlier incarnation ran: a waiting request goes on. */
+    /**
+     * Records proof that no attempt of an earlier incarnation ran, so that a request for the task
+     * need not wait for it.
+     */
     public void provenNotRun(long now, String owner, String task, Consumer<Action> actions) {
         recoveredTasks.provenNotRun(now, TaskKey.of(owner, task), actions);
     }
 
     /**
-     * An earlier incarnation placed the task on this machine, and it has terminated: this completes
-     * a request that waits for it.
+     * Records that an earlier incarnation placed the task on this machine and that the task has
+     * terminated. This completes a request that waits for the task.
      *
-     * @param alreadyNotified its owner may have been notified before: where no request waits, it is
-     *     retained without a notification
+     * @param alreadyNotified whether the owner may have been notified before; if so, and no request
+     *     waits for the task, its termination is retained without a notification
      */
     public void finishedEarlier(
             long now,
@@ -376,8 +388,8 @@
     }
 
     /**
-     * An earlier incarnation started the task, or may have, and nothing can prove more: a request
-     * that waits for it fails with this reason.
+     * Records that an earlier incarnation started the task or may have started it, and that no more
+     * can be proven. A request that waits for the task fails with this reason.
      */
     public void mayHaveRun(
             long now,
@@ -390,8 +402,8 @@
     }
 
     /**
-     * The machine that may have run the task cannot prove any more whether it did: a request that
-     * waits for that proof fails. Nothing happens where none does.
+     * Records that the machine that may have run the task can no longer prove whether it did. A
+     * request that waits for this proof fails; otherwise, nothing changes.
      */
     public void becameIndeterminate(
             long now, String owner, String task, String machine, Consumer<Action> actions) {
@@ -399,12 +411,11 @@
     }
 
     /**
-     * A task of an earlier incarnation of this placer was found on a machine: it belongs to this
-     * owner and is placed. A request that was submitted for it meanwhile is abandoned, and
-     * completed by this.
+     * Adopts a task of an earlier incarnation of this placer that a machine has. A request that was
+     * submitted for the task in the meantime is abandoned at the policy and completed as placed.
      *
-     * @return the request under which the policy is to track it, or null where the task already
-     *     runs elsewhere and this copy must be cancelled
+     * @return the request under which the policy tracks the task, or null if the task must not be
+     *     adopted and this copy must be cancelled, for example because it runs on another machine
      */
     public PlacementRequest adopt(
             long now,
@@ -417,18 +428,21 @@
     }
 
     // ---- notifications ----
-    /** The owner has received the notification. */
+    /** Records that the owner has received the notification. */
     public void delivered(String owner, long sequence) {
         notifications.delivered(owner, sequence);
     }
 
-    /** The notifications that the owner has not received, oldest first: for a new subscription. */
+    /** Returns the notifications that the owner has not received, oldest first. */
     public List<ResultNotification> undelivered(String owner) {
         return notifications.undelivered(owner);
     }
 
     // ---- time ----
-    /** Lets time pass; to be called several times a second. */
+    /**
+     * Dispatches deferred requests, fails requests that are late, and removes expired results. To
+     * be called several times a second.
+     */
     public void tick(long now, Consumer<Action> actions) {
         settling.observe(now);
         lifecycle.tickDeferred(now, actions);
@@ -437,12 +451,12 @@
     }
 
     // ---- queries ----
-    /** The number of accepted requests without a result. */
+    /** Returns the number of accepted requests without a result. */
     public int pendingCount() {
         return lifecycle.pendingCount();
     }
 
-    /** The number of tasks that are known: pending, running, or with a retained result. */
+    /** Returns the number of known tasks: pending, placed, or with a retained result. */
     public int taskCount() {
         return index.size();
     }
--- a/decisions/src/main/java/thornferry/decisions/requests/RequestValidator.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/RequestValidator.java
@@ -6,25 +6,31 @@
 import thornferry.decisions.placement.Placement.Idempotency;
 import thornferry.decisions.placement.Placement.TaskClass;
 
-/** Which requests are acceptable, given the configured task classes. */
+/**
+ * Checks requests of clients against the limits of their fields and the configured task classes.
+ */
 final class RequestValidator {
     private static final int MAX_NAME_CHARACTERS = 128;
 
-    /** Of cores and of memory, in their own units: far beyond any machine. */
+    /** The maximum of cores and of memory, each in its own unit; far more than any machine has. */
     private static final double MAX_RESOURCE_AMOUNT = 1e9;
 
-    private final Map<String, TaskClass> classes = new HashMap<>();
+    private final Map<String, TaskClass> classesByName = new HashMap<>();
 
     RequestValidator(List<TaskClass> classes) {
-        classes.forEach(taskClass -> this.classes.put(taskClass.name(), taskClass));
+        classes.forEach(taskClass -> this.classesByName.put(taskClass.name(), taskClass));
     }
 
-    /** The class of a task, or null where it is not configured (any more). */
+    /** Returns the class of a task, or null if it is not configured or no longer configured. */
     TaskClass classOf(TaskSpec spec) {
-        return classes.get(spec.taskClass());
+        return classesByName.get(spec.taskClass());
     }
 
-    /** Checks the request of a client and returns the class of the task. */
+    /**
+     * Checks the request of a client and returns the class of the task.
+     *
+     * @throws InvalidRequestException if the request is invalid
+     */
     TaskClass validate(TaskSpec spec) throws InvalidRequestException {
         require(isName(spec.id()), RequestMessages.INVALID_ID);
         TaskClass taskClass = requireClass(spec);
@@ -48,11 +54,12 @@
     private TaskClass requireClass(TaskSpec spec) throws InvalidRequestException {
         TaskClass taskClass = classOf(spec);
         if (taskClass == null) {
-            String known = String.join(", ", classes.keySet().stream().sorted().toList());
+            String knownClasses =
+                    String.join(", ", classesByName.keySet().stream().sorted().toList());
             throw new InvalidRequestException(
                     spec.taskClass().isEmpty()
-                            ? RequestMessages.missingTaskClass(known)
-                            : RequestMessages.unknownTaskClass(spec.taskClass(), known));
+                            ? RequestMessages.missingTaskClass(knownClasses)
+                            : RequestMessages.unknownTaskClass(spec.taskClass(), knownClasses));
         }
         return taskClass;
     }
@@ -61,7 +68,7 @@
         return !text.isEmpty() && text.length() <= MAX_NAME_CHARACTERS;
     }
 
-    /** False for NaN too. */
+    /** Returns whether the amount is within the limits. NaN is not. */
     private static boolean isResourceAmount(double amount) {
         return amount > 0 && amount <= MAX_RESOURCE_AMOUNT;
     }
--- a/decisions/src/main/java/thornferry/decisions/requests/RetainedResults.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/RetainedResults.java
@@ -3,12 +3,12 @@
 import java.util.LinkedHashMap;
 
 /**
- * The completed requests whose results are retained for repeated requests, oldest first. A placed
- * task joins them when it has terminated.
+ * The completed requests whose results are retained for repeated requests, oldest first. The
+ * request for a placed task is added when the task has terminated.
  */
 final class RetainedResults {
     private final long retentionMicros;
-    private final LinkedHashMap<String, RequestEntry> byTask = new LinkedHashMap<>();
+    private final LinkedHashMap<String, RequestEntry> byTaskKey = new LinkedHashMap<>();
 
     RetainedResults(long retentionMicros) {
         this.retentionMicros = retentionMicros;
@@ -17,16 +17,16 @@
     /** Retains the entry for the retention time from now. */
     void retain(long now, RequestEntry entry) {
         entry.expireAt(now + retentionMicros);
-        byTask.remove(entry.key());
-        byTask.put(entry.key(), entry);
+        byTaskKey.remove(entry.key());
+        byTaskKey.put(entry.key(), entry);
     }
 
-    void release(RequestEntry entry) {
-        byTask.remove(entry.key());
+    void remove(RequestEntry entry) {
+        byTaskKey.remove(entry.key());
     }
 
-    /** The entry that expires first, or null for none. */
+    /** Returns the entry that expires first, or null if there is none. */
     RequestEntry oldest() {
-        return byTask.isEmpty() ? null : byTask.values().iterator().next();
+        return byTaskKey.isEmpty() ? null : byTaskKey.values().iterator().next();
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/requests/RetryBackoff.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/RetryBackoff.java
@@ -2,9 +2,9 @@
 
 import java.util.SplittableRandom;
 
-/** The retry-after of rejections: exponential backoff by task, with jitter. */
+/** Computes the retry-after of rejections: an exponential backoff for each task, with jitter. */
 final class RetryBackoff {
-    /** Keeps the doubling clear of an overflow. */
+    /** The maximum number of doublings, which prevents an overflow. */
     private static final int MAX_DOUBLINGS = 20;
 
     private final long minMicros;
@@ -18,10 +18,11 @@
     }
 
     /**
-     * Draws the delay for a task: between half of its backoff and all of it, so that owners
-     * rejected together do not retry together.
+     * Draws the delay for a task between half of its backoff and all of it, so that owners that are
+     * rejected at the same time do not retry at the same time.
      *
-     * @param dispatchCount how often the task was dispatched; the backoff doubles with each
+     * @param dispatchCount how often the task was dispatched; each dispatch after the first doubles
+     *     the backoff
      */
     private long drawMicros(int dispatchCount) {
         int doublings = Math.min(MAX_DOUBLINGS, Math.max(0, dispatchCount - 1));
@@ -29,12 +30,12 @@
         return backoffMicros / 2 + (long) (random.nextDouble() * backoffMicros / 2);
     }
 
-    /** A rejection with the delay drawn for the task. */
+    /** Returns a rejection with a delay drawn for the task. */
     RequestOutcome rejection(RequestEntry entry, String reason) {
         return RequestOutcome.rejected(reason, drawMicros(entry.dispatchCount()));
     }
 
-    /** The delay for a task, or a longer one that is required; bounded. */
+    /** Returns the longer of the required delay and one drawn for the task, up to the maximum. */
     long drawAtLeastMicros(long requiredMicros, int dispatchCount) {
         return bounded(Math.max(requiredMicros, drawMicros(dispatchCount)));
     }
--- a/decisions/src/main/java/thornferry/decisions/requests/StartupSettling.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/StartupSettling.java
@@ -4,18 +4,19 @@
 import java.util.List;
 
 /**
- * The time after the start of the placer in which requests for non-idempotent tasks wait, because a
- * task may be running already and its machine has not reported it yet; and all requests that wait
- * before they are dispatched, for this or for proof.
+ * The settling time after the start of the placer, and the deferred requests. During the settling
+ * time, requests for non-idempotent tasks wait, because such a task may be running on a machine
+ * that has not reported it yet. Deferred requests wait for the end of this time, or for proof
+ * whether their task ran.
  */
 final class StartupSettling {
     /**
-     * After such a gap between two calls the process was not running, and no machine could have
-     * reported meanwhile.
+     * The maximum time between two calls of {@link #observe} of a running process. During a longer
+     * gap the process was not running, so that no machine could report to it.
      */
     private static final long MAX_TICK_GAP_MICROS = 200_000;
 
-    private final List<RequestEntry> waiting = new ArrayList<>();
+    private final List<RequestEntry> deferred = new ArrayList<>();
     private long endsAtMicros;
     private long lastObservedMicros;
 
@@ -25,8 +26,8 @@
     }
 
     /**
-     * To be called with each event. Prolongs the time by gaps; without this, a start so slow that
-     * the time is over before any machine could connect would not wait for any.
+     * Prolongs the settling time by a gap since the last call; to be called with each event.
+     * Otherwise the settling time could end during a slow start, before any machine could connect.
      */
     void observe(long now) {
         long gapMicros = now - lastObservedMicros;
@@ -41,15 +42,15 @@
     }
 
     void add(RequestEntry entry) {
-        waiting.add(entry);
+        deferred.add(entry);
     }
 
     void remove(RequestEntry entry) {
-        waiting.remove(entry);
+        deferred.remove(entry);
     }
 
-    /** A copy: entries may be removed while a caller iterates over it. */
-    List<RequestEntry> waiting() {
-        return waiting.isEmpty() ? List.of() : new ArrayList<>(waiting);
+    /** Returns a copy, as entries may be removed while a caller iterates over it. */
+    List<RequestEntry> deferredRequests() {
+        return deferred.isEmpty() ? List.of() : new ArrayList<>(deferred);
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/requests/TaskSpec.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/TaskSpec.java
@@ -5,11 +5,12 @@
  *
  * @param id the owner's own name for the task
  * @param taskClass the name of a configured task class
- * @param idempotencyKey empty for none
+ * @param service the service that the task belongs to
+ * @param idempotencyKey the key of a task that is idempotent with a key, empty for none
  * @param cores the cores to reserve
  * @param memory the memory to reserve, in the unit of the machines' registrations
- * @param maxWaitMicros how long the owner waits for a result, or null for the default of the class
- * @param expectedRunMicros how long the task is expected to run, 0 where unknown
+ * @param maxWaitMicros how long the owner waits for a result, or null for the deadline of the class
+ * @param expectedRunMicros how long the task is expected to run, 0 if unknown
  */
 public record TaskSpec(
         String id,
@@ -20,8 +21,11 @@
         double memory,
         Long maxWaitMicros,
         long expectedRunMicros) {
-    /** Whether both describe the same task: the times may differ between requests for it. */
-    boolean sameShape(TaskSpec other) {
+    /**
+     * Returns whether both describe the same task. The times are not compared, as they may differ
+     * between requests for the same task.
+     */
+    boolean describesSameTask(TaskSpec other) {
         return id.equals(other.id)
                 && taskClass.equals(other.taskClass)
                 && service.equals(other.service)
--- a/decisions/src/main/java/thornferry/decisions/requests/Uncertainty.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/Uncertainty.java
@@ -1,11 +1,11 @@
 package thornferry.decisions.requests;
 
-/** Whether a requested task may have run in an earlier incarnation of the placer. */
+/** The possibility that a requested task has run in an earlier incarnation of the placer. */
 public enum Uncertainty {
-    /** It cannot have run. */
+    /** The task cannot have run. */
     NONE,
-    /** It may have run, and machines may still prove that it did or did not: the request waits. */
+    /** The task may have run, and machines may still prove whether it did: the request waits. */
     PENDING_PROOF,
-    /** It may have run, and nothing can prove any more that it did not: the request fails. */
+    /** The task may have run, and it can no longer be proven that it did not: the request fails. */
     MAY_HAVE_RUN
 }
--- a/decisions/src/test/java/thornferry/decisions/PackageDependencyTest.java
+++ b/decisions/src/test/java/thornferry/decisions/PackageDependencyTest.java
@@ -9,8 +9,8 @@
 import com.tngtech.archunit.lang.ArchRule;
 
 /**
- * The decisions can be replayed: they do no I/O, read no clock and draw random numbers only from a
- * seed.
+ * Guards the rules that make the decisions reproducible in a replay: the code does no I/O, reads no
+ * clock and draws random numbers only from a seed.
  */
 @AnalyzeClasses(
         packages = "thornferry.decisions",
--- a/decisions/src/test/java/thornferry/decisions/requests/RequestTrackerTest.java
+++ b/decisions/src/test/java/thornferry/decisions/requests/RequestTrackerTest.java
@@ -14,6 +14,10 @@
 import thornferry.decisions.requests.RequestTracker.Dispatch;
 import thornferry.decisions.requests.RequestTracker.Notify;
 
+/**
+ * Guards against a request that gets no result or more than one, a task that starts twice because
+ * its request was repeated, and results or notifications that accumulate without bound.
+ */
 class RequestTrackerTest {
     private static final long MS = 1_000;
     private static final long SECOND = 1_000_000;
@@ -25,13 +29,13 @@
 
     private final List<Action> actions = new ArrayList<>();
     private long now = 1_000 * SECOND;
-    private RequestTracker requests = settledTracker();
+    private RequestTracker tracker = settledTracker();
 
     private RequestTracker newTracker() {
         return new RequestTracker(LIMITS, new PolicyFixtures().classes, SEED, now);
     }
 
-    /** A tracker well after its start, when nothing settles any more. */
+    /** Returns a tracker whose settling time after the start is over. */
     private RequestTracker settledTracker() {
         RequestTracker tracker = newTracker();
         now += 10 * SECOND;
@@ -48,7 +52,7 @@
 
     private List<Action> submit(String owner, TaskSpec spec) throws InvalidRequestException {
         actions.clear();
-        requests.submit(now, owner, "", spec, actions::add);
+        tracker.submit(now, owner, "", spec, actions::add);
         return List.copyOf(actions);
     }
 
@@ -58,75 +62,74 @@
         return List.copyOf(actions);
     }
 
-    private static String dispatchedId(List<Action> taken) {
-        return taken.stream()
+    private static String dispatchedRequestId(List<Action> emittedActions) {
+        return emittedActions.stream()
                 .filter(Dispatch.class::isInstance)
                 .map(action -> ((Dispatch) action).request().id())
                 .findFirst()
                 .orElse(null);
     }
 
-    private static Dispatch dispatch(List<Action> taken) {
-        return taken.stream()
+    private static Dispatch dispatchIn(List<Action> emittedActions) {
+        return emittedActions.stream()
                 .filter(Dispatch.class::isInstance)
                 .map(Dispatch.class::cast)
                 .findFirst()
                 .orElseThrow();
     }
 
-    private static List<ResultNotification> notifications(List<Action> taken) {
-        return taken.stream()
+    private static List<ResultNotification> notifications(List<Action> emittedActions) {
+        return emittedActions.stream()
                 .filter(Notify.class::isInstance)
                 .map(action -> ((Notify) action).notification())
                 .toList();
     }
 
-    private static ResultNotification onlyNotification(List<Action> taken) {
-        assertThat(notifications(taken)).hasSize(1);
-        return notifications(taken).get(0);
+    private static ResultNotification onlyNotification(List<Action> emittedActions) {
+        assertThat(notifications(emittedActions)).hasSize(1);
+        return notifications(emittedActions).get(0);
     }
 
     @Test
     void repeatedRequestHasNoEffectWhilePending() throws InvalidRequestException {
-        String requestId = dispatchedId(submit("o", spec("t", "safe")));
+        String requestId = dispatchedRequestId(submit("o", spec("t", "safe")));
         assertThat(submit("o", spec("t", "safe"))).isEmpty();
         ResultNotification notification =
                 onlyNotification(
-                        actionsOf(() -> requests.placed(now, requestId, "n", actions::add)));
+                        actionsOf(() -> tracker.placed(now, requestId, "n", actions::add)));
         assertThat(notification.result()).isEqualTo(RequestResult.PLACED);
         assertThat(notification.machine()).isEqualTo("n");
     }
 
     @Test
     void repeatedRequestAfterPlacementGetsRetainedResult() throws InvalidRequestException {
-        String requestId = dispatchedId(submit("o", spec("t", "unsafe")));
-        requests.placed(now, requestId, "n", actions::add);
-        List<Action> taken = submit("o", spec("t", "unsafe"));
-        assertThat(dispatchedId(taken)).isNull();
-        assertThat(onlyNotification(taken).repeated()).isTrue();
-        assertThat(onlyNotification(taken).result()).isEqualTo(RequestResult.PLACED);
+        String requestId = dispatchedRequestId(submit("o", spec("t", "unsafe")));
+        tracker.placed(now, requestId, "n", actions::add);
+        List<Action> emittedActions = submit("o", spec("t", "unsafe"));
+        assertThat(dispatchedRequestId(emittedActions)).isNull();
+        assertThat(onlyNotification(emittedActions).repeated()).isTrue();
+        assertThat(onlyNotification(emittedActions).result()).isEqualTo(RequestResult.PLACED);
     }
 
     @Test
     void retryAfterRejectionIsDispatchedAgainWithGrowingBackoff() throws InvalidRequestException {
-        long formerMicros = 0;
+        long previousRetryAfterMicros = 0;
         for (int i = 0; i < 4; i++) {
-            String requestId = dispatchedId(submit("o", spec("t", "safe")));
+            String requestId = dispatchedRequestId(submit("o", spec("t", "safe")));
             assertThat(requestId).isNotNull();
             ResultNotification rejection =
                     onlyNotification(
-                            actionsOf(
-                                    () -> requests.rejected(now, requestId, 0, "", actions::add)));
+                            actionsOf(() -> tracker.rejected(now, requestId, 0, "", actions::add)));
             long backoffMicros = Math.min(8 * SECOND, SECOND << i);
             assertThat(rejection.retryAfterMicros())
                     .isBetween(backoffMicros / 2, backoffMicros)
-                    .isGreaterThan(formerMicros / 2);
-            formerMicros = rejection.retryAfterMicros();
+                    .isGreaterThan(previousRetryAfterMicros / 2);
+            previousRetryAfterMicros = rejection.retryAfterMicros();
         }
     }
 
     @Test
-    void rejectsDifferentShapeUnderSameId() throws InvalidRequestException {
+    void requestForDifferentTaskUnderSameIdIsInvalid() throws InvalidRequestException {
         submit("o", spec("t", "safe"));
         assertThatThrownBy(
                         () -> submit("o", new TaskSpec("t", "safe", "service", "", 9, 2, null, 0)))
@@ -138,86 +141,91 @@
 
     @Test
     void ownersMayUseTheSameTaskIdIndependently() throws InvalidRequestException {
-        String firstId = dispatchedId(submit("o", spec("t", "safe")));
-        String otherId = dispatchedId(submit("p", spec("t", "safe")));
-        assertThat(firstId).isNotNull().isNotEqualTo(otherId);
+        String firstRequestId = dispatchedRequestId(submit("o", spec("t", "safe")));
+        String otherRequestId = dispatchedRequestId(submit("p", spec("t", "safe")));
+        assertThat(firstRequestId).isNotNull().isNotEqualTo(otherRequestId);
         assertThat(
                         onlyNotification(
                                         actionsOf(
                                                 () ->
-                                                        requests.placed(
-                                                                now, otherId, "n", actions::add)))
+                                                        tracker.placed(
+                                                                now,
+                                                                otherRequestId,
+                                                                "n",
+                                                                actions::add)))
                                 .owner())
                 .isEqualTo("p");
-        assertThatThrownBy(() -> requests.stop(now, "q", "t", actions::add))
+        assertThatThrownBy(() -> tracker.stop(now, "q", "t", actions::add))
                 .isInstanceOf(InvalidRequestException.class);
     }
 
     @Test
     void undeliveredNotificationIsRetainedForItsOwner() throws InvalidRequestException {
-        String requestId = dispatchedId(submit("o", spec("t", "safe")));
+        String requestId = dispatchedRequestId(submit("o", spec("t", "safe")));
         ResultNotification notification =
                 onlyNotification(
-                        actionsOf(() -> requests.placed(now, requestId, "n", actions::add)));
-        assertThat(requests.undelivered("o")).containsExactly(notification);
-        requests.delivered("o", notification.sequence());
-        assertThat(requests.undelivered("o")).isEmpty();
+                        actionsOf(() -> tracker.placed(now, requestId, "n", actions::add)));
+        assertThat(tracker.undelivered("o")).containsExactly(notification);
+        tracker.delivered("o", notification.sequence());
+        assertThat(tracker.undelivered("o")).isEmpty();
     }
 
     @Test
     void resubmissionDiscardsUndeliveredNotificationsOfFormerRequest()
             throws InvalidRequestException {
-        String requestId = dispatchedId(submit("o", spec("t", "safe")));
-        requests.rejected(
-                now, requestId, 0, "", actions::add); // its connection broke: not delivered
-        String secondId = dispatchedId(submit("o", spec("t", "safe")));
-        assertThat(requests.undelivered("o")).isEmpty();
-        requests.placed(now, secondId, "n", actions::add);
-        requests.finished(now, secondId, "n", TerminationCause.LOST, actions::add);
-        assertThat(requests.undelivered("o")).hasSize(2);
-        assertThat(dispatchedId(submit("o", spec("t", "safe")))).isNotNull();
-        assertThat(requests.undelivered("o")).isEmpty();
+        String requestId = dispatchedRequestId(submit("o", spec("t", "safe")));
+        // the connection of the owner broke, so that this is not delivered
+        tracker.rejected(now, requestId, 0, "", actions::add);
+        String secondRequestId = dispatchedRequestId(submit("o", spec("t", "safe")));
+        assertThat(tracker.undelivered("o")).isEmpty();
+        tracker.placed(now, secondRequestId, "n", actions::add);
+        tracker.finished(now, secondRequestId, "n", TerminationCause.LOST, actions::add);
+        assertThat(tracker.undelivered("o")).hasSize(2);
+        assertThat(dispatchedRequestId(submit("o", spec("t", "safe")))).isNotNull();
+        assertThat(tracker.undelivered("o")).isEmpty();
     }
 
     @Test
     void undeliveredNotificationsExpireWithTheResult() throws InvalidRequestException {
-        String requestId = dispatchedId(submit("o", spec("t", "safe")));
-        requests.placed(now, requestId, "n", actions::add);
-        requests.finished(now, requestId, "n", TerminationCause.COMPLETED, actions::add);
+        String requestId = dispatchedRequestId(submit("o", spec("t", "safe")));
+        tracker.placed(now, requestId, "n", actions::add);
+        tracker.finished(now, requestId, "n", TerminationCause.COMPLETED, actions::add);
         for (int i = 0; i < 5; i++) {
-            submit("o", spec("t", "safe")); // repeated each time, in place of the last
+            submit("o", spec("t", "safe")); // replaces the former notifications
         }
-        assertThat(requests.undelivered("o")).hasSize(2).allMatch(ResultNotification::repeated);
+        assertThat(tracker.undelivered("o")).hasSize(2).allMatch(ResultNotification::repeated);
         now += 61 * SECOND;
-        requests.tick(now, actions::add);
-        assertThat(requests.undelivered("o")).isEmpty();
+        tracker.tick(now, actions::add);
+        assertThat(tracker.undelivered("o")).isEmpty();
     }
 
     @Test
-    void failsAndAbandonsRequestThatThePolicyDoesNotCompleteInTime()
+    void requestThatThePolicyDoesNotCompleteInTimeFailsAndIsAbandoned()
             throws InvalidRequestException {
-        String requestId = dispatchedId(submit("o", spec("t", "safe")));
-        now += 8 * SECOND + 2 * MS; // the class's deadline and the grace
-        List<Action> taken = actionsOf(() -> requests.tick(now, actions::add));
-        assertThat(taken.get(0)).isEqualTo(new Abandon(requestId, TerminationCause.STOPPED));
-        assertThat(onlyNotification(taken).result()).isEqualTo(RequestResult.FAILED);
-        assertThat(actionsOf(() -> requests.placed(now, requestId, "n", actions::add)))
-                .isEmpty(); // too late: one result only
-        assertThat(requests.pendingCount()).isZero();
+        String requestId = dispatchedRequestId(submit("o", spec("t", "safe")));
+        now += 8 * SECOND + 2 * MS; // the deadline of the class and DEADLINE_GRACE_MICROS
+        List<Action> emittedActions = actionsOf(() -> tracker.tick(now, actions::add));
+        assertThat(emittedActions.get(0))
+                .isEqualTo(new Abandon(requestId, TerminationCause.STOPPED));
+        assertThat(onlyNotification(emittedActions).result()).isEqualTo(RequestResult.FAILED);
+        assertThat(actionsOf(() -> tracker.placed(now, requestId, "n", actions::add)))
+                .isEmpty(); // too late: the request already has its result
+        assertThat(tracker.pendingCount()).isZero();
     }
 
     @Test
-    void boundsMaxWaitAndDefaultsToTheClassDeadline() throws InvalidRequestException {
-        Dispatch zero = dispatch(submit("o", new TaskSpec("a", "safe", "s", "", 1, 1, 0L, 0)));
-        assertThat(zero.request().maxWaitMicros()).isZero();
-        Dispatch excessive =
-                dispatch(
+    void requestedWaitIsLimitedAndDefaultsToTheDeadlineOfTheClass() throws InvalidRequestException {
+        Dispatch withoutWait =
+                dispatchIn(submit("o", new TaskSpec("a", "safe", "s", "", 1, 1, 0L, 0)));
+        assertThat(withoutWait.request().maxWaitMicros()).isZero();
+        Dispatch withExcessiveWait =
+                dispatchIn(
                         submit(
                                 "o",
                                 new TaskSpec("b", "safe", "s", "", 1, 1, Long.MAX_VALUE / 2, 0)));
-        assertThat(excessive.request().maxWaitMicros()).isEqualTo(20 * SECOND);
-        Dispatch missing = dispatch(submit("o", spec("c", "safe")));
-        assertThat(missing.request().maxWaitMicros()).isEqualTo(8 * SECOND);
+        assertThat(withExcessiveWait.request().maxWaitMicros()).isEqualTo(20 * SECOND);
+        Dispatch withDefaultWait = dispatchIn(submit("o", spec("c", "safe")));
+        assertThat(withDefaultWait.request().maxWaitMicros()).isEqualTo(8 * SECOND);
         assertThatThrownBy(() -> submit("o", new TaskSpec("d", "safe", "s", "", 1, 1, -1L, 0)))
                 .isInstanceOf(InvalidRequestException.class)
                 .hasMessageContaining("patienceMs");
@@ -236,40 +244,40 @@
                 .hasMessageContaining("cores");
         assertThatThrownBy(() -> submit("o", new TaskSpec("t", "keyed", "s", "", 1, 1, null, 0)))
                 .hasMessageContaining("needs a key");
-        assertThat(requests.taskCount()).isZero();
+        assertThat(tracker.taskCount()).isZero();
     }
 
     @Test
-    void rejectsWithRetryAfterWhenTooManyRequestsArePending() throws InvalidRequestException {
+    void requestIsRejectedWithRetryAfterWhileTooManyArePending() throws InvalidRequestException {
         for (int i = 0; i < 3; i++) {
             submit("o", spec("t" + i, "safe"));
         }
         ResultNotification rejection = onlyNotification(submit("o", spec("more", "safe")));
         assertThat(rejection.result()).isEqualTo(RequestResult.REJECTED);
         assertThat(rejection.retryAfterMicros()).isPositive();
-        requests.stop(now, "o", "t0", actions::add);
-        assertThat(dispatchedId(submit("o", spec("more", "safe")))).isNotNull();
+        tracker.stop(now, "o", "t0", actions::add);
+        assertThat(dispatchedRequestId(submit("o", spec("more", "safe")))).isNotNull();
     }
 
     @Test
     void stopFailsPendingRequestAndCancelsPlacedTask() throws InvalidRequestException {
-        String requestId = dispatchedId(submit("o", spec("t", "safe")));
+        String requestId = dispatchedRequestId(submit("o", spec("t", "safe")));
         actions.clear();
-        requests.stop(now, "o", "t", actions::add);
+        tracker.stop(now, "o", "t", actions::add);
         assertThat(actions.get(0)).isEqualTo(new Abandon(requestId, TerminationCause.STOPPED));
         assertThat(onlyNotification(actions).result()).isEqualTo(RequestResult.FAILED);
-        String secondId = dispatchedId(submit("o", spec("u", "safe")));
-        requests.placed(now, secondId, "n", actions::add);
+        String secondRequestId = dispatchedRequestId(submit("o", spec("u", "safe")));
+        tracker.placed(now, secondRequestId, "n", actions::add);
         actions.clear();
-        requests.stop(now, "o", "u", actions::add);
-        assertThat(actions).containsExactly(new Abandon(secondId, TerminationCause.STOPPED));
+        tracker.stop(now, "o", "u", actions::add);
+        assertThat(actions).containsExactly(new Abandon(secondRequestId, TerminationCause.STOPPED));
         assertThat(
                         onlyNotification(
                                         actionsOf(
                                                 () ->
-                                                        requests.finished(
+                                                        tracker.finished(
                                                                 now,
-                                                                secondId,
+                                                                secondRequestId,
                                                                 "n",
                                                                 TerminationCause.STOPPED,
                                                                 actions::add)))
@@ -280,87 +288,86 @@
     @Test
     void lostTaskMayBeResubmittedUnlessNonIdempotent() throws InvalidRequestException {
         for (String taskClass : List.of("safe", "unsafe")) {
-            String requestId = dispatchedId(submit("o", spec(taskClass, taskClass)));
-            requests.placed(now, requestId, "n", actions::add);
-            requests.finished(now, requestId, "n", TerminationCause.LOST, actions::add);
-            List<Action> taken = submit("o", spec(taskClass, taskClass));
-            assertThat(dispatchedId(taken) != null)
+            String requestId = dispatchedRequestId(submit("o", spec(taskClass, taskClass)));
+            tracker.placed(now, requestId, "n", actions::add);
+            tracker.finished(now, requestId, "n", TerminationCause.LOST, actions::add);
+            List<Action> emittedActions = submit("o", spec(taskClass, taskClass));
+            assertThat(dispatchedRequestId(emittedActions) != null)
                     .as(taskClass)
                     .isEqualTo(taskClass.equals("safe"));
         }
         assertThat(notifications(actions))
                 .extracting(ResultNotification::repeated)
-                .containsExactly(true, true); // placed, and then lost
+                .containsExactly(true, true); // the result PLACED and the termination LOST
     }
 
     @Test
     void retainedResultsAreBoundedAndDroppedTaskIsNotStartedAgain() throws InvalidRequestException {
         for (int i = 0; i < 8; i++) {
-            String requestId = dispatchedId(submit("o", spec("t" + i, "unsafe")));
-            requests.placed(now, requestId, "n", actions::add);
-            requests.finished(now, requestId, "n", TerminationCause.COMPLETED, actions::add);
+            String requestId = dispatchedRequestId(submit("o", spec("t" + i, "unsafe")));
+            tracker.placed(now, requestId, "n", actions::add);
+            tracker.finished(now, requestId, "n", TerminationCause.COMPLETED, actions::add);
             now += MS;
         }
-        requests.tick(now, actions::add);
-        assertThat(requests.taskCount()).isEqualTo(5);
-        List<Action> taken = submit("o", spec("t0", "unsafe"));
-        assertThat(dispatchedId(taken)).isNull();
-        assertThat(onlyNotification(taken).result()).isEqualTo(RequestResult.FAILED);
-        assertThat(onlyNotification(taken).reason()).contains("no longer kept");
+        tracker.tick(now, actions::add);
+        assertThat(tracker.taskCount()).isEqualTo(5);
+        List<Action> emittedActions = submit("o", spec("t0", "unsafe"));
+        assertThat(dispatchedRequestId(emittedActions)).isNull();
+        assertThat(onlyNotification(emittedActions).result()).isEqualTo(RequestResult.FAILED);
+        assertThat(onlyNotification(emittedActions).reason()).contains("no longer kept");
         now += 61 * SECOND;
-        requests.tick(now, actions::add);
-        assertThat(requests.taskCount()).isZero();
-        assertThat(dispatchedId(submit("o", spec("t0", "unsafe"))))
-                .isNotNull(); // its time is over: a new task
+        tracker.tick(now, actions::add);
+        assertThat(tracker.taskCount()).isZero();
+        assertThat(dispatchedRequestId(submit("o", spec("t0", "unsafe"))))
+                .isNotNull(); // the retention time is over, so this is a new task
     }
 
     @Test
-    void nonIdempotentRequestsSettleAfterStartAndRunningTaskIsTheirResult()
+    void afterStartNonIdempotentRequestsWaitForAdoptionOrTheEndOfSettling()
             throws InvalidRequestException {
-        requests = newTracker();
-        assertThat(dispatchedId(submit("o", spec("t", "unsafe")))).isNull();
-        assertThat(dispatchedId(submit("o", spec("u", "unsafe")))).isNull();
-        assertThat(dispatchedId(submit("o", spec("v", "safe")))).isNotNull();
+        tracker = newTracker();
+        assertThat(dispatchedRequestId(submit("o", spec("t", "unsafe")))).isNull();
+        assertThat(dispatchedRequestId(submit("o", spec("u", "unsafe")))).isNull();
+        assertThat(dispatchedRequestId(submit("o", spec("v", "safe")))).isNotNull();
         actions.clear();
-        assertThat(requests.adopt(now, "o", "", spec("t", "unsafe"), "n", actions::add))
-                .isNotNull();
+        assertThat(tracker.adopt(now, "o", "", spec("t", "unsafe"), "n", actions::add)).isNotNull();
         assertThat(onlyNotification(actions).result()).isEqualTo(RequestResult.PLACED);
         actions.clear();
         now += SECOND;
-        requests.tick(now, actions::add); // a gap of a second: the settling is prolonged by it
+        tracker.tick(now, actions::add); // a gap of a second prolongs the settling time by a second
         for (int i = 0; i < 30; i++) {
             assertThat(actions).as("after %d ms", 1_000 + i * 100).isEmpty();
             now += TICK_MICROS;
-            requests.tick(now, actions::add);
+            tracker.tick(now, actions::add);
         }
         assertThat(actions).hasSize(1);
         assertThat(((Dispatch) actions.get(0)).request().task()).contains("u");
-        assertThat(requests.pendingCount()).isEqualTo(2);
+        assertThat(tracker.pendingCount()).isEqualTo(2);
     }
 
     @Test
-    void doesNotAdoptSecondCopyOfPlacedTask() throws InvalidRequestException {
-        String requestId = dispatchedId(submit("o", spec("t", "keyed")));
-        requests.placed(now, requestId, "n", actions::add);
-        assertThat(requests.adopt(now, "o", "", spec("t", "keyed"), "m", actions::add)).isNull();
+    void secondCopyOfPlacedTaskIsNotAdopted() throws InvalidRequestException {
+        String requestId = dispatchedRequestId(submit("o", spec("t", "keyed")));
+        tracker.placed(now, requestId, "n", actions::add);
+        assertThat(tracker.adopt(now, "o", "", spec("t", "keyed"), "m", actions::add)).isNull();
     }
 
     @Test
     void adoptedTaskCompletesPendingRequest() throws InvalidRequestException {
-        String requestId = dispatchedId(submit("o", spec("t", "safe")));
+        String requestId = dispatchedRequestId(submit("o", spec("t", "safe")));
         actions.clear();
         Placement.PlacementRequest adopted =
-                requests.adopt(now, "o", "", spec("t", "safe"), "m", actions::add);
+                tracker.adopt(now, "o", "", spec("t", "safe"), "m", actions::add);
         assertThat(actions.get(0)).isEqualTo(new Abandon(requestId, TerminationCause.STOPPED));
         assertThat(onlyNotification(actions).machine()).isEqualTo("m");
-        assertThat(requests.pendingCount()).isZero();
-        assertThat(actionsOf(() -> requests.rejected(now, requestId, 0, "", actions::add)))
+        assertThat(tracker.pendingCount()).isZero();
+        assertThat(actionsOf(() -> tracker.rejected(now, requestId, 0, "", actions::add)))
                 .isEmpty();
         assertThat(
                         onlyNotification(
                                         actionsOf(
                                                 () ->
-                                                        requests.finished(
+                                                        tracker.finished(
                                                                 now,
                                                                 adopted.id(),
                                                                 "m",
@@ -372,13 +379,13 @@
 
     @Test
     void rejectionReasonNamesTheMachineThatRejectedLast() throws InvalidRequestException {
-        String requestId = dispatchedId(submit("o", spec("t", "safe")));
-        requests.offerRejected(requestId, "n", Placement.OutcomeReason.INSUFFICIENT_MEMORY);
+        String requestId = dispatchedRequestId(submit("o", spec("t", "safe")));
+        tracker.offerRejected(requestId, "n", Placement.OutcomeReason.INSUFFICIENT_MEMORY);
         assertThat(
                         onlyNotification(
                                         actionsOf(
                                                 () ->
-                                                        requests.rejected(
+                                                        tracker.rejected(
                                                                 now,
                                                                 requestId,
                                                                 0,
