--- a/decisions/src/main/java/thornferry/decisions/attempts/AttemptIndex.java
+++ b/decisions/src/main/java/thornferry/decisions/attempts/AttemptIndex.java
@@ -86,7 +86,7 @@
     }
 
     /** Returns a copy, as the index may change while a caller iterates over the attempts. */
-    List<Attempt> onMachine(String machine) {
+    List<Attempt> attemptsOnMachine(String machine) {
         return new ArrayList<>(byMachine.getOrDefault(machine, Map.of()).values());
     }
 
--- a/decisions/src/main/java/thornferry/decisions/attempts/AttemptTracker.java
+++ b/decisions/src/main/java/thornferry/decisions/attempts/AttemptTracker.java
@@ -18,8 +18,8 @@
  * Tracks each attempt from its offer to its outcome. Each attempt ends with exactly one {@link
  * AttemptEnded} event for the placement policy.
  *
- * <p>The main rule is <b>which observations prove that an attempt never ran</b>, because only then
- * may a task that must not start twice be offered to another machine:
+ * <p>Above all, the class decides <b>which observations prove that an attempt never ran</b>,
+ * because only then may a task that must not start twice be offered to another machine:
  *
  * <table>
  * <caption>Observations and the resulting outcome of an open attempt</caption>
@@ -30,14 +30,14 @@
  * <tr><td>the machine reports {@code CANCELLED} without a start</td><td>never ran</td>
  *     <td>{@code REJECTED}</td></tr>
  * <tr><td>the inventory of the same machine incarnation, after a reconnect, does not contain the
- *     attempt, and is complete since before the offer</td><td>never ran: the offer was not received</td>
+ *     attempt, and is complete since before the offer</td><td>never ran: the offer was not
+ *     received</td>
  *     <td>{@code UNREACHABLE}</td></tr>
- * <tr><td>the same, but the inventory is complete only since after the offer</td><td>may have run</td>
- *     <td>{@code LOST}</td></tr>
+ * <tr><td>the same, but the inventory is complete only since after the offer</td><td>may have
+ *     run</td><td>{@code LOST}</td></tr>
  * <tr><td>the inventory contains the attempt, or the machine reports a status other than {@code
  *     REJECTED} and {@code CANCELLED}</td><td>the task was admitted</td><td>none yet, or that of
- *     the placed task</td>
- *     </tr>
+ *     the placed task</td></tr>
  * <tr><td>the incarnation of the machine ended</td><td>may have run</td><td>{@code LOST}</td></tr>
  * <tr><td>the offer expired</td><td>may have run</td><td>{@code TIMED_OUT}</td></tr>
  * <tr><td>the connection broke</td><td>may have run: the attempt of an idempotent task ends, any
@@ -109,6 +109,8 @@
     private long lastAttemptNumber;
 
     /**
+     * Creates a tracker without attempts.
+     *
      * @param incarnationName the name of this incarnation of the placer, which no earlier one had;
      *     the prefix of the ids of its attempts
      */
@@ -301,7 +303,7 @@
      * until the machine registers again.
      */
     public void connectionLost(long now, String machine, Consumer<Action> actions) {
-        for (Attempt attempt : attemptIndex.onMachine(machine)) {
+        for (Attempt attempt : attemptIndex.attemptsOnMachine(machine)) {
             if (attempt.isOpen() && attempt.isIdempotent()) {
                 end(now, attempt, AttemptEnding.LOST, actions);
             }
@@ -330,7 +332,7 @@
             Set<String> runningAttemptIds,
             Map<Idempotency, Long> completeSinceMicros,
             Consumer<Action> actions) {
-        for (Attempt attempt : attemptIndex.onMachine(machine)) {
+        for (Attempt attempt : attemptIndex.attemptsOnMachine(machine)) {
             // incarnationEnded processes the attempts of earlier incarnations
             if (attempt.offer().incarnation() != incarnation) {
                 continue;
@@ -347,8 +349,7 @@
                     reported(now, machine, Report.running(attemptId), actions);
                 }
             } else if (isOwn(attemptId)) {
-                // the attempt ended for this placer, and its owner was notified, during the
-                // disconnection
+                // the attempt ended for this placer, and its owner was notified, while disconnected
                 actions.accept(new CancelAttempt(machine, attemptId));
             } else {
                 actions.accept(new AdoptTask(machine, attemptId));
@@ -385,7 +386,7 @@
      */
     public void incarnationEnded(
             long now, String machine, long incarnation, Consumer<Action> actions) {
-        for (Attempt attempt : attemptIndex.onMachine(machine)) {
+        for (Attempt attempt : attemptIndex.attemptsOnMachine(machine)) {
             if (attempt.offer().incarnation() > incarnation) {
                 continue;
             }
--- a/decisions/src/main/java/thornferry/decisions/recovery/JournaledTasks.java
+++ b/decisions/src/main/java/thornferry/decisions/recovery/JournaledTasks.java
@@ -64,7 +64,7 @@
         TaskState task = find(neverRan.owner(), neverRan.task());
         if (task != null) {
             task.settleAttempt(neverRan.attempt());
-            if (!task.hasOutstanding() && !task.isCompleted()) {
+            if (!task.hasOutstandingAttempts() && !task.isCompleted()) {
                 remove(task);
             }
         }
--- a/decisions/src/main/java/thornferry/decisions/recovery/Recovery.java
+++ b/decisions/src/main/java/thornferry/decisions/recovery/Recovery.java
@@ -233,9 +233,8 @@
             if (task == null || !task.isUnsettled()) {
                 unsettledKeys.remove(key);
             } else if (task.isPlaced()) {
-                // the task would have been adopted if the machine still had it, and the machine
-                // does
-                // not remember its end
+                // the task would have been adopted if the machine had it, and the machine does not
+                // remember its end
                 actions.accept(lostTask(task, inventory.machine()));
             } else {
                 evaluateMissing(now, task, inventory, actions);
@@ -321,7 +320,7 @@
     /** Evaluates the attempts of a task that a machine was offered and does not have. */
     private void evaluateMissing(
             long now, TaskState task, MachineInventory inventory, Consumer<Action> actions) {
-        task.outstanding()
+        task.outstandingAttempts()
                 .forEach(
                         (attempt, offer) -> {
                             if (!offer.machine().equals(inventory.machine())
@@ -347,7 +346,7 @@
 
     private void recordNeverRan(TaskState task, String attempt, Consumer<Action> actions) {
         task.settleAttempt(attempt);
-        if (!task.hasOutstanding()) {
+        if (!task.hasOutstandingAttempts()) {
             tasks.remove(task);
             actions.accept(new ProvenNotRun(task.owner(), task.spec().id()));
         }
--- a/decisions/src/main/java/thornferry/decisions/recovery/TaskState.java
+++ b/decisions/src/main/java/thornferry/decisions/recovery/TaskState.java
@@ -34,7 +34,7 @@
     private final String tenant;
     private final TaskSpec spec;
     private final Idempotency idempotency;
-    private final Map<String, OutstandingAttempt> outstanding = new LinkedHashMap<>();
+    private final Map<String, OutstandingAttempt> outstandingById = new LinkedHashMap<>();
     private JournalRecord.Completed completed; // null until the task has a result
     private JournalRecord.Finished finished; // null until the placed task has terminated
     private Certainty certainty = Certainty.SETTLED;
@@ -50,12 +50,12 @@
 
     // ---- state from the journal ----
     void recordOffer(String attempt, OutstandingAttempt offer) {
-        outstanding.put(attempt, offer);
+        outstandingById.put(attempt, offer);
     }
 
     /** Records that it is known whether the attempt ran, so that it is no longer outstanding. */
     void settleAttempt(String attempt) {
-        outstanding.remove(attempt);
+        outstandingById.remove(attempt);
     }
 
     void complete(JournalRecord.Completed result) {
@@ -67,13 +67,13 @@
     void finish(JournalRecord.Finished termination) {
         finished = termination;
         certainty = Certainty.SETTLED;
-        outstanding.clear();
+        outstandingById.clear();
     }
 
     /** Returns the fewest records from which this state can be built again. */
     List<JournalRecord> records() {
         List<JournalRecord> records = new ArrayList<>();
-        outstanding.forEach(
+        outstandingById.forEach(
                 (attempt, offer) ->
                         records.add(
                                 new JournalRecord.Offered(
@@ -131,7 +131,7 @@
         return switch (certainty) {
             case SETTLED -> "";
             case AWAITING_PROOF ->
-                    outstanding.values().stream()
+                    outstandingById.values().stream()
                             .map(OutstandingAttempt::machine)
                             .findFirst()
                             .orElse("");
@@ -145,7 +145,7 @@
         if (isPlaced()) {
             machines.add(completed.machine());
         } else {
-            outstanding.values().forEach(offer -> machines.add(offer.machine()));
+            outstandingById.values().forEach(offer -> machines.add(offer.machine()));
         }
         return machines;
     }
@@ -177,17 +177,17 @@
         return completed != null;
     }
 
-    boolean hasOutstanding() {
-        return !outstanding.isEmpty();
+    boolean hasOutstandingAttempts() {
+        return !outstandingById.isEmpty();
     }
 
     boolean isOutstanding(String attempt) {
-        return outstanding.containsKey(attempt);
+        return outstandingById.containsKey(attempt);
     }
 
     /** Returns a copy of the outstanding attempts by attempt id, in the order of the offers. */
-    Map<String, OutstandingAttempt> outstanding() {
-        return new LinkedHashMap<>(outstanding);
+    Map<String, OutstandingAttempt> outstandingAttempts() {
+        return new LinkedHashMap<>(outstandingById);
     }
 
     /** Returns the record of the result, or null if there is none. */
--- a/decisions/src/main/java/thornferry/decisions/requests/RequestLifecycle.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/RequestLifecycle.java
@@ -16,9 +16,9 @@
  */
 final class RequestLifecycle {
     /**
-     * The margin around the deadline of a request, by which the policy normally completes it. A
-     * dispatched request that still has no result this long after its deadline fails. A deferred
-     * request that is still not dispatched this long before its deadline fails.
+     * The policy normally completes a request by its deadline. A dispatched request fails if it has
+     * no result this long after its deadline. A deferred request fails if it is not dispatched this
+     * long before its deadline.
      */
     static final long DEADLINE_GRACE_MICROS = 2_000;
 
--- a/decisions/src/main/java/thornferry/decisions/requests/RequestTracker.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/RequestTracker.java
@@ -350,7 +350,7 @@
     /**
      * Retains a result that an earlier incarnation gave.
      *
-     * @param cause how the placed task terminated, or null where it may still run
+     * @param cause how the placed task terminated, or null if it may still run
      */
     public void restore(
             long now,
