--- a/decisions/src/main/java/thornferry/decisions/admission/AdmissionQueue.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/AdmissionQueue.java
@@ -8,44 +8,47 @@
 import thornferry.decisions.membership.ClusterView;
 
 /**
- * The admission queue: decides which request the placement policy receives next, which waits, and
- * which is rejected early.
+ * Decides which request the placement policy receives next, which requests wait, and which are
+ * rejected early.
  *
- * <p>Between tenants the one with the lowest dominant share for its weight comes next. Within a
- * tenant the highest priority weight comes first, then new requests before retries, then the
- * earliest deadline. Every {@link AdmissionSettings#oldestEvery}-th turn is that of the oldest
- * request. Hence <b>a request that no quota blocks is dispatched after at most {@code oldestEvery *
+ * <p>The tenant with the lowest weighted dominant share is served next. Within a tenant, requests
+ * are ordered by priority weight, highest first; among equal weights, new requests come before
+ * retries, and then the earliest deadline comes first. Every {@link
+ * AdmissionSettings#oldestEvery}-th dispatch is that of the oldest request regardless of this
+ * order. Hence <b>a request that no quota blocks is dispatched after at most {@code oldestEvery *
  * (n + 1)} others</b>, where n is the number of requests that arrived before it and still wait.
  *
- * <p>The queue returns its decisions as {@link Action}s to a receiver that may call the queue again
- * before it returns. Times are microseconds of the caller's monotonic clock.
+ * <p>The queue passes its decisions as {@link Action}s to a consumer, which may call the queue
+ * again before it returns. Times are microseconds of the caller's monotonic clock.
  */
 public final class AdmissionQueue {
-    /** Where a request is on its way to a machine. */
+    /** The progress of a request, from its arrival until its task is placed. */
     public enum Stage {
-        /** Not known to the queue. */
+        /** The queue does not know the request. */
         UNKNOWN,
-        /** Waits for its turn. */
+        /** The request waits in the queue to be dispatched. */
         QUEUED,
-        /** Waits until capacity is seen or time has passed. */
+        /** The request waits until a machine reports enough capacity or its backoff ends. */
         BACKING_OFF,
-        /** With the placement policy, no attempt in flight. */
+        /** The placement policy holds the request and has no attempt in flight. */
         DISPATCHED,
-        /** An attempt on a machine is in flight. */
+        /** An attempt of the request on a machine is in flight. */
         OFFERED,
-        /** Runs on a machine. */
+        /** The task runs on a machine. */
         PLACED
     }
 
     /**
      * The state of a request.
      *
-     * @param stage where it is
-     * @param quotaBlock the quota that blocks it, or null
-     * @param nextRetryAtMicros when its latest backoff ends; 0 if it never backed off
-     * @param aboveFairShare whether another tenant with a lower share comes first
-     * @param capacityReserved whether capacity is reserved for a larger task and it must wait
-     * @param arrivedAtMicros when it arrived; 0 if unknown
+     * @param stage the stage that the request has reached
+     * @param quotaBlock the quota that blocks the request, or null
+     * @param nextRetryAtMicros end of the request's latest backoff; 0 if it never backed off
+     * @param aboveFairShare whether another tenant with queued requests has a lower weighted
+     *     dominant share and is served first
+     * @param capacityReserved whether the request is held back because capacity is reserved for a
+     *     larger task
+     * @param arrivedAtMicros arrival time of the request; 0 if the queue does not know it
      */
     public record Status(
             Stage stage,
@@ -55,7 +58,7 @@
             boolean capacityReserved,
             long arrivedAtMicros) {}
 
-    /** A decision that the caller carries out. */
+    /** A decision for the caller to carry out. */
     public sealed interface Action {}
 
     /**
@@ -67,8 +70,8 @@
     public record Dispatch(String requestId, long maxWaitMicros) implements Action {}
 
     /**
-     * Withdraw the request from the placement policy: it was never offered to a machine and waits
-     * in the queue again.
+     * Withdraw the request from the placement policy. The request was never offered to a machine
+     * and waits in the queue again.
      *
      * @param requestId the request
      */
@@ -78,19 +81,19 @@
      * Reject the request.
      *
      * @param requestId the request
-     * @param reason sentence for the client
+     * @param reason the sentence that the client receives
      * @param retryAfterMicros delay after which the client should retry
      */
     public record Shed(String requestId, String reason, long retryAfterMicros) implements Action {}
 
     /**
-     * Number of requests by stage, for operators.
+     * The number of requests in each stage, for operators.
      *
-     * @param queued in {@link Stage#QUEUED}
-     * @param backingOff in {@link Stage#BACKING_OFF}
-     * @param dispatched in {@link Stage#DISPATCHED}
-     * @param offered in {@link Stage#OFFERED}
-     * @param placed in {@link Stage#PLACED}
+     * @param queued requests in {@link Stage#QUEUED}
+     * @param backingOff requests in {@link Stage#BACKING_OFF}
+     * @param dispatched requests in {@link Stage#DISPATCHED}
+     * @param offered requests in {@link Stage#OFFERED}
+     * @param placed requests in {@link Stage#PLACED}
      * @param overloaded whether requests are being shed
      * @param shed requests shed since the start
      */
@@ -104,8 +107,8 @@
             long shed) {}
 
     /**
-     * A longer time between two ticks means that this process paused; waits during the pause do not
-     * count as overload.
+     * The longest time between two ticks that does not count as a pause of this process. Waits
+     * during a pause do not count as overload.
      */
     private static final long MAX_TICK_INTERVAL_MICROS = 250_000;
 
@@ -130,13 +133,13 @@
     /**
      * Creates an empty queue.
      *
-     * @param settings limits, replaceable by {@link #reload}
-     * @param fleet sizes and free capacity of the machines
-     * @param seed of the random spread of retry delays
+     * @param settings the settings in force until the next {@link #reload}
+     * @param clusterView the sizes and the free capacity of the machines
+     * @param seed seed of the random spread of retry delays
      */
-    public AdmissionQueue(AdmissionSettings settings, ClusterView fleet, long seed) {
+    public AdmissionQueue(AdmissionSettings settings, ClusterView clusterView, long seed) {
         this.settings = settings;
-        cluster = fleet;
+        cluster = clusterView;
         UsageTotals site = new UsageTotals("");
         quotas = new QuotaChecker(this::settings, site);
         index = new QueueIndex(quotas, site);
@@ -156,8 +159,8 @@
     }
 
     /**
-     * Replaces the settings. Waiting requests keep their place, and running tasks continue even
-     * above a new limit.
+     * Replaces the settings. Waiting requests keep their position, and running tasks continue even
+     * if they exceed a new limit.
      *
      * @param actions receives the decisions
      */
@@ -170,17 +173,17 @@
     }
 
     /**
-     * A request arrives. It is dispatched, waits, or is rejected at once.
+     * Handles the arrival of a request, which is dispatched at once, queued, or rejected at once.
      *
      * @param actions receives the decisions
      */
     public void arrived(long nowMicros, QueuedRequest request, Consumer<Action> actions) {
         QueueEntry previous = entries.remove(request.requestId());
         if (previous != null) {
-            drop(nowMicros, previous);
+            detach(nowMicros, previous);
         }
-        boolean fitsSomeMachine = cluster.couldEverFit(request.cores(), request.memory());
-        QueueEntry entry = register(nowMicros, request, fitsSomeMachine);
+        boolean fitsSomeMachine = cluster.fitsSomeMachine(request.cores(), request.memory());
+        QueueEntry entry = createEntry(nowMicros, request, fitsSomeMachine);
         if (!settings.enabled()) {
             dispatcher.dispatch(nowMicros, entry, actions);
             return;
@@ -201,11 +204,11 @@
         admit(nowMicros, entry, actions);
     }
 
-    private QueueEntry register(long nowMicros, QueuedRequest request, boolean fitsSomeMachine) {
+    private QueueEntry createEntry(long nowMicros, QueuedRequest request, boolean fitsSomeMachine) {
         QueueEntry entry =
                 new QueueEntry(
                         request,
-                        index.ownerOf(request),
+                        index.getOrCreateOwner(request),
                         nextSequenceNumber++,
                         nowMicros,
                         fitsSomeMachine);
@@ -226,24 +229,24 @@
         if (waitingCount() > settings.maxQueued()) {
             loadShedder.shedLast(
                     RejectionText.queueFull(settings.maxQueued()),
-                    (last, reason) -> reject(nowMicros, last, reason, actions));
+                    (excess, reason) -> reject(nowMicros, excess, reason, actions));
         }
         if (request.remainingMicros(nowMicros) <= QueueEntry.DISPATCH_MARGIN_MICROS
-                && isKnown(entry)
+                && isCurrent(entry)
                 && entry.isWaiting()) {
             reject(nowMicros, entry, RejectionText.NO_TIME_LEFT, actions);
         }
     }
 
-    /** Whether the entry is still the one of its request id. */
-    private boolean isKnown(QueueEntry entry) {
+    /** Returns whether the entry is still the one that its request id maps to. */
+    private boolean isCurrent(QueueEntry entry) {
         return entries.get(entry.requestId()) == entry;
     }
 
     /**
-     * The policy starts an attempt on a machine.
+     * Records that the policy started an attempt on a machine.
      *
-     * @param repeat whether it is a further attempt of the same request
+     * @param repeat whether the attempt follows an earlier one of the same request
      */
     public void attemptStarted(long nowMicros, String request, String machine, boolean repeat) {
         QueueEntry entry = entries.get(request);
@@ -254,7 +257,7 @@
         }
     }
 
-    /** An attempt has ended; the policy holds the request again, or starts another attempt next. */
+    /** Records that an attempt ended, after which the policy holds the request again. */
     public void attemptEnded(long nowMicros, String request) {
         QueueEntry entry = entries.get(request);
         if (entry != null && entry.stage() == Stage.OFFERED) {
@@ -263,7 +266,7 @@
     }
 
     /**
-     * The request's task runs on a machine.
+     * Records that the request's task runs on a machine.
      *
      * @param actions receives the decisions
      */
@@ -281,17 +284,18 @@
     }
 
     /**
-     * A task that runs already is taken over; it counts against its owner's and tenant's quotas.
+     * Records an adopted task, which runs already. The task counts against the quotas of its owner,
+     * its tenant and the site.
      */
     public void adopted(long nowMicros, QueuedRequest request) {
-        QueueEntry entry = register(nowMicros, request, false);
+        QueueEntry entry = createEntry(nowMicros, request, false);
         entry.moveTo(Stage.PLACED);
         placedCount++;
         index.addActive(entry);
     }
 
     /**
-     * The request has ended: it was rejected, failed or cancelled, or its placed task has ended.
+     * Records the end of a request: it was rejected, failed or cancelled, or its placed task ended.
      *
      * @param actions receives the decisions
      */
@@ -303,12 +307,12 @@
         if (entry.stage() == Stage.DISPATCHED && nowMicros >= entry.latestDispatchMicros()) {
             loadShedder.recordRejectionAtDeadline(nowMicros, entry);
         }
-        drop(nowMicros, entry);
+        detach(nowMicros, entry);
         dispatcher.dispatchReady(nowMicros, actions);
     }
 
-    /** Removes an entry, which is no longer in the map, from everything else. */
-    private void drop(long nowMicros, QueueEntry entry) {
+    /** Removes an entry from all collections and totals except {@link #entries}. */
+    private void detach(long nowMicros, QueueEntry entry) {
         leaveStage(nowMicros, entry);
         if (entry.stage() == Stage.PLACED) {
             placedCount--;
@@ -322,7 +326,7 @@
         index.discardIfIdle(nowMicros, entry.owner());
     }
 
-    /** Removes an entry from the queue or window of its stage; the stage itself remains. */
+    /** Removes an entry from the queue or window of its stage; does not change the stage. */
     private void leaveStage(long nowMicros, QueueEntry entry) {
         switch (entry.stage()) {
             case QUEUED -> {
@@ -341,7 +345,7 @@
 
     private void reject(long nowMicros, QueueEntry entry, String reason, Consumer<Action> actions) {
         entries.remove(entry.requestId());
-        drop(nowMicros, entry);
+        detach(nowMicros, entry);
         sendRejection(nowMicros, entry, reason, actions);
     }
 
@@ -351,19 +355,20 @@
     }
 
     /**
-     * Time passes; to be called about fifty times a second.
+     * Advances time: rejects expired requests, ends backoffs, sheds load and dispatches. To be
+     * called about 50 times per second.
      *
      * @param actions receives the decisions
      */
     public void tick(long nowMicros, Consumer<Action> actions) {
-        boolean pausedBefore =
+        boolean resumedAfterPause =
                 lastTickMicros != Long.MIN_VALUE
                         && nowMicros - lastTickMicros > MAX_TICK_INTERVAL_MICROS;
         lastTickMicros = nowMicros;
         rejectExpired(nowMicros, actions);
         index.refreshBlockedOwners(nowMicros);
         backoff.tick(nowMicros);
-        if (pausedBefore) {
+        if (resumedAfterPause) {
             overload.beginInterval(nowMicros);
         } else {
             dispatcher.recallStalled(nowMicros, actions);
@@ -379,7 +384,7 @@
                 expired.isPresent();
                 expired = deadlines.pollExpired(nowMicros)) {
             QueueEntry entry = expired.get();
-            if (entry.isWaiting() && isKnown(entry)) {
+            if (entry.isWaiting() && isCurrent(entry)) {
                 loadShedder.recordRejectionAtDeadline(nowMicros, entry);
                 reject(nowMicros, entry, RejectionText.NO_CAPACITY_IN_TIME, actions);
             }
@@ -387,34 +392,34 @@
     }
 
     /**
-     * Delay after which a client rejected now should retry, in microseconds, spread at random.
-     * Every call takes a slot.
+     * Returns the delay after which a client rejected now should retry, in microseconds. Each call
+     * uses up one of the retry slots, over which clients are spread at random.
      */
     public long retryAfter(long nowMicros) {
         return overload.nextRetryAfterMicros(nowMicros);
     }
 
-    /** Where a request is and what blocks it. */
+    /** Returns the stage of a request and what blocks it. */
     public Status status(long nowMicros, String request) {
         QueueEntry entry = entries.get(request);
         if (entry == null) {
             return new Status(Stage.UNKNOWN, null, 0, false, false, 0);
         }
-        boolean queued = entry.stage() == Stage.QUEUED;
+        boolean isQueued = entry.stage() == Stage.QUEUED;
         return new Status(
                 entry.stage(),
-                block(nowMicros, entry),
+                findBlock(nowMicros, entry),
                 entry.backoffUntilMicros(),
-                queued && fairShare.isAboveFairShare(entry.tenant()),
-                queued && reservation.holdsBack(nowMicros, entry),
+                isQueued && fairShare.isAboveFairShare(entry.tenant()),
+                isQueued && reservation.holdsBack(nowMicros, entry),
                 entry.arrivedAtMicros());
     }
 
-    /** The quota that blocks a waiting entry; null if none does. */
-    private QuotaBlock block(long nowMicros, QueueEntry entry) {
+    /** Returns the quota that blocks a waiting entry, or null if none does. */
+    private QuotaBlock findBlock(long nowMicros, QueueEntry entry) {
         if (entry.stage() == Stage.QUEUED) {
             QuotaBlock ownerBlock = entry.owner().block();
-            return ownerBlock != null ? ownerBlock : quotas.sharedBlock(nowMicros, entry);
+            return ownerBlock != null ? ownerBlock : quotas.findTenantOrSiteBlock(nowMicros, entry);
         } else if (entry.stage() != Stage.BACKING_OFF) {
             return null;
         } else if (entry.exceedsRetryBudget()) {
@@ -425,11 +430,12 @@
                     0,
                     entry.backoffUntilMicros());
         }
-        return backoff.isDueForRecheck(entry) ? quotas.block(nowMicros, entry) : null;
+        return backoff.isDueForRecheck(entry) ? quotas.findBlock(nowMicros, entry) : null;
     }
 
     /**
-     * How many queued requests of the same tenant come before this one, counted up to a maximum.
+     * Returns the number of queued requests of the same tenant that precede this one, counted up to
+     * {@code max}. Requests of owners that are blocked by a quota of their own do not count.
      */
     public int countAhead(String request, int max) {
         QueueEntry entry = entries.get(request);
@@ -445,17 +451,17 @@
         return count;
     }
 
-    /** Whether requests are being shed because of overload. */
+    /** Returns whether requests are being shed because of overload. */
     public boolean isOverloaded() {
         return overload.isOverloaded();
     }
 
-    /** Number of requests that are queued or back off. */
+    /** Returns the number of requests that are queued or back off. */
     public int waitingCount() {
         return index.site().waitingTasks();
     }
 
-    /** Number of requests by stage. */
+    /** Returns the number of requests in each stage. */
     public QueueCounts counts() {
         return new QueueCounts(
                 waitingCount() - backoff.size(),
@@ -467,7 +473,7 @@
                 loadShedder.shedCount());
     }
 
-    /** Usage of each tenant with waiting or active tasks, in order of the first request. */
+    /** Returns the usage of each tenant that has tasks, in order of their first requests. */
     public List<QuotaUsage> tenantUsage() {
         return index.tenants().stream()
                 .map(TenantQueue::usage)
@@ -475,14 +481,14 @@
                 .toList();
     }
 
-    /** Usage of an owner; zeros if nothing of it waits or is active. */
+    /** Returns the usage of an owner; zeros if the owner has no waiting or active task. */
     public QuotaUsage ownerUsage(String name) {
         UsageTotals usage =
                 index.owner(name).map(OwnerQueue::usage).orElseGet(() -> new UsageTotals(name));
         return usage.toQuotaUsage(cluster, settings.quotaOfOwner(name));
     }
 
-    /** Usage of all tenants together. */
+    /** Returns the usage of all tenants together. */
     public QuotaUsage siteUsage() {
         return index.site().toQuotaUsage(cluster, settings.siteQuota());
     }
--- a/decisions/src/main/java/thornferry/decisions/admission/AdmissionSettings.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/AdmissionSettings.java
@@ -7,40 +7,46 @@
 import java.util.Set;
 
 /**
- * Settings of admission control. All of them may change at a reload.
+ * The settings of admission control. A reload may change any of them.
  *
- * @param enabled whether requests queue at all; if not, each is dispatched at once and no reasons
- *     for waiting are recorded
- * @param maxQueued maximum number of waiting tasks; beyond, the last by priority is rejected
+ * @param enabled whether requests are queued; if not, each request is dispatched at once and no
+ *     pending reasons are recorded
+ * @param maxQueued maximum number of waiting tasks; when it is exceeded, the last task by priority
+ *     of the tenant with the most tasks for its weight is rejected
  * @param maxDispatched maximum number of tasks that the policy holds without an attempt in flight;
  *     the rest wait in the queue
- * @param recallAfterMicros time after which a task that the policy holds is recalled if others
- *     wait, in microseconds
- * @param backoffMicros backoff of a recalled task, in microseconds; doubles up to 16 times that,
- *     and ends early when capacity is seen
- * @param targetWaitFraction overload begins when every task dispatched within an interval had
- *     waited longer than this fraction of its maximum wait
- * @param intervalMicros length of that interval, in microseconds; also the time between the first
- *     two tasks shed
- * @param oldestEvery every so-many-th dispatch is that of the longest waiting task, whatever its
- *     priority weight and tenant; at least 2
- * @param largeTaskFraction a task that needs this fraction of the largest machine's cores or memory
- *     is large; 1 or more for none
- * @param reserveAfterMicros wait for capacity after which a large task gets a reservation, in
+ * @param recallAfterMicros time after which a task that the policy holds without an attempt in
+ *     flight is recalled if the policy holds the maximum number and other tasks wait, in
  *     microseconds
- * @param reserveForMicros maximum length of a reservation, in microseconds; none follows for three
- *     times as long; 0 for no reservations
- * @param retryRatio retries that an owner, or a machine, may cause for each new request
- * @param retryPerSecond retries per second that are allowed in any case
+ * @param backoffMicros first backoff of a recalled task, in microseconds; doubles with each recall
+ *     up to 16 times the first, and ends early when a machine reports enough capacity
+ * @param targetWaitFraction overload begins when every task dispatched within an interval has
+ *     waited at least this fraction of its maximum wait
+ * @param intervalMicros length of the interval of {@code targetWaitFraction}, in microseconds; also
+ *     the time between the first two tasks shed
+ * @param oldestEvery of this many successive dispatches, one is that of the oldest waiting task,
+ *     regardless of its priority weight and tenant; at least 2
+ * @param largeTaskFraction a task that needs at least this fraction of the largest machine's cores
+ *     or memory is large; with 1 or more no task is large
+ * @param reserveAfterMicros time after its arrival at which a large task without capacity gets a
+ *     reservation, in microseconds
+ * @param reserveForMicros maximum length of a reservation, in microseconds; after that time no
+ *     reservation begins for three times as long; 0 disables reservations
+ * @param retryRatio retries allowed for each new request of an owner, and for each attempt on a
+ *     machine that is not a retry
+ * @param retryPerSecond retries per second that each owner and machine is allowed regardless of new
+ *     requests
  * @param minRetryAfterMicros minimum Retry-After of a rejected task, in microseconds
  * @param maxRetryAfterMicros maximum Retry-After of a rejected task, in microseconds
  * @param ownerQuota quota of each owner that {@code ownerQuotas} does not name
  * @param tenantQuota quota of each tenant that {@code tenantQuotas} does not name
  * @param siteQuota quota of all tenants together
- * @param ownerQuotas quotas by owner
- * @param tenantQuotas quotas by tenant
- * @param tenantShares fair-share weights by tenant, above 0; 1 for tenants not named
- * @param shedClasses classes whose tasks are rejected when a quota is reached; others wait
+ * @param ownerQuotas quotas by owner, for owners with a quota of their own
+ * @param tenantQuotas quotas by tenant, for tenants with a quota of their own
+ * @param tenantShares fair-share weights by tenant, each above 0; tenants that are not listed have
+ *     weight 1
+ * @param shedClasses task classes whose tasks are rejected on arrival when a quota is reached;
+ *     tasks of other classes wait
  */
 public record AdmissionSettings(
         boolean enabled,
@@ -65,9 +71,13 @@
         Map<String, Quota> tenantQuotas,
         Map<String, Double> tenantShares,
         Set<String> shedClasses) {
-    private static final double DEFAULT_SHARE = 1;
+    private static final double DEFAULT_SHARE_WEIGHT = 1;
 
-    /** Checks the range of each setting and copies the collections. */
+    /**
+     * Checks the range of each setting and copies the collections.
+     *
+     * @throws SettingOutOfRangeException if a setting is outside its range
+     */
     public AdmissionSettings {
         requireAtLeast("maxQueued", maxQueued, 1);
         requireAtLeast("maxDispatched", maxDispatched, 1);
@@ -83,14 +93,16 @@
         requireAtLeast("retryPerSecond", retryPerSecond, 0);
         requireAtLeast("minRetryAfterMicros", minRetryAfterMicros, 1);
         requireAtLeast("maxRetryAfterMicros", maxRetryAfterMicros, minRetryAfterMicros);
-        tenantShares.forEach((tenant, share) -> requirePositive("share of " + tenant, share));
+        tenantShares.forEach(
+                (tenant, weight) ->
+                        requirePositive("fair-share weight of tenant " + tenant, weight));
         ownerQuotas = Map.copyOf(ownerQuotas);
         tenantQuotas = Map.copyOf(tenantQuotas);
         tenantShares = Map.copyOf(tenantShares);
         shedClasses = Set.copyOf(shedClasses);
     }
 
-    /** Default settings: no limits but that of the queue's length. */
+    /** Returns the default settings, which have no quotas. */
     public static AdmissionSettings defaults() {
         return new AdmissionSettings(
                 true,
@@ -118,30 +130,33 @@
     }
 
     /**
-     * A copy with other quotas.
+     * Returns a copy with other quotas.
      *
-     * @param eachOwner new {@link #ownerQuota}; null to leave it
-     * @param eachTenant new {@link #tenantQuota}; null to leave it
-     * @param together new {@link #siteQuota}; null to leave it
-     * @param weights new {@link #tenantShares}; null to leave them
+     * @param newOwnerQuota new {@link #ownerQuota}; null to keep the present one
+     * @param newTenantQuota new {@link #tenantQuota}; null to keep the present one
+     * @param newSiteQuota new {@link #siteQuota}; null to keep the present one
+     * @param newTenantShares new {@link #tenantShares}; null to keep the present ones
      */
     public AdmissionSettings withQuotas(
-            Quota eachOwner, Quota eachTenant, Quota together, Map<String, Double> weights) {
+            Quota newOwnerQuota,
+            Quota newTenantQuota,
+            Quota newSiteQuota,
+            Map<String, Double> newTenantShares) {
         return copy(
                 enabled,
                 reserveForMicros,
-                eachOwner == null ? ownerQuota : eachOwner,
-                eachTenant == null ? tenantQuota : eachTenant,
-                together == null ? siteQuota : together,
-                weights == null ? tenantShares : weights);
+                newOwnerQuota == null ? ownerQuota : newOwnerQuota,
+                newTenantQuota == null ? tenantQuota : newTenantQuota,
+                newSiteQuota == null ? siteQuota : newSiteQuota,
+                newTenantShares == null ? tenantShares : newTenantShares);
     }
 
-    /** A copy with queueing disabled. */
+    /** Returns a copy with queueing disabled. */
     public AdmissionSettings disabled() {
         return copy(false, reserveForMicros, ownerQuota, tenantQuota, siteQuota, tenantShares);
     }
 
-    /** A copy without capacity reservations for large tasks. */
+    /** Returns a copy without capacity reservations for large tasks. */
     public AdmissionSettings withoutReservations() {
         return copy(enabled, 0, ownerQuota, tenantQuota, siteQuota, tenantShares);
     }
@@ -186,7 +201,7 @@
         return tenantQuotas.getOrDefault(name, tenantQuota);
     }
 
-    double shareOf(String name) {
-        return tenantShares.getOrDefault(name, DEFAULT_SHARE);
+    double shareWeightOf(String name) {
+        return tenantShares.getOrDefault(name, DEFAULT_SHARE_WEIGHT);
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/admission/Amounts.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/Amounts.java
@@ -2,12 +2,12 @@
 
 import java.util.Locale;
 
-/** Formats amounts for sentences that people read. */
+/** Formats amounts for human-readable sentences. */
 public final class Amounts {
     private Amounts() {}
 
     /**
-     * The amount as text: whole numbers without a fraction, others with two decimals.
+     * Returns the amount as text: whole numbers without a fraction, others with two decimal places.
      *
      * @param amount any number
      */
--- a/decisions/src/main/java/thornferry/decisions/admission/BackoffQueue.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/BackoffQueue.java
@@ -9,12 +9,13 @@
 import thornferry.decisions.membership.ClusterView;
 
 /**
- * Requests that back off because they found no capacity, or because they exceed the retry budget.
- * The first return to the queue when a machine reports enough capacity; when their backoff ends
- * without that, they are due for a recheck. The second return when the budget allows.
+ * Requests that back off because the policy found no capacity for them, or because they exceed the
+ * retry budget. A request without capacity returns to the queue when a machine reports enough
+ * capacity; if its backoff ends before that, it is due for a recheck, in which the policy receives
+ * it again. A request that exceeds the retry budget returns to the queue when the budget allows it.
  */
 final class BackoffQueue {
-    /** Doublings of the backoff at most. */
+    /** Maximum number of doublings of the backoff. */
     private static final int MAX_BACKOFF_DOUBLINGS = 4;
 
     private static final int MAX_BACKOFF_FACTOR = 1 << MAX_BACKOFF_DOUBLINGS;
@@ -25,7 +26,7 @@
     private final RetryBudget retryBudget;
     private final TreeSet<QueueEntry> entries = new TreeSet<>(QueueEntry.BY_PRIORITY);
 
-    /** Of the entries: those whose backoff ended though no capacity was seen. */
+    /** The subset of {@link #entries} whose backoff ended without enough reported capacity. */
     private final TreeSet<QueueEntry> dueForRecheck = new TreeSet<>(QueueEntry.BY_PRIORITY);
 
     private final EntryTimers timers = new EntryTimers();
@@ -50,7 +51,10 @@
         add(nowMicros, entry, untilMicros, BackoffCause.RETRY_BUDGET);
     }
 
-    /** Delays a recalled request; the delay doubles with each recall. */
+    /**
+     * Delays a recalled request. The delay doubles with each recall, up to the maximum; a request
+     * that fits no machine is delayed by the maximum at once.
+     */
     void backOffForCapacity(long nowMicros, QueueEntry entry) {
         long maxDelayMicros = settings.get().backoffMicros() * MAX_BACKOFF_FACTOR;
         long delayMicros =
@@ -76,15 +80,18 @@
         dueForRecheck.remove(entry);
     }
 
-    /** Returns to the queue what may be dispatched again, and marks what is due for a recheck. */
+    /**
+     * Returns the requests that may be dispatched again to the queue, and marks those due for a
+     * recheck.
+     */
     void tick(long nowMicros) {
         for (Optional<QueueEntry> expired = timers.pollExpired(nowMicros);
                 expired.isPresent();
                 expired = timers.pollExpired(nowMicros)) {
-            backoffExpired(nowMicros, expired.get());
+            handleExpiredBackoff(nowMicros, expired.get());
         }
         if (cluster.takeCapacityGained() && !entries.isEmpty()) {
-            for (QueueEntry entry : first()) {
+            for (QueueEntry entry : firstByPriority()) {
                 if (!entry.exceedsRetryBudget()
                         && cluster.hasCapacity(entry.request().cores(), entry.request().memory())) {
                     returnToQueue(nowMicros, entry);
@@ -93,7 +100,7 @@
         }
     }
 
-    private void backoffExpired(long nowMicros, QueueEntry entry) {
+    private void handleExpiredBackoff(long nowMicros, QueueEntry entry) {
         if (entry.stage() != Stage.BACKING_OFF || nowMicros < entry.backoffUntilMicros()) {
             return;
         }
@@ -113,7 +120,7 @@
 
     private void returnToQueue(long nowMicros, QueueEntry entry) {
         remove(entry);
-        entry.backoffEnded();
+        entry.endBackoff();
         index.enqueue(nowMicros, entry);
     }
 
@@ -121,13 +128,16 @@
         return dueForRecheck.contains(entry);
     }
 
-    /** The first entries by priority that are due for a recheck, up to the scan limit. */
+    /**
+     * Returns the entries due for a recheck in order of priority, up to {@link
+     * QueueIndex#MAX_SCANNED}.
+     */
     List<QueueEntry> dueForRecheck() {
         return dueForRecheck.stream().limit(QueueIndex.MAX_SCANNED).toList();
     }
 
-    /** The first entries by priority, up to the scan limit. */
-    List<QueueEntry> first() {
+    /** Returns the entries in order of priority, up to {@link QueueIndex#MAX_SCANNED}. */
+    List<QueueEntry> firstByPriority() {
         return entries.stream().limit(QueueIndex.MAX_SCANNED).toList();
     }
 
--- a/decisions/src/main/java/thornferry/decisions/admission/CapacityReservation.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/CapacityReservation.java
@@ -8,12 +8,14 @@
 import thornferry.decisions.membership.ClusterView;
 
 /**
- * Reserves capacity that becomes free for a large task that has waited long: small tasks of lower
- * priority weight are held back for a bounded time, except those short enough to end before it
- * (backfill).
+ * Reserves capacity that becomes free for a large task that has waited long. During a reservation,
+ * which has a maximum length, small tasks of lower priority weight are held back, except those that
+ * are expected to end before the reservation does (backfill).
  */
 final class CapacityReservation {
-    /** After a reservation none begins for so many times its length. */
+    /**
+     * Time after a reservation during which none begins, as a multiple of the reservation's length.
+     */
     private static final int PAUSE_FACTOR = 3;
 
     private record Reservation(QueueEntry beneficiary, long untilMicros) {}
@@ -36,7 +38,7 @@
         this.backoff = backoff;
     }
 
-    /** Whether an entry is held back now in favour of a larger one. */
+    /** Returns whether an entry is held back now in favour of a larger one. */
     boolean holdsBack(long nowMicros, QueueEntry entry) {
         return current.isPresent() && holdsBack(nowMicros, entry, current.get());
     }
@@ -49,13 +51,16 @@
                         >= reservation.beneficiary().request().priorityWeight()) {
             return false;
         }
-        boolean backfills =
+        boolean canBackfill =
                 request.expectedRunMicros() > 0
                         && nowMicros + request.expectedRunMicros() <= reservation.untilMicros();
-        return !backfills && !isLarge(entry);
+        return !canBackfill && !isLarge(entry);
     }
 
-    /** Ends a reservation that has expired or served its purpose, and begins one where needed. */
+    /**
+     * Ends a reservation that has expired or whose task has been offered or placed, and begins a
+     * new one if a large task needs it.
+     */
     void tick(long nowMicros) {
         if (current.isPresent() && hasEnded(nowMicros, current.get())) {
             current = Optional.empty();
@@ -64,7 +69,7 @@
             return;
         }
         long durationMicros = settings.get().reserveForMicros();
-        beneficiary(nowMicros)
+        findBeneficiary(nowMicros)
                 .ifPresent(
                         entry -> {
                             long untilMicros = nowMicros + durationMicros;
@@ -73,7 +78,7 @@
                         });
     }
 
-    /** An entry leaves: a reservation for it ends. */
+    /** Ends the reservation for an entry that leaves the queue. */
     void remove(QueueEntry entry) {
         if (current.isPresent() && current.get().beneficiary() == entry) {
             current = Optional.empty();
@@ -91,10 +96,10 @@
         return settings.get().reserveForMicros() > 0 && settings.get().largeTaskFraction() < 1;
     }
 
-    /** The first by priority of the large tasks that have waited long for capacity. */
-    private Optional<QueueEntry> beneficiary(long nowMicros) {
+    /** Returns the first by priority of the large tasks that have waited long for capacity. */
+    private Optional<QueueEntry> findBeneficiary(long nowMicros) {
         List<QueueEntry> candidates = new ArrayList<>(window.entries());
-        candidates.addAll(backoff.first());
+        candidates.addAll(backoff.firstByPriority());
         return candidates.stream()
                 .filter(entry -> waitsLongForCapacity(nowMicros, entry))
                 .min(QueueEntry.BY_PRIORITY);
--- a/decisions/src/main/java/thornferry/decisions/admission/DispatchWindow.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/DispatchWindow.java
@@ -10,19 +10,19 @@
 import thornferry.decisions.admission.AdmissionQueue.Stage;
 
 /**
- * What the placement policy holds. The number of requests that it holds without an attempt in
- * flight is bounded; the rest wait in the queue.
+ * The requests that the placement policy holds. The number of those without an attempt in flight is
+ * bounded; further requests wait in the queue.
  */
 final class DispatchWindow {
     private final Supplier<AdmissionSettings> settings;
 
-    /** By request id, in order of dispatch. */
+    /** Requests without an attempt in flight by request id, in order of dispatch. */
     private final Map<String, QueueEntry> dispatched = new LinkedHashMap<>();
 
-    /** Of the dispatched: those dispatched because their backoff ended. */
+    /** The subset of {@link #dispatched} that was dispatched because its backoff ended. */
     private final Set<QueueEntry> rechecks = new HashSet<>();
 
-    private int offered;
+    private int offeredCount;
 
     DispatchWindow(Supplier<AdmissionSettings> settings) {
         this.settings = settings;
@@ -32,17 +32,17 @@
         return dispatched.size() >= settings.get().maxDispatched();
     }
 
-    /** Whether rechecks take half of the window or more. */
-    boolean hasMaxRechecks() {
+    /** Returns whether rechecks take up at least half of the window, which is their maximum. */
+    boolean isRecheckLimitReached() {
         return 2 * rechecks.size() >= settings.get().maxDispatched();
     }
 
     void add(long nowMicros, QueueEntry entry) {
-        entry.dispatched(nowMicros);
+        entry.markDispatched(nowMicros);
         dispatched.put(entry.requestId(), entry);
     }
 
-    /** Counts an entry that is about to be dispatched as a recheck. */
+    /** Marks an entry that is about to be dispatched as a recheck. */
     void markRecheck(QueueEntry entry) {
         rechecks.add(entry);
     }
@@ -52,30 +52,30 @@
         rechecks.remove(entry);
     }
 
-    /** An attempt of a dispatched request starts. */
+    /** Records the start of an attempt of a dispatched request. */
     void attemptStarted(QueueEntry entry) {
         remove(entry);
         entry.moveTo(Stage.OFFERED);
-        offered++;
+        offeredCount++;
     }
 
-    /** An attempt has ended and the policy holds the request again. */
+    /** Records the end of an attempt, after which the policy holds the request again. */
     void attemptEnded(long nowMicros, QueueEntry entry) {
-        offered--;
+        offeredCount--;
         add(nowMicros, entry);
     }
 
-    /** A request with an attempt in flight leaves. */
+    /** Removes a request with an attempt in flight. */
     void removeOffered() {
-        offered--;
+        offeredCount--;
     }
 
-    /** A copy of the dispatched entries in order of dispatch. */
+    /** Returns a copy of the dispatched entries in order of dispatch. */
     List<QueueEntry> entries() {
         return new ArrayList<>(dispatched.values());
     }
 
-    /** Whether the policy has held a request for longer than it may while others wait. */
+    /** Returns whether the policy has held a request for so long that it may be recalled. */
     boolean isStalled(long nowMicros, QueueEntry entry) {
         return nowMicros - entry.dispatchedAtMicros() >= settings.get().recallAfterMicros();
     }
@@ -85,6 +85,6 @@
     }
 
     int offeredCount() {
-        return offered;
+        return offeredCount;
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/admission/Dispatcher.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/Dispatcher.java
@@ -4,7 +4,9 @@
 import java.util.function.Consumer;
 import thornferry.decisions.admission.AdmissionQueue.Action;
 
-/** Fills the dispatch window from the queue, and recalls what the policy cannot place. */
+/**
+ * Fills the dispatch window from the queue, and recalls requests that the policy does not place.
+ */
 final class Dispatcher {
     private final QueueIndex index;
     private final QuotaChecker quotas;
@@ -33,9 +35,9 @@
     }
 
     /**
-     * Dispatches what may be dispatched now. The receiver of an action may call the queue again
-     * before it returns: such a call leaves the dispatching to this one, and each step here selects
-     * anew.
+     * Dispatches every request that may be dispatched now. The consumer of an action may call the
+     * queue again before it returns. Such a nested call does not dispatch; the outer call does,
+     * because it selects the next request afresh in each step.
      */
     void dispatchReady(long nowMicros, Consumer<Action> actions) {
         if (dispatching) {
@@ -43,42 +45,42 @@
         }
         dispatching = true;
         try {
-            for (Optional<QueueEntry> next = next(nowMicros);
+            for (Optional<QueueEntry> next = selectNext(nowMicros);
                     next.isPresent();
-                    next = next(nowMicros)) {
+                    next = selectNext(nowMicros)) {
                 QueueEntry entry = next.get();
                 index.dequeue(nowMicros, entry);
                 index.removeWaiting(entry);
                 dispatch(nowMicros, entry, actions);
             }
-            recheck(nowMicros, actions);
+            dispatchRechecks(nowMicros, actions);
         } finally {
             dispatching = false;
         }
     }
 
-    private Optional<QueueEntry> next(long nowMicros) {
+    private Optional<QueueEntry> selectNext(long nowMicros) {
         if (window.isFull()) {
             return Optional.empty();
         }
         return fairShare.selectNext(
                 entry ->
-                        quotas.sharedBlock(nowMicros, entry) == null
+                        quotas.findTenantOrSiteBlock(nowMicros, entry) == null
                                 && !reservation.holdsBack(nowMicros, entry));
     }
 
     /**
-     * Dispatches requests whose backoff ended. They get at most half of the window, so that
-     * requests that no machine has capacity for do not delay others.
+     * Dispatches requests whose backoff ended. They take up at most half of the window, so that
+     * requests without capacity do not delay others.
      */
-    private void recheck(long nowMicros, Consumer<Action> actions) {
+    private void dispatchRechecks(long nowMicros, Consumer<Action> actions) {
         for (QueueEntry entry : backoff.dueForRecheck()) {
-            if (window.hasMaxRechecks() || window.isFull()) {
+            if (window.isRecheckLimitReached() || window.isFull()) {
                 break;
             }
-            // an action may have removed it meanwhile
+            // the consumer of an action may have removed the entry
             if (backoff.isDueForRecheck(entry)
-                    && quotas.block(nowMicros, entry) == null
+                    && quotas.findBlock(nowMicros, entry) == null
                     && !reservation.holdsBack(nowMicros, entry)) {
                 backoff.remove(entry);
                 index.removeWaiting(entry);
@@ -88,12 +90,15 @@
         }
     }
 
-    /** Hands a request to the policy; it must not be in the queue or back off any more. */
+    /**
+     * Hands a request to the policy. The request must already have been removed from the queue and
+     * the backoff queue.
+     */
     void dispatch(long nowMicros, QueueEntry entry, Consumer<Action> actions) {
-        boolean firstDispatch = !entry.wasDispatched();
+        boolean isFirstDispatch = !entry.wasDispatched();
         window.add(nowMicros, entry);
         index.addActive(entry);
-        if (firstDispatch) {
+        if (isFirstDispatch) {
             overload.recordWait(entry.waitedFraction(nowMicros));
             quotas.recordFirstDispatch(nowMicros, entry);
         }
@@ -103,9 +108,10 @@
     }
 
     /**
-     * Recalls requests that the policy has held for long, if they fill the window while others
-     * wait; otherwise a window full of requests without capacity would block requests that have it.
-     * What was ever offered to a machine stays, because the policy knows of its attempts.
+     * Recalls requests that the policy has held for a long time, if the window is full and others
+     * wait; otherwise a window full of requests without capacity would block requests that could be
+     * placed. A request that was ever offered to a machine is not recalled, because the policy
+     * keeps the record of its attempts.
      */
     void recallStalled(long nowMicros, Consumer<Action> actions) {
         if (!window.isFull() || index.site().waitingTasks() == 0) {
@@ -113,7 +119,7 @@
         }
         for (QueueEntry entry : window.entries()) {
             if (!window.isStalled(nowMicros, entry)) {
-                break; // those after it were dispatched later
+                break; // the following entries were dispatched later
             }
             if (!entry.wasOffered() && hasTimeForBackoff(nowMicros, entry)) {
                 recall(nowMicros, entry, actions);
--- a/decisions/src/main/java/thornferry/decisions/admission/FairShare.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/FairShare.java
@@ -7,13 +7,14 @@
 
 /**
  * Orders tenants by dominant resource fairness (A. Ghodsi et al., NSDI 2011): the tenant with the
- * lowest dominant share in relation to its weight comes next.
+ * lowest weighted dominant share, which is its dominant share divided by its weight, is served
+ * next.
  */
 final class FairShare {
     private final Supplier<AdmissionSettings> settings;
     private final ClusterView cluster;
     private final QueueIndex index;
-    private long selected;
+    private long selectedCount;
 
     FairShare(Supplier<AdmissionSettings> settings, ClusterView cluster, QueueIndex index) {
         this.settings = settings;
@@ -22,26 +23,27 @@
     }
 
     /**
-     * The eligible entry that comes next, counted as a turn. Each {@link
-     * AdmissionSettings#oldestEvery}-th turn is that of the oldest entry, which bounds every wait.
+     * Selects the eligible entry to dispatch next, if any, and counts the selection. Every {@link
+     * AdmissionSettings#oldestEvery}-th selection is that of the oldest entry, which bounds the
+     * wait of each entry.
      */
     Optional<QueueEntry> selectNext(Predicate<QueueEntry> eligible) {
-        boolean turnOfOldest = (selected + 1) % settings.get().oldestEvery() == 0;
+        boolean isTurnOfOldest = (selectedCount + 1) % settings.get().oldestEvery() == 0;
         Optional<QueueEntry> next =
-                turnOfOldest
+                isTurnOfOldest
                         ? index.oldestUnblocked().stream().filter(eligible).findFirst()
                         : Optional.empty();
         if (next.isEmpty()) {
-            next = firstOfNeediestTenant(eligible);
+            next = firstOfTenantWithLowestShare(eligible);
         }
         if (next.isPresent()) {
-            selected++;
+            selectedCount++;
         }
         return next;
     }
 
-    private Optional<QueueEntry> firstOfNeediestTenant(Predicate<QueueEntry> eligible) {
-        Optional<QueueEntry> best = Optional.empty();
+    private Optional<QueueEntry> firstOfTenantWithLowestShare(Predicate<QueueEntry> eligible) {
+        Optional<QueueEntry> next = Optional.empty();
         double minShare = Double.POSITIVE_INFINITY;
         for (TenantQueue tenant : index.tenants()) {
             if (tenant.heads().isEmpty()) {
@@ -51,11 +53,11 @@
             Optional<QueueEntry> first =
                     share < minShare ? firstEligibleHead(tenant, eligible) : Optional.empty();
             if (first.isPresent()) {
-                best = first;
+                next = first;
                 minShare = share;
             }
         }
-        return best;
+        return next;
     }
 
     private static Optional<QueueEntry> firstEligibleHead(
@@ -68,10 +70,13 @@
     }
 
     private double weight(TenantQueue tenant) {
-        return settings.get().shareOf(tenant.name());
+        return settings.get().shareWeightOf(tenant.name());
     }
 
-    /** Whether another tenant with queued entries has a lower share, and so comes first. */
+    /**
+     * Returns whether another tenant with queued entries has a lower weighted dominant share and is
+     * served first.
+     */
     boolean isAboveFairShare(TenantQueue tenant) {
         double share = weightedDominantShare(tenant);
         return index.tenants().stream()
@@ -82,7 +87,10 @@
                                         && weightedDominantShare(other) < share);
     }
 
-    /** A tenant's fraction of the weights of all tenants with waiting tasks. */
+    /**
+     * Returns the tenant's weight as a fraction of the sum over this tenant and all others with
+     * waiting tasks.
+     */
     double fractionOfWaiting(TenantQueue tenant) {
         double sum = 0;
         for (TenantQueue other : index.tenants()) {
@@ -93,7 +101,10 @@
         return weight(tenant) / sum;
     }
 
-    /** The last queued entry by priority of the tenant with the most tasks for its weight. */
+    /**
+     * Returns the last queued entry by priority of the tenant that has the most tasks in relation
+     * to its weight.
+     */
     Optional<QueueEntry> lastOfLargestTenant() {
         TenantQueue largest = null;
         for (TenantQueue tenant : index.tenants()) {
@@ -102,9 +113,9 @@
                 largest = tenant;
             }
         }
-        TenantQueue chosen = largest;
+        TenantQueue largestTenant = largest;
         return index.owners().stream()
-                .filter(owner -> owner.tenant() == chosen && !owner.isEmpty())
+                .filter(owner -> owner.tenant() == largestTenant && !owner.isEmpty())
                 .map(OwnerQueue::last)
                 .max(QueueEntry.BY_PRIORITY);
     }
--- a/decisions/src/main/java/thornferry/decisions/admission/LoadShedder.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/LoadShedder.java
@@ -4,7 +4,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.Supplier;
 
-/** Chooses which requests to reject early while the site is overloaded or the queue is full. */
+/** Selects the requests to reject early while the site is overloaded or the queue is full. */
 final class LoadShedder {
     private static final double MICROS_PER_SECOND = 1e6;
 
@@ -34,14 +34,17 @@
         this.backoff = backoff;
     }
 
-    /** Requests shed so far; rejections on arrival and at the deadline are not among them. */
+    /**
+     * Returns the number of requests shed so far, not counting rejections on arrival and at the
+     * deadline.
+     */
     long shedCount() {
         return shedCount;
     }
 
     /**
-     * Why to reject a request that has just arrived, because it would wait beyond its deadline;
-     * empty if it may wait.
+     * Returns the rejection sentence for a request that has just arrived and would wait beyond its
+     * deadline; empty if the request may wait.
      */
     Optional<String> rejectionOnArrival(long nowMicros, QueueEntry entry) {
         if (!overload.shouldRejectEarly(nowMicros)) {
@@ -58,11 +61,11 @@
      * placed: it had a reasonable maximum wait, and neither its size nor a quota prevented it.
      */
     void recordRejectionAtDeadline(long nowMicros, QueueEntry entry) {
-        boolean shortLived = entry.maxWaitMicros() < settings.get().intervalMicros() / 2;
+        boolean hasShortMaxWait = entry.maxWaitMicros() < settings.get().intervalMicros() / 2;
         boolean blockedByOwnerQuota =
                 entry.stage() == AdmissionQueue.Stage.QUEUED && entry.owner().block() != null;
         if (entry.fitsSomeMachine()
-                && !shortLived
+                && !hasShortMaxWait
                 && !entry.exceedsRetryBudget()
                 && !blockedByOwnerQuota) {
             overload.recordLateRejection(nowMicros);
@@ -70,7 +73,7 @@
     }
 
     /**
-     * Sheds what overload requires at this time.
+     * Sheds as many requests as the overload requires now.
      *
      * @param reject removes an entry and rejects it with the given reason
      */
@@ -81,17 +84,17 @@
             shedLast(RejectionText.LOWER_PRIORITY_SHED, reject);
         }
         for (int i = 0; i < QueueIndex.MAX_SCANNED && overload.shouldRejectEarly(nowMicros); i++) {
-            Optional<QueueEntry> last = last();
-            if (last.isEmpty() || isReachedInTime(nowMicros, last.get())) {
+            Optional<QueueEntry> candidate = nextToShed();
+            if (candidate.isEmpty() || isPlacedInTime(nowMicros, candidate.get())) {
                 break;
             }
-            shed(last.get(), RejectionText.WAIT_TOO_LONG, reject);
+            shed(candidate.get(), RejectionText.WAIT_TOO_LONG, reject);
         }
     }
 
-    /** Sheds the waiting request that comes last, if any. */
+    /** Sheds the waiting request that {@link #nextToShed} returns, if any. */
     void shedLast(String reason, BiConsumer<QueueEntry, String> reject) {
-        last().ifPresent(entry -> shed(entry, reason, reject));
+        nextToShed().ifPresent(entry -> shed(entry, reason, reject));
     }
 
     private void shed(QueueEntry entry, String reason, BiConsumer<QueueEntry, String> reject) {
@@ -99,45 +102,56 @@
         reject.accept(entry, reason);
     }
 
-    private Optional<QueueEntry> last() {
+    /**
+     * Returns the last queued request by priority of the tenant with the most tasks for its weight,
+     * or else the last request by priority that backs off.
+     */
+    private Optional<QueueEntry> nextToShed() {
         return fairShare.lastOfLargestTenant().or(backoff::lowestPriority);
     }
 
-    /** Where nothing was dispatched in the interval, the wait of what comes next is the sample. */
+    /**
+     * Records the wait of the oldest dispatchable request as a sample if nothing was dispatched in
+     * the interval.
+     */
     private void sampleWait(long nowMicros) {
         if (index.site().waitingTasks() == 0) {
             overload.recordWait(0);
         } else if (!overload.hasSample()) {
-            double waited =
-                    nextInAge(nowMicros).map(entry -> entry.waitedFraction(nowMicros)).orElse(0.0);
-            if (waited < settings.get().targetWaitFraction()
+            double waitedFraction =
+                    oldestDispatchable(nowMicros)
+                            .map(entry -> entry.waitedFraction(nowMicros))
+                            .orElse(0.0);
+            if (waitedFraction < settings.get().targetWaitFraction()
                     || overload.intervalHasEnded(nowMicros)) {
-                overload.recordWait(waited);
+                overload.recordWait(waitedFraction);
             }
         }
     }
 
-    private Optional<QueueEntry> nextInAge(long nowMicros) {
+    private Optional<QueueEntry> oldestDispatchable(long nowMicros) {
         return index.oldestUnblocked().stream()
                 .limit(QueueIndex.MAX_SCANNED)
-                .filter(entry -> quotas.sharedBlock(nowMicros, entry) == null)
+                .filter(entry -> quotas.findTenantOrSiteBlock(nowMicros, entry) == null)
                 .findFirst()
                 .or(backoff::highestPriority);
     }
 
-    private boolean isReachedInTime(long nowMicros, QueueEntry entry) {
+    private boolean isPlacedInTime(long nowMicros, QueueEntry entry) {
         return estimatedWaitMicros(entry) <= entry.request().remainingMicros(nowMicros);
     }
 
     /**
-     * Estimated wait behind all requests of the same tenant with at least the same priority weight,
-     * at the present placement rate.
+     * Estimates the wait behind all placeable waiting requests of the same tenant with at least the
+     * same priority weight, at the tenant's fair share of the present placement rate.
      */
     private double estimatedWaitMicros(QueueEntry entry) {
         TenantQueue tenant = entry.tenant();
-        int ahead = tenant.countWaitingFrom(entry.request().priorityWeight());
+        int waitingAhead = tenant.countWaitingAtOrAbove(entry.request().priorityWeight());
         double placementsPerSecond =
                 overload.placementsPerSecond() * fairShare.fractionOfWaiting(tenant);
-        return ahead * MICROS_PER_SECOND / Math.max(MIN_PLACEMENTS_PER_SECOND, placementsPerSecond);
+        return waitingAhead
+                * MICROS_PER_SECOND
+                / Math.max(MIN_PLACEMENTS_PER_SECOND, placementsPerSecond);
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/admission/LoginRateLimiter.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/LoginRateLimiter.java
@@ -5,22 +5,23 @@
 import java.util.LinkedHashMap;
 
 /**
- * Slows down password guessing: after failed logins, further attempts with the same login from the
- * same address are delayed. The legitimate owner at another address, and other logins at the same
- * address, are not affected.
+ * Slows down password guessing. After failed logins, further attempts with the same login from the
+ * same address are delayed. Attempts with the same login from another address, and with another
+ * login from the same address, are not affected.
  *
- * <p>Not safe for use by several threads. Times are microseconds of the caller's monotonic clock.
+ * <p>Instances are not thread-safe. Times are microseconds of the caller's monotonic clock.
  */
 public final class LoginRateLimiter {
     /**
-     * Settings of the limiter.
+     * The settings of the limiter.
      *
-     * @param freeFailures failures that cause no delay
-     * @param firstDelayMicros delay after the next failure; doubles with each further one
+     * @param freeFailures number of failures that cause no delay
+     * @param firstDelayMicros delay after the first failure beyond {@code freeFailures}; doubles
+     *     with each further one
      * @param maxDelayMicros maximum delay
-     * @param forgetAfterMicros failures are discarded after this time without an attempt
-     * @param maxTracked maximum number of pairs of address and login tracked; beyond, the least
-     *     recently used are discarded
+     * @param forgetAfterMicros time without an attempt after which failures are discarded
+     * @param maxTracked maximum number of tracked pairs of address and login; beyond it, the least
+     *     recently used pairs are discarded
      */
     public record Settings(
             int freeFailures,
@@ -28,11 +29,18 @@
             long maxDelayMicros,
             long forgetAfterMicros,
             int maxTracked) {
-        /** 3 free failures, delays from 0.2 s to 10 s, discarded after 10 minutes. */
+        /**
+         * The default settings: 3 failures without delay, delays from 0.2 s to 10 s, failures
+         * discarded after 10 minutes.
+         */
         public static final Settings DEFAULTS =
                 new Settings(3, 200_000, 10_000_000, 600_000_000, 20_000);
 
-        /** Checks the range of each setting. */
+        /**
+         * Checks the range of each setting.
+         *
+         * @throws SettingOutOfRangeException if a setting is outside its range
+         */
         public Settings {
             requireAtLeast("freeFailures", freeFailures, 0);
             requireAtLeast("firstDelayMicros", firstDelayMicros, 1);
@@ -49,20 +57,23 @@
     }
 
     /**
-     * Delayed attempts of one pair that may be pending at a time. Without this limit a single
-     * guesser could occupy many connections.
+     * Maximum number of attempts of a delayed pair that may be pending at a time. Without this
+     * limit a single attacker could occupy many connections.
      */
     private static final int MAX_PENDING_ATTEMPTS = 2;
 
-    /** Limits the doubling so that the delay does not overflow. */
+    /** Maximum number of doublings of the delay, so that it does not overflow. */
     private static final int MAX_DELAY_DOUBLINGS = 30;
 
-    /** Result of {@link #attemptStarted} for an attempt to be rejected unchecked. */
+    /**
+     * Result of {@link #attemptStarted} for an attempt that is rejected without a check of its
+     * passcode.
+     */
     private static final long REJECTED = -1;
 
     private final Settings settings;
 
-    /** By pair of address and login, least recently used first. */
+    /** Histories by {@link #key} of address and login, least recently used first. */
     private final LinkedHashMap<String, LoginHistory> histories = new LinkedHashMap<>();
 
     /** Creates a limiter without history. */
@@ -75,23 +86,26 @@
     }
 
     /**
-     * A login attempt arrives.
+     * Records the start of a login attempt.
      *
-     * @return when its passcode may be checked, in microseconds; -1 if the attempt is to be
-     *     rejected unchecked
+     * @return the time at which the passcode may be checked, in microseconds; -1 if the attempt is
+     *     to be rejected without a check
      */
     public long attemptStarted(long nowMicros, String address, String login) {
         LoginHistory history = touchHistory(nowMicros, key(address, login));
-        boolean delayed = history.failures > settings.freeFailures();
-        if (delayed && history.pendingAttempts >= MAX_PENDING_ATTEMPTS) {
+        boolean isDelayed = history.failures > settings.freeFailures();
+        if (isDelayed && history.pendingAttempts >= MAX_PENDING_ATTEMPTS) {
             return REJECTED;
         }
         history.pendingAttempts++;
         history.lastAttemptMicros = nowMicros;
-        return delayed ? nowMicros + delayMicros(history) : nowMicros;
+        return isDelayed ? nowMicros + delayMicros(history) : nowMicros;
     }
 
-    /** The history of a pair, new if unknown or outdated, as the most recently used one. */
+    /**
+     * Returns the history of a pair and marks it as the most recently used; creates it if absent or
+     * outdated.
+     */
     private LoginHistory touchHistory(long nowMicros, String key) {
         LoginHistory history = histories.remove(key);
         if (history == null || isOutdated(nowMicros, history)) {
@@ -116,20 +130,20 @@
     }
 
     /**
-     * A passcode has been checked. A successful login discards all failures.
+     * Records the result of a passcode check. A successful login discards all failures.
      *
-     * @param good whether the passcode was right
+     * @param passcodeValid whether the passcode was right
      */
-    public void attemptEnded(long nowMicros, String address, String login, boolean good) {
+    public void attemptEnded(long nowMicros, String address, String login, boolean passcodeValid) {
         LoginHistory history = histories.get(key(address, login));
         if (history != null) {
             history.pendingAttempts = Math.max(0, history.pendingAttempts - 1);
-            history.failures = good ? 0 : history.failures + 1;
+            history.failures = passcodeValid ? 0 : history.failures + 1;
             history.lastAttemptMicros = nowMicros;
         }
     }
 
-    /** An attempt ended without its passcode having been checked. */
+    /** Records the end of an attempt whose passcode was not checked. */
     public void abandoned(String address, String login) {
         LoginHistory history = histories.get(key(address, login));
         if (history != null) {
--- a/decisions/src/main/java/thornferry/decisions/admission/OverloadController.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/OverloadController.java
@@ -4,30 +4,33 @@
 import java.util.function.Supplier;
 
 /**
- * Detects overload, decides when to shed the next task, and when rejected clients should retry.
+ * Detects overload and determines when the next task is shed and when rejected clients should
+ * retry.
  *
- * <p>After CoDel (K. Nichols and V. Jacobson, "Controlling Queue Delay", ACM Queue 2012): the
- * minimum wait within an interval, not the mean, distinguishes a standing queue from a burst that
- * drains by itself. Waits are measured as fractions of each request's maximum wait, because these
- * differ by orders of magnitude.
+ * <p>The algorithm follows CoDel (K. Nichols and V. Jacobson, "Controlling Queue Delay", ACM Queue
+ * 2012): the minimum wait within an interval, not the mean, distinguishes a standing queue from a
+ * burst that drains by itself. Each wait is measured as a fraction of the request's maximum wait,
+ * because maximum waits differ by orders of magnitude.
  */
 final class OverloadController {
+    /** Minimum length of a period of the rate estimates. */
     private static final long RATE_PERIOD_MICROS = 200_000;
+
     private static final double MICROS_PER_SECOND = 1e6;
 
-    /** A time before all others that a current time can be subtracted from without overflow. */
+    /** Time before all others; its difference to any current time does not overflow. */
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
-    /** Minimum of no samples. */
+    /** Value of {@link #minWaitedFraction} in an interval without samples. */
     private static final double NO_SAMPLE = Double.POSITIVE_INFINITY;
 
-    /** Intervals for which a late rejection counts as a sign of overload. */
+    /** Number of intervals for which a late rejection counts as a sign of overload. */
     private static final int LATE_REJECTION_INTERVALS = 2;
 
-    /** Part of the placement rate that retries get at least. */
+    /** Lower bound of the fraction of the placement rate that is allotted to retries. */
     private static final double MIN_RETRY_FRACTION = 1.0 / 4;
 
-    /** Distinguishes the random sequence from others drawn from the same seed. */
+    /** Makes the random sequence differ from other sequences with the same seed. */
     private static final long SEED_SALT = 0x11e;
 
     private final Supplier<AdmissionSettings> settings;
@@ -37,26 +40,29 @@
     private double minWaitedFraction = NO_SAMPLE;
     private long intervalEndMicros = NEVER_MICROS;
     private boolean overloaded;
-    private int shedCount;
+    private int shedsInOverload;
     private long nextShedMicros;
     private long ratePeriodStartMicros = NEVER_MICROS;
     private long nextRetrySlotMicros;
     private long lastLateRejectionMicros = NEVER_MICROS;
 
     /**
-     * @param seed of the random spread of retry delays
+     * @param seed seed of the random spread of retry delays
      */
     OverloadController(Supplier<AdmissionSettings> settings, long seed) {
         this.settings = settings;
         this.random = new SplittableRandom(seed ^ SEED_SALT);
     }
 
-    /** A request was dispatched, or would be next, after this fraction of its maximum wait. */
+    /**
+     * Records the fraction of its maximum wait that a request has waited when it is dispatched or
+     * is next to be.
+     */
     void recordWait(double waitedFraction) {
         minWaitedFraction = Math.min(minWaitedFraction, waitedFraction);
     }
 
-    /** Whether the current interval has a sample. */
+    /** Returns whether the current interval has a sample. */
     boolean hasSample() {
         return minWaitedFraction != NO_SAMPLE;
     }
@@ -72,7 +78,7 @@
         } else if (intervalHasEnded(nowMicros)) {
             if (!overloaded && hasSample()) {
                 overloaded = true;
-                shedCount = 0;
+                shedsInOverload = 0;
                 nextShedMicros = nowMicros;
             }
             beginInterval(nowMicros);
@@ -81,21 +87,25 @@
     }
 
     /**
-     * Discards the samples and begins a new interval. Called after a pause of this process, whose
-     * effect on waits would otherwise count as overload.
+     * Discards the samples and begins a new interval. Also to be called after a pause of this
+     * process, because the waits during the pause would otherwise count as overload.
      */
     void beginInterval(long nowMicros) {
         minWaitedFraction = NO_SAMPLE;
         intervalEndMicros = nowMicros + settings.get().intervalMicros();
     }
 
-    /** Whether to shed a task now; the time to the next shrinks while overload lasts. */
+    /**
+     * Returns whether a task is to be shed now, and if so, sets the time of the next. As in CoDel,
+     * the time between two shed tasks is inversely proportional to the square root of the number
+     * shed during the overload.
+     */
     boolean takeShed(long nowMicros) {
         if (!overloaded || nowMicros < nextShedMicros) {
             return false;
         }
-        shedCount++;
-        nextShedMicros += (long) (settings.get().intervalMicros() / Math.sqrt(shedCount));
+        shedsInOverload++;
+        nextShedMicros += (long) (settings.get().intervalMicros() / Math.sqrt(shedsInOverload));
         return true;
     }
 
@@ -103,15 +113,16 @@
         return overloaded;
     }
 
-    /** A task was rejected only at its deadline, though some machine is large enough for it. */
+    /** Records that a task that fits some machine was rejected only at its deadline. */
     void recordLateRejection(long nowMicros) {
         lastLateRejectionMicros = nowMicros;
     }
 
     /**
-     * Whether to reject early what would not be placed in time. The minimum wait does not suffice
-     * to decide this: requests of high priority weight are dispatched at once while those of low
-     * weight wait in vain. Late rejections reveal that.
+     * Returns whether requests that would not be placed in time are to be rejected early. The
+     * minimum wait does not suffice to decide this: requests of high priority weight may be
+     * dispatched at once while those of low weight wait past their deadlines. Late rejections
+     * reveal this.
      */
     boolean shouldRejectEarly(long nowMicros) {
         return overloaded
@@ -120,11 +131,11 @@
     }
 
     void recordPlacement() {
-        placements.count();
+        placements.recordEvent();
     }
 
     void recordNewRequest() {
-        newRequests.count();
+        newRequests.recordEvent();
     }
 
     double placementsPerSecond() {
@@ -145,21 +156,25 @@
     }
 
     /**
-     * Delay after which a client rejected now should retry, in microseconds. Clients rejected
-     * together get successive slots, each spread at random, at the placement rate that new requests
-     * leave; without this they would return together.
+     * Returns the delay after which a client rejected now should retry, in microseconds. Clients
+     * rejected at the same time get successive slots, at the placement rate that new requests leave
+     * over, and each delay is drawn at random between half the time to the slot and all of it;
+     * otherwise all these clients would retry at once.
      */
     long nextRetryAfterMicros(long nowMicros) {
-        double placed = placements.perSecond();
-        double spare = Math.max(placed * MIN_RETRY_FRACTION, placed - newRequests.perSecond());
-        long slotMicros = (long) (MICROS_PER_SECOND / Math.max(1, spare));
+        double placementRate = placements.perSecond();
+        double spareRate =
+                Math.max(
+                        placementRate * MIN_RETRY_FRACTION,
+                        placementRate - newRequests.perSecond());
+        long slotMicros = (long) (MICROS_PER_SECOND / Math.max(1, spareRate));
         nextRetrySlotMicros = Math.max(nextRetrySlotMicros, nowMicros) + slotMicros;
         long waitMicros = nextRetrySlotMicros - nowMicros;
         long maxMicros = settings.get().maxRetryAfterMicros();
         long minMicros = settings.get().minRetryAfterMicros();
         if (waitMicros > maxMicros) {
-            // More clients than there are slots: spread over all of it, as any concentration
-            // within it would be another wave.
+            // There are more clients than slots. Their delays are spread over the whole range,
+            // because a concentration anywhere in it would cause another burst of retries.
             nextRetrySlotMicros = nowMicros + maxMicros;
             return minMicros / 2 + random.nextLong(Math.max(1, maxMicros - minMicros / 2));
         }
--- a/decisions/src/main/java/thornferry/decisions/admission/OwnerQueue.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/OwnerQueue.java
@@ -2,16 +2,16 @@
 
 import java.util.TreeSet;
 
-/** An owner's queued entries and usage. */
+/** The queued entries and the usage of one owner. */
 final class OwnerQueue {
     private final UsageTotals usage;
     private final TenantQueue tenant;
     private final TreeSet<QueueEntry> byPriority = new TreeSet<>(QueueEntry.BY_PRIORITY);
     private final TreeSet<QueueEntry> byAge = new TreeSet<>(QueueEntry.BY_AGE);
     private QuotaBlock block;
-    private long wakeAtMicros = Long.MIN_VALUE;
-    private QueueEntry listedHead;
-    private QueueEntry listedOldest;
+    private long nextCheckAtMicros = Long.MIN_VALUE;
+    private QueueEntry indexedHead;
+    private QueueEntry indexedOldest;
 
     OwnerQueue(String name, TenantQueue tenant) {
         this.usage = new UsageTotals(name);
@@ -56,7 +56,10 @@
         return byAge.first();
     }
 
-    /** How many queued entries come before this one by priority, counted up to {@code max}. */
+    /**
+     * Returns the number of queued entries that precede this one by priority, counted up to {@code
+     * max}.
+     */
     int countBefore(QueueEntry entry, int max) {
         int count = 0;
         for (QueueEntry other : byPriority) {
@@ -68,7 +71,7 @@
         return count;
     }
 
-    /** The owner's quota that blocks its head; null if none does. */
+    /** Returns the owner's quota that blocks the head of this queue, or null if none does. */
     QuotaBlock block() {
         return block;
     }
@@ -77,30 +80,38 @@
         block = newBlock;
     }
 
-    /** When the block is checked again; in the past if no check is due. */
-    long wakeAtMicros() {
-        return wakeAtMicros;
+    /**
+     * Returns the time at which the block is checked next; a time in the past if no check is
+     * scheduled.
+     */
+    long nextCheckAtMicros() {
+        return nextCheckAtMicros;
     }
 
-    void setWakeAtMicros(long newWakeAtMicros) {
-        wakeAtMicros = newWakeAtMicros;
+    void setNextCheckAtMicros(long newNextCheckAtMicros) {
+        nextCheckAtMicros = newNextCheckAtMicros;
     }
 
-    /** The head as the tenant's index has it; null if absent there. */
-    QueueEntry listedHead() {
-        return listedHead;
+    /**
+     * Returns the entry that {@link TenantQueue#heads} has for this owner, or null if it has none.
+     */
+    QueueEntry indexedHead() {
+        return indexedHead;
     }
 
-    void setListedHead(QueueEntry entry) {
-        listedHead = entry;
+    void setIndexedHead(QueueEntry entry) {
+        indexedHead = entry;
     }
 
-    /** The oldest entry as the site-wide index has it; null if absent there. */
-    QueueEntry listedOldest() {
-        return listedOldest;
+    /**
+     * Returns the entry that {@link QueueIndex#oldestUnblocked} has for this owner, or null if it
+     * has none.
+     */
+    QueueEntry indexedOldest() {
+        return indexedOldest;
     }
 
-    void setListedOldest(QueueEntry entry) {
-        listedOldest = entry;
+    void setIndexedOldest(QueueEntry entry) {
+        indexedOldest = entry;
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/admission/QueueEntry.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/QueueEntry.java
@@ -3,22 +3,22 @@
 import java.util.Comparator;
 import thornferry.decisions.admission.AdmissionQueue.Stage;
 
-/** A request in the hands of admission control, from its arrival until its task has ended. */
+/** The state of a request in admission control, from its arrival until its task has ended. */
 final class QueueEntry {
     /**
-     * The policy answers 40 ms before the deadline, so a request that has less than this left
-     * cannot be dispatched any more.
+     * Minimum time before its deadline at which a request may still be dispatched. The policy
+     * answers 40 ms before the deadline.
      */
     static final long DISPATCH_MARGIN_MICROS = 60_000;
 
-    /** Oldest first. */
+    /** Orders entries by age, oldest first. */
     static final Comparator<QueueEntry> BY_AGE =
             Comparator.comparingLong(entry -> entry.sequenceNumber);
 
     /**
-     * Highest priority weight first; among equals new requests before retries, so that a wave of
-     * retries takes only the capacity that new requests leave; then the earliest deadline, then the
-     * oldest.
+     * Orders entries by priority weight, highest first. Among equal weights, new requests come
+     * before retries, so that a burst of retries takes only the capacity that new requests leave
+     * over; then the earliest deadline comes first, then the oldest entry.
      */
     static final Comparator<QueueEntry> BY_PRIORITY =
             Comparator.<QueueEntry>comparingDouble(entry -> -entry.request.priorityWeight())
@@ -26,13 +26,13 @@
                     .thenComparingLong(entry -> entry.request.deadlineMicros())
                     .thenComparing(BY_AGE);
 
-    /** Why an entry backs off. */
+    /** The reason for which an entry backs off. */
     enum BackoffCause {
-        /** It does not back off. */
+        /** The entry does not back off. */
         NONE,
         /** The policy found no machine with enough free capacity. */
         NO_CAPACITY,
-        /** It is a retry beyond the retry budget. */
+        /** The request is a retry beyond the retry budget. */
         RETRY_BUDGET
     }
 
@@ -43,7 +43,7 @@
     private final boolean fitsSomeMachine;
     private Stage stage = Stage.QUEUED;
 
-    /** The furthest stage that it has reached, up to {@link Stage#OFFERED}. */
+    /** The furthest stage that the entry has reached, up to {@link Stage#OFFERED}. */
     private Stage furthestStage = Stage.QUEUED;
 
     private BackoffCause backoffCause = BackoffCause.NONE;
@@ -52,8 +52,8 @@
     private int recallCount;
 
     /**
-     * @param sequenceNumber ascends with arrival
-     * @param fitsSomeMachine whether any machine known at arrival is large enough
+     * @param sequenceNumber number that increases with each arrival
+     * @param fitsSomeMachine whether any machine known at arrival is large enough for the task
      */
     QueueEntry(
             QueuedRequest request,
@@ -88,7 +88,7 @@
         return arrivedAtMicros;
     }
 
-    /** Whether any machine known at arrival is large enough for the task. */
+    /** Returns whether any machine known at arrival is large enough for the task. */
     boolean fitsSomeMachine() {
         return fitsSomeMachine;
     }
@@ -104,27 +104,27 @@
         }
     }
 
-    /** Whether it waits for dispatch, in the queue or backing off. */
+    /** Returns whether the request waits for dispatch, in the queue or backing off. */
     boolean isWaiting() {
         return stage == Stage.QUEUED || stage == Stage.BACKING_OFF;
     }
 
-    /** Whether the policy has received it, now or before. */
+    /** Returns whether the request has ever been dispatched to the policy. */
     boolean wasDispatched() {
         return furthestStage.compareTo(Stage.DISPATCHED) >= 0;
     }
 
-    /** Whether a machine has received an attempt of it, now or before. */
+    /** Returns whether the request has ever been offered to a machine. */
     boolean wasOffered() {
         return furthestStage.compareTo(Stage.OFFERED) >= 0;
     }
 
-    void dispatched(long nowMicros) {
+    void markDispatched(long nowMicros) {
         moveTo(Stage.DISPATCHED);
         dispatchedAtMicros = nowMicros;
     }
 
-    /** When the policy received it last, or its last attempt ended. */
+    /** Returns the time of the last dispatch or, if later, the end of the last attempt. */
     long dispatchedAtMicros() {
         return dispatchedAtMicros;
     }
@@ -135,11 +135,11 @@
         backoffCause = cause;
     }
 
-    void backoffEnded() {
+    void endBackoff() {
         backoffCause = BackoffCause.NONE;
     }
 
-    /** When its latest backoff ends; 0 if it never backed off. */
+    /** Returns the end of the latest backoff; 0 if the request never backed off. */
     long backoffUntilMicros() {
         return backoffUntilMicros;
     }
@@ -148,27 +148,27 @@
         return backoffCause == BackoffCause.RETRY_BUDGET;
     }
 
-    /** Counts a recall; returns how many came before it. */
+    /** Counts a recall and returns the number of earlier ones. */
     int countRecall() {
         return recallCount++;
     }
 
-    /** Fraction of the time from arrival to deadline that has passed. */
+    /** Returns the fraction of the time from arrival to deadline that has passed. */
     double waitedFraction(long nowMicros) {
         return (nowMicros - arrivedAtMicros) / (double) Math.max(1, maxWaitMicros());
     }
 
-    /** Time from arrival to deadline. */
+    /** Returns the time from arrival to deadline. */
     long maxWaitMicros() {
         return request.deadlineMicros() - arrivedAtMicros;
     }
 
-    /** The last time at which a dispatch can still succeed. */
+    /** Returns the latest time at which a dispatch can still succeed. */
     long latestDispatchMicros() {
         return request.deadlineMicros() - DISPATCH_MARGIN_MICROS;
     }
 
-    /** The last time until which it may back off and still be dispatched in time afterwards. */
+    /** Returns the latest end of a backoff that leaves enough time for a dispatch afterwards. */
     long latestBackoffMicros() {
         return request.deadlineMicros() - 2 * DISPATCH_MARGIN_MICROS;
     }
--- a/decisions/src/main/java/thornferry/decisions/admission/QueueIndex.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/QueueIndex.java
@@ -11,9 +11,15 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Queued entries by owner, tenant and age, and the usage of owners, tenants and the site. */
+/**
+ * Indexes queued entries by owner, tenant and age, and keeps the usage of owners, tenants and the
+ * site.
+ */
 final class QueueIndex {
-    /** Entries that a single step looks at, so that its time stays bounded in a long queue. */
+    /**
+     * Maximum number of entries that one step examines, so that its time is bounded however long
+     * the queue is.
+     */
     static final int MAX_SCANNED = 256;
 
     private final QuotaChecker quotas;
@@ -21,18 +27,19 @@
     private final Map<String, OwnerQueue> owners = new HashMap<>();
     private final Map<String, TenantQueue> tenants = new LinkedHashMap<>();
 
-    /** The oldest entry of each owner that no quota of its own blocks. */
+    /** The oldest entry of each owner whose head no quota of that owner blocks. */
     private final TreeSet<QueueEntry> oldestUnblocked = new TreeSet<>(QueueEntry.BY_AGE);
 
-    private final PriorityQueue<Long> ownerWakeTimes = new PriorityQueue<>();
+    /** Times at which a block of some owner may have ended. */
+    private final PriorityQueue<Long> blockCheckTimes = new PriorityQueue<>();
 
     QueueIndex(QuotaChecker quotas, UsageTotals site) {
         this.quotas = quotas;
         this.site = site;
     }
 
-    /** The owner of a request; created if nothing of it is known. */
-    OwnerQueue ownerOf(QueuedRequest request) {
+    /** Returns the queue of a request's owner; creates it, and that of the tenant, if absent. */
+    OwnerQueue getOrCreateOwner(QueuedRequest request) {
         OwnerQueue owner = owners.get(request.owner());
         if (owner == null) {
             TenantQueue tenant = tenants.computeIfAbsent(request.tenant(), TenantQueue::new);
@@ -50,7 +57,7 @@
         return owners.values();
     }
 
-    /** Tenants in order of their first request. */
+    /** Returns the tenants in order of their first requests. */
     Collection<TenantQueue> tenants() {
         return tenants.values();
     }
@@ -59,6 +66,10 @@
         return site;
     }
 
+    /**
+     * Returns the oldest entry of each owner whose head no quota of that owner blocks, oldest
+     * first.
+     */
     NavigableSet<QueueEntry> oldestUnblocked() {
         return oldestUnblocked;
     }
@@ -98,7 +109,7 @@
         site.removeActive(entry.request());
     }
 
-    /** Discards an owner of whom nothing waits or is active, and its tenant likewise. */
+    /** Removes an owner without waiting or active tasks, and its tenant if that has none either. */
     void discardIfIdle(long nowMicros, OwnerQueue owner) {
         if (!owner.usage().isIdle() || owners.get(owner.name()) != owner) {
             return;
@@ -112,36 +123,37 @@
     }
 
     /**
-     * Checks an owner's quota anew. Its head is listed with its tenant, and its oldest entry
-     * site-wide, unless a quota of its own blocks the head.
+     * Rechecks an owner's quota and updates the indexes. Unless a quota of the owner blocks its
+     * head, the head is in {@link TenantQueue#heads} and the oldest entry is in {@link
+     * #oldestUnblocked}.
      */
     void refresh(long nowMicros, OwnerQueue owner) {
         QueueEntry head = owner.isEmpty() ? null : owner.head();
-        QuotaBlock block = head == null ? null : quotas.ownerBlock(nowMicros, head);
+        QuotaBlock block = head == null ? null : quotas.findOwnerBlock(nowMicros, head);
         owner.setBlock(block);
-        listHead(owner, block == null ? head : null);
-        listOldest(owner, head == null || block != null ? null : owner.oldest());
-        if (block != null && block.endsWithTime() && owner.wakeAtMicros() <= nowMicros) {
-            owner.setWakeAtMicros(block.untilMicros());
-            ownerWakeTimes.add(block.untilMicros());
+        indexHead(owner, block == null ? head : null);
+        indexOldest(owner, head == null || block != null ? null : owner.oldest());
+        if (block != null && block.endsWithTime() && owner.nextCheckAtMicros() <= nowMicros) {
+            owner.setNextCheckAtMicros(block.untilMicros());
+            blockCheckTimes.add(block.untilMicros());
         }
     }
 
-    /** Checks all owners' quotas anew, after a change of the settings. */
+    /** Rechecks the quotas of all owners after a change of the settings. */
     void refreshAll(long nowMicros) {
         for (OwnerQueue owner : owners.values()) {
             refresh(nowMicros, owner);
         }
     }
 
-    /** Checks blocked owners' quotas anew if time may have ended a block. */
+    /** Rechecks the quotas of blocked owners if a block may have ended with time. */
     void refreshBlockedOwners(long nowMicros) {
-        boolean wakeTimePassed = false;
-        while (!ownerWakeTimes.isEmpty() && ownerWakeTimes.peek() <= nowMicros) {
-            ownerWakeTimes.poll();
-            wakeTimePassed = true;
+        boolean isCheckDue = false;
+        while (!blockCheckTimes.isEmpty() && blockCheckTimes.peek() <= nowMicros) {
+            blockCheckTimes.poll();
+            isCheckDue = true;
         }
-        if (wakeTimePassed) {
+        if (isCheckDue) {
             new ArrayList<>(owners.values())
                     .stream()
                             .filter(owner -> owner.block() != null)
@@ -149,28 +161,28 @@
         }
     }
 
-    private static void listHead(OwnerQueue owner, QueueEntry head) {
-        QueueEntry listed = owner.listedHead();
-        if (listed != head) {
-            replace(owner.tenant().heads(), listed, head);
-            owner.setListedHead(head);
+    private static void indexHead(OwnerQueue owner, QueueEntry head) {
+        QueueEntry indexed = owner.indexedHead();
+        if (indexed != head) {
+            replace(owner.tenant().heads(), indexed, head);
+            owner.setIndexedHead(head);
         }
     }
 
-    private void listOldest(OwnerQueue owner, QueueEntry oldest) {
-        QueueEntry listed = owner.listedOldest();
-        if (listed != oldest) {
-            replace(oldestUnblocked, listed, oldest);
-            owner.setListedOldest(oldest);
+    private void indexOldest(OwnerQueue owner, QueueEntry oldest) {
+        QueueEntry indexed = owner.indexedOldest();
+        if (indexed != oldest) {
+            replace(oldestUnblocked, indexed, oldest);
+            owner.setIndexedOldest(oldest);
         }
     }
 
-    private static void replace(Set<QueueEntry> set, QueueEntry before, QueueEntry after) {
-        if (before != null) {
-            set.remove(before);
+    private static void replace(Set<QueueEntry> set, QueueEntry previous, QueueEntry next) {
+        if (previous != null) {
+            set.remove(previous);
         }
-        if (after != null) {
-            set.add(after);
+        if (next != null) {
+            set.add(next);
         }
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/admission/QueuedRequest.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/QueuedRequest.java
@@ -1,19 +1,19 @@
 package thornferry.decisions.admission;
 
 /**
- * A request for placement as the admission queue sees it.
+ * The properties of a placement request that admission control uses.
  *
- * @param requestId identifies the request
- * @param owner login that the task belongs to
+ * @param requestId id of the request
+ * @param owner the account that the task belongs to
  * @param tenant tenant of the owner
  * @param taskClass class of the task
- * @param priorityWeight higher weights are dispatched first within a tenant
+ * @param priorityWeight weight by which requests of a tenant are ordered, highest first
  * @param cores cores that the task needs
  * @param memory memory that the task needs, in the unit of the machine sizes
  * @param deadlineMicros time by which the task must be placed
  * @param expectedRunMicros expected run time; 0 if unknown
  * @param retry whether the request repeats an earlier one
- * @param rejectedBy machine that rejected the previous attempt; empty if none did
+ * @param rejectedBy machine that rejected the previous attempt; empty if no machine did
  */
 public record QueuedRequest(
         String requestId,
@@ -27,7 +27,7 @@
         long expectedRunMicros,
         boolean retry,
         String rejectedBy) {
-    /** Time left until the deadline; negative after it. */
+    /** Returns the time left until the deadline; negative after the deadline. */
     long remainingMicros(long nowMicros) {
         return deadlineMicros - nowMicros;
     }
--- a/decisions/src/main/java/thornferry/decisions/admission/Quota.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/Quota.java
@@ -4,16 +4,16 @@
 import static thornferry.decisions.admission.SettingOutOfRangeException.requirePositive;
 
 /**
- * Limits of an owner, a tenant or the site. Positive infinity stands for "unlimited" in each
- * component.
+ * The limits of an owner, a tenant or the site. A component that is positive infinity sets no
+ * limit.
  *
- * @param maxWaiting tasks that may wait; a further one is rejected
- * @param maxTasks tasks dispatched or placed at a time
- * @param perSecond tasks dispatched per second
- * @param burst tasks that may be dispatched at once after a pause
- * @param maxCores cores of the tasks dispatched or placed at a time
- * @param maxMemory memory of the tasks dispatched or placed at a time, in the unit of the machine
- *     sizes
+ * @param maxWaiting maximum number of waiting tasks; further tasks are rejected
+ * @param maxTasks maximum number of tasks that are dispatched or placed at a time
+ * @param perSecond maximum number of tasks dispatched per second
+ * @param burst maximum number of tasks that may be dispatched at once after a pause
+ * @param maxCores maximum sum of the cores of the tasks that are dispatched or placed at a time
+ * @param maxMemory maximum sum of the memory of the tasks that are dispatched or placed at a time,
+ *     in the unit of the machine sizes
  */
 public record Quota(
         double maxWaiting,
@@ -22,7 +22,7 @@
         double burst,
         double maxCores,
         double maxMemory) {
-    /** Limits nothing. */
+    /** A quota without limits. */
     public static final Quota UNLIMITED =
             new Quota(
                     Double.POSITIVE_INFINITY,
@@ -32,7 +32,11 @@
                     Double.POSITIVE_INFINITY,
                     Double.POSITIVE_INFINITY);
 
-    /** Checks the range of each limit. */
+    /**
+     * Checks the range of each limit.
+     *
+     * @throws SettingOutOfRangeException if a limit is outside its range
+     */
     public Quota {
         requireAtLeast("maxWaiting", maxWaiting, 0);
         requirePositive("maxTasks", maxTasks);
@@ -42,12 +46,12 @@
         requirePositive("maxMemory", maxMemory);
     }
 
-    /** Whether the dispatch rate is limited. */
+    /** Returns whether the quota limits the dispatch rate. */
     boolean limitsRate() {
         return perSecond < Double.POSITIVE_INFINITY;
     }
 
-    /** Whether a task of this size exceeds the quota even when nothing else runs. */
+    /** Returns whether the request's task alone exceeds the limit on cores or memory. */
     boolean isSmallerThan(QueuedRequest request) {
         return request.cores() > maxCores || request.memory() > maxMemory;
     }
--- a/decisions/src/main/java/thornferry/decisions/admission/QuotaChecker.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/QuotaChecker.java
@@ -7,18 +7,19 @@
 
 /** Checks requests against the quotas of their owner, their tenant and the site. */
 final class QuotaChecker {
-    /** Absorbs rounding errors of sums of cores and memory. */
+    /** Tolerance for the rounding errors of sums of cores and memory. */
     private static final double TOLERANCE = 1e-9;
 
     private final Supplier<AdmissionSettings> settings;
     private final UsageTotals site;
-    private final TokenBuckets ownerRates = unlimited();
-    private final TokenBuckets tenantRates = unlimited();
-    private final TokenBuckets siteRate = unlimited();
+    private final TokenBuckets ownerRates = unlimitedBuckets();
+    private final TokenBuckets tenantRates = unlimitedBuckets();
+    private final TokenBuckets siteRate = unlimitedBuckets();
 
-    /** Buckets of the owners and tenants that have a quota of their own. */
+    /** Token buckets by owner, for owners with a quota of their own. */
     private final Map<String, TokenBuckets> ratesByOwner = new HashMap<>();
 
+    /** Token buckets by tenant, for tenants with a quota of their own. */
     private final Map<String, TokenBuckets> ratesByTenant = new HashMap<>();
 
     QuotaChecker(Supplier<AdmissionSettings> settings, UsageTotals site) {
@@ -27,11 +28,11 @@
         settingsChanged();
     }
 
-    private static TokenBuckets unlimited() {
+    private static TokenBuckets unlimitedBuckets() {
         return new TokenBuckets(0, Double.POSITIVE_INFINITY);
     }
 
-    /** Applies the current settings' dispatch rates. */
+    /** Applies the dispatch rates of the current settings. */
     void settingsChanged() {
         AdmissionSettings current = settings.get();
         configure(ownerRates, current.ownerQuota());
@@ -52,7 +53,10 @@
                         rates.put(name, new TokenBuckets(quota.perSecond(), quota.burst())));
     }
 
-    /** Why a request that has just arrived may not even wait; empty if it may. */
+    /**
+     * Returns the rejection sentence for a request that has just arrived and may not wait; empty if
+     * it may wait.
+     */
     Optional<String> rejectionOnArrival(long nowMicros, QueueEntry entry) {
         QueuedRequest request = entry.request();
         Quota ownerQuota = settings.get().quotaOfOwner(request.owner());
@@ -73,48 +77,60 @@
         if (!settings.get().shedClasses().contains(request.taskClass())) {
             return Optional.empty();
         }
-        return Optional.ofNullable(block(nowMicros, entry))
+        return Optional.ofNullable(findBlock(nowMicros, entry))
                 .map(block -> RejectionText.classDoesNotWait(block, request.taskClass()));
     }
 
-    /** The first quota that the request would exceed now; null if none. */
-    QuotaBlock block(long nowMicros, QueueEntry entry) {
-        QuotaBlock ownerBlock = ownerBlock(nowMicros, entry);
-        return ownerBlock != null ? ownerBlock : sharedBlock(nowMicros, entry);
+    /**
+     * Returns the first quota that a dispatch of the request would exceed now, or null if there is
+     * none.
+     */
+    QuotaBlock findBlock(long nowMicros, QueueEntry entry) {
+        QuotaBlock ownerBlock = findOwnerBlock(nowMicros, entry);
+        return ownerBlock != null ? ownerBlock : findTenantOrSiteBlock(nowMicros, entry);
     }
 
-    /** The owner's quota that the request would exceed now; null if none. */
-    QuotaBlock ownerBlock(long nowMicros, QueueEntry entry) {
+    /**
+     * Returns the owner's quota that a dispatch of the request would exceed now, or null if there
+     * is none.
+     */
+    QuotaBlock findOwnerBlock(long nowMicros, QueueEntry entry) {
         UsageTotals usage = entry.owner().usage();
         Quota quota = settings.get().quotaOfOwner(usage.name());
-        QuotaBlock block = sizeBlock(QuotaScope.OWNER, quota, usage, entry.request());
+        QuotaBlock block = findSizeBlock(QuotaScope.OWNER, quota, usage, entry.request());
         return block != null
                 ? block
-                : rateBlock(nowMicros, QuotaScope.OWNER, quota, usage, ownerRate(usage.name()));
+                : findRateBlock(nowMicros, QuotaScope.OWNER, quota, usage, ownerRate(usage.name()));
     }
 
-    /** The tenant's or the site's quota that the request would exceed now; null if none. */
-    QuotaBlock sharedBlock(long nowMicros, QueueEntry entry) {
-        QuotaBlock tenantBlock = tenantBlock(nowMicros, entry);
-        return tenantBlock != null ? tenantBlock : siteBlock(nowMicros, entry);
+    /**
+     * Returns the quota of the tenant or the site that a dispatch of the request would exceed now,
+     * or null if there is none.
+     */
+    QuotaBlock findTenantOrSiteBlock(long nowMicros, QueueEntry entry) {
+        QuotaBlock tenantBlock = findTenantBlock(nowMicros, entry);
+        return tenantBlock != null ? tenantBlock : findSiteBlock(nowMicros, entry);
     }
 
-    private QuotaBlock tenantBlock(long nowMicros, QueueEntry entry) {
+    private QuotaBlock findTenantBlock(long nowMicros, QueueEntry entry) {
         UsageTotals usage = entry.tenant().usage();
         Quota quota = settings.get().quotaOfTenant(usage.name());
-        QuotaBlock block = sizeBlock(QuotaScope.TENANT, quota, usage, entry.request());
+        QuotaBlock block = findSizeBlock(QuotaScope.TENANT, quota, usage, entry.request());
         return block != null
                 ? block
-                : rateBlock(nowMicros, QuotaScope.TENANT, quota, usage, tenantRate(usage.name()));
+                : findRateBlock(
+                        nowMicros, QuotaScope.TENANT, quota, usage, tenantRate(usage.name()));
     }
 
-    private QuotaBlock siteBlock(long nowMicros, QueueEntry entry) {
+    private QuotaBlock findSiteBlock(long nowMicros, QueueEntry entry) {
         Quota quota = settings.get().siteQuota();
-        QuotaBlock block = sizeBlock(QuotaScope.SITE, quota, site, entry.request());
-        return block != null ? block : rateBlock(nowMicros, QuotaScope.SITE, quota, site, siteRate);
+        QuotaBlock block = findSizeBlock(QuotaScope.SITE, quota, site, entry.request());
+        return block != null
+                ? block
+                : findRateBlock(nowMicros, QuotaScope.SITE, quota, site, siteRate);
     }
 
-    private static QuotaBlock sizeBlock(
+    private static QuotaBlock findSizeBlock(
             QuotaScope scope, Quota quota, UsageTotals usage, QueuedRequest request) {
         if (usage.activeTasks() + 1 > quota.maxTasks()) {
             return untimedBlock(scope, QuotaNames.TASKS, quota.maxTasks(), usage.activeTasks());
@@ -131,7 +147,7 @@
         return new QuotaBlock(scope, quotaName, limit, usage, QuotaBlock.NO_TIME_LIMIT_MICROS);
     }
 
-    private static QuotaBlock rateBlock(
+    private static QuotaBlock findRateBlock(
             long nowMicros, QuotaScope scope, Quota quota, UsageTotals usage, TokenBuckets rate) {
         if (!quota.limitsRate() || rate.hasToken(nowMicros, usage.name())) {
             return null;
@@ -144,7 +160,10 @@
                 rate.nextTokenAtMicros(nowMicros, usage.name()));
     }
 
-    /** Takes a request's first dispatch from the dispatch rates. */
+    /**
+     * Takes a token for a request's first dispatch from the buckets of its owner, its tenant and
+     * the site.
+     */
     void recordFirstDispatch(long nowMicros, QueueEntry entry) {
         String owner = entry.owner().name();
         String tenant = entry.tenant().name();
--- a/decisions/src/main/java/thornferry/decisions/admission/QuotaNames.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/QuotaNames.java
@@ -1,7 +1,7 @@
 package thornferry.decisions.admission;
 
 /**
- * Names of quotas as they appear in {@link QuotaBlock#quota()}. They reach clients in rejection
+ * The names of quotas in {@link QuotaBlock#quota()}. Clients receive these names in rejection
  * sentences and in the evidence of pending reasons, so their text is part of the wire format.
  */
 public final class QuotaNames {
@@ -10,7 +10,7 @@
     static final String MEMORY = "memory";
     static final String TASK_RATE = "tasks a second";
 
-    /** The budget of retries. */
+    /** The retry budget. */
     public static final String RETRIES = "asks again";
 
     private QuotaNames() {}
--- a/decisions/src/main/java/thornferry/decisions/admission/QuotaScope.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/QuotaScope.java
@@ -1,6 +1,6 @@
 package thornferry.decisions.admission;
 
-/** Whose usage a quota limits. */
+/** The group of owners whose usage a quota limits. */
 public enum QuotaScope {
     /** One owner. */
     OWNER,
--- a/decisions/src/main/java/thornferry/decisions/admission/RateEstimate.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/RateEstimate.java
@@ -1,8 +1,8 @@
 package thornferry.decisions.admission;
 
-/** Exponentially weighted moving average of a rate of events. */
+/** An exponentially weighted moving average of the rate of events. */
 final class RateEstimate {
-    /** Weight of the latest period. */
+    /** Weight of the latest period in the average. */
     private static final double SMOOTHING = 0.2;
 
     private static final double MICROS_PER_SECOND = 1e6;
@@ -14,11 +14,11 @@
         perSecond = initialPerSecond;
     }
 
-    void count() {
+    void recordEvent() {
         eventsInPeriod++;
     }
 
-    /** Ends a period and takes its events into the average. */
+    /** Ends a period and adds its events to the average. */
     void endPeriod(long periodMicros) {
         perSecond += SMOOTHING * (eventsInPeriod * MICROS_PER_SECOND / periodMicros - perSecond);
         eventsInPeriod = 0;
--- a/decisions/src/main/java/thornferry/decisions/admission/RejectionText.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/RejectionText.java
@@ -1,8 +1,8 @@
 package thornferry.decisions.admission;
 
 /**
- * Sentences that tell a client why its request was rejected. Clients receive and may match them, so
- * their text is part of the wire format.
+ * The sentences that tell a client why its request was rejected. Clients may match these sentences,
+ * so their text is part of the wire format.
  */
 final class RejectionText {
     static final String TENANT_OR_SITE_QUOTA_TOO_SMALL =
@@ -48,18 +48,18 @@
         return quotaReached(block) + ", and tasks of class " + taskClass + " do not wait for it";
     }
 
-    /** Which quota is reached, addressed to the owner of the request. */
+    /** Returns a sentence for the owner of the request that names the reached quota. */
     static String quotaReached(QuotaBlock block) {
-        String whose =
+        String limitOfScope =
                 switch (block.scope()) {
                     case OWNER -> "your limit of ";
                     case TENANT -> "your tenant's limit of ";
                     case SITE -> "the site's limit of ";
                 };
-        String what =
+        String limitedAmount =
                 block.quota().equals(QuotaNames.RETRIES)
                         ? QuotaNames.RETRIES
                         : Amounts.format(block.limit()) + " " + block.quota();
-        return whose + what + " is reached";
+        return limitOfScope + limitedAmount + " is reached";
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/admission/RetryBudget.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/RetryBudget.java
@@ -3,8 +3,9 @@
 import java.util.function.Supplier;
 
 /**
- * Bounds retries in proportion to new requests, by owner and by machine, so that neither an owner
- * that retries without end nor a machine that rejects everything causes a wave of retries.
+ * Limits the retries of each owner in proportion to its new requests, and those of each machine in
+ * proportion to its first attempts, so that neither an owner that retries endlessly nor a machine
+ * that rejects every offer causes a retry storm.
  */
 final class RetryBudget {
     private static final double MIN_BURST = 5;
@@ -18,18 +19,21 @@
         settingsChanged();
     }
 
-    /** Applies the current settings' retry rate. */
+    /** Applies the retry rate of the current settings. */
     void settingsChanged() {
         double perSecond = settings.get().retryPerSecond();
         tokens.configure(perSecond, Math.max(MIN_BURST, BURST_SECONDS * perSecond));
     }
 
-    /** A new request earns its owner a part of a retry. */
+    /** Adds {@link AdmissionSettings#retryRatio} tokens to the owner's budget for a new request. */
     void newRequestArrived(long nowMicros, QueuedRequest request) {
         tokens.add(nowMicros, ownerKey(request.owner()), settings.get().retryRatio());
     }
 
-    /** An attempt starts on a machine: a retry costs the machine a token, another earns a part. */
+    /**
+     * Records the start of an attempt on a machine: takes a token from the machine's budget for a
+     * retry, and adds {@link AdmissionSettings#retryRatio} tokens for any other attempt.
+     */
     void attemptStarted(long nowMicros, String machine, boolean isRetry) {
         if (isRetry) {
             tokens.take(nowMicros, machineKey(machine));
@@ -39,8 +43,9 @@
     }
 
     /**
-     * Takes a retry from the owner's budget if it and that of the machine that rejected the task
-     * allow one. The machine's token is taken when an attempt starts there.
+     * Takes a token from the owner's budget and returns true if the owner's budget and that of the
+     * machine that rejected the task each hold one. A token is taken from a machine's budget only
+     * when an attempt starts there.
      */
     boolean tryTake(long nowMicros, QueuedRequest request) {
         boolean machineAllows =
@@ -54,7 +59,7 @@
         return true;
     }
 
-    /** When both budgets allow a retry if no new request arrives. */
+    /** Returns the time at which both budgets allow a retry if no new request arrives. */
     long nextRetryAtMicros(long nowMicros, QueuedRequest request) {
         long ownerAtMicros = tokens.nextTokenAtMicros(nowMicros, ownerKey(request.owner()));
         if (request.rejectedBy().isEmpty()) {
--- a/decisions/src/main/java/thornferry/decisions/admission/SettingOutOfRangeException.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/SettingOutOfRangeException.java
@@ -1,6 +1,6 @@
 package thornferry.decisions.admission;
 
-/** A setting of admission control lies outside its range. */
+/** Thrown if a setting of admission control is outside its range. */
 public final class SettingOutOfRangeException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
@@ -8,21 +8,21 @@
         super(setting + " is " + value + " but must be " + requirement);
     }
 
-    /** Rejects NaN and values below {@code min}. */
+    /** Throws the exception if {@code value} is NaN or below {@code min}. */
     static void requireAtLeast(String setting, double value, double min) {
         if (!(value >= min)) {
             throw new SettingOutOfRangeException(setting, value, "at least " + min);
         }
     }
 
-    /** Rejects values below {@code min}. */
+    /** Throws the exception if {@code value} is below {@code min}. */
     static void requireAtLeast(String setting, long value, long min) {
         if (value < min) {
             throw new SettingOutOfRangeException(setting, value, "at least " + min);
         }
     }
 
-    /** Rejects NaN, zero and negative values. */
+    /** Throws the exception if {@code value} is NaN, 0 or negative. */
     static void requirePositive(String setting, double value) {
         if (!(value > 0)) {
             throw new SettingOutOfRangeException(setting, value, "above 0");
--- a/decisions/src/main/java/thornferry/decisions/admission/TenantQueue.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/TenantQueue.java
@@ -4,12 +4,15 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** A tenant's usage and the heads of its owners' queues. */
+/** The usage of one tenant and the heads of its owners' queues. */
 final class TenantQueue {
     private final UsageTotals usage;
     private final TreeSet<QueueEntry> heads = new TreeSet<>(QueueEntry.BY_PRIORITY);
 
-    /** Number of waiting tasks that some machine is large enough for, by priority weight. */
+    /**
+     * Number of waiting tasks by priority weight, without those that fitted no machine at their
+     * arrival.
+     */
     private final TreeMap<Double, Integer> waitingByWeight = new TreeMap<>();
 
     TenantQueue(String name) {
@@ -24,7 +27,10 @@
         return usage;
     }
 
-    /** The head of each owner that no quota of its own blocks. */
+    /**
+     * Returns the heads of the owners' queues that no quota of their owner blocks, in order of
+     * priority.
+     */
     NavigableSet<QueueEntry> heads() {
         return heads;
     }
@@ -39,8 +45,11 @@
         changeWaitingByWeight(entry, -1);
     }
 
-    /** Placeable waiting tasks of at least this priority weight. */
-    int countWaitingFrom(double priorityWeight) {
+    /**
+     * Returns the number of waiting tasks with at least this priority weight, without those that
+     * fitted no machine at their arrival.
+     */
+    int countWaitingAtOrAbove(double priorityWeight) {
         return waitingByWeight.tailMap(priorityWeight, true).values().stream()
                 .mapToInt(Integer::intValue)
                 .sum();
@@ -48,12 +57,11 @@
 
     private void changeWaitingByWeight(QueueEntry entry, int change) {
         if (entry.fitsSomeMachine()) {
-            waitingByWeight.merge(
-                    entry.request().priorityWeight(), change, TenantQueue::sumOrAbsent);
+            waitingByWeight.merge(entry.request().priorityWeight(), change, TenantQueue::sumOrNull);
         }
     }
 
-    private static Integer sumOrAbsent(Integer count, Integer change) {
+    private static Integer sumOrNull(Integer count, Integer change) {
         int sum = count + change;
         return sum == 0 ? null : Integer.valueOf(sum);
     }
--- a/decisions/src/main/java/thornferry/decisions/admission/UsageTotals.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/UsageTotals.java
@@ -2,7 +2,7 @@
 
 import thornferry.decisions.membership.ClusterView;
 
-/** Running sums of what an owner, a tenant or the site uses. */
+/** Running totals of the tasks, cores and memory that an owner, a tenant or the site uses. */
 final class UsageTotals {
     private final String name;
     private int waitingTasks;
@@ -11,7 +11,7 @@
     private double activeMemory;
 
     /**
-     * @param name the owner or tenant; empty for the site
+     * @param name name of the owner or tenant; empty for the site
      */
     UsageTotals(String name) {
         this.name = name;
@@ -21,12 +21,12 @@
         return name;
     }
 
-    /** Tasks that wait in the queue or back off. */
+    /** Returns the number of tasks that wait in the queue or back off. */
     int waitingTasks() {
         return waitingTasks;
     }
 
-    /** Tasks dispatched or placed. */
+    /** Returns the number of tasks that are dispatched or placed. */
     int activeTasks() {
         return activeTasks;
     }
@@ -63,7 +63,10 @@
         activeMemory -= request.memory();
     }
 
-    /** The larger of the fractions of all ready machines' cores and memory in use. */
+    /**
+     * Returns the larger of the fractions of all ready machines' cores and memory that active tasks
+     * use.
+     */
     double dominantShare(ClusterView cluster) {
         return cluster.dominantShare(activeCores, activeMemory);
     }
--- a/decisions/src/main/java/thornferry/decisions/admission/package-info.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/package-info.java
@@ -1,9 +1,9 @@
 /**
- * Admission control: which task the placement policy receives next, which tasks wait, and which are
- * rejected early. It never decides where a task runs.
+ * Admission control: decides which task the placement policy receives next, which tasks wait, and
+ * which are rejected early. Admission control never decides where a task runs.
  *
- * <p>{@link thornferry.decisions.admission.AdmissionQueue} is the entry point; one class beside it
- * holds each concern:
+ * <p>{@link thornferry.decisions.admission.AdmissionQueue} is the entry point. Each other class has
+ * one responsibility:
  *
  * <ul>
  *   <li>{@code QueueIndex} keeps the waiting requests by owner, tenant and age, and the usage that
@@ -13,19 +13,21 @@
  *   <li>{@code FairShare} orders tenants by weighted dominant share (dominant resource fairness: A.
  *       Ghodsi et al., "Dominant Resource Fairness: Fair Allocation of Multiple Resource Types",
  *       NSDI 2011);
- *   <li>{@code DispatchWindow} bounds what the policy holds undecided, {@code Dispatcher} fills it
- *       and recalls requests that found no capacity;
+ *   <li>{@code DispatchWindow} bounds the number of requests that the policy holds without an
+ *       attempt in flight; {@code Dispatcher} fills the window and recalls requests that found no
+ *       capacity;
  *   <li>{@code BackoffQueue} and {@code RetryBudget} delay requests that found no capacity and
  *       retries beyond their budget;
- *   <li>{@code CapacityReservation} holds small tasks back for a large one, with backfill;
- *   <li>{@code LoadShedder} and {@code OverloadController} detect overload and choose what to shed,
- *       after CoDel (K. Nichols and V. Jacobson, "Controlling Queue Delay", ACM Queue 2012).
+ *   <li>{@code CapacityReservation} holds back small tasks in favour of a large one, with backfill;
+ *   <li>{@code LoadShedder} and {@code OverloadController} detect overload and select the requests
+ *       to shed, after CoDel (K. Nichols and V. Jacobson, "Controlling Queue Delay", ACM Queue
+ *       2012).
  * </ul>
  *
  * <p>{@link thornferry.decisions.admission.LoginRateLimiter} is independent of the queue: it delays
  * password guessing.
  *
- * <p>Times are microseconds of a monotonic clock that the caller reads and passes in; nothing here
- * reads a clock, starts a thread or performs I/O, and no class is safe for use by several threads.
+ * <p>Times are microseconds of a monotonic clock, which the caller reads and passes in. The classes
+ * of this package do not read a clock, start threads or perform I/O, and are not thread-safe.
  */
 package thornferry.decisions.admission;
--- a/decisions/src/main/java/thornferry/decisions/membership/ClusterView.java
+++ b/decisions/src/main/java/thornferry/decisions/membership/ClusterView.java
@@ -9,11 +9,11 @@
 import thornferry.decisions.placement.Placement.MachineKind;
 
 /**
- * Read model of the cluster for the admission queue and the diagnosis of pending tasks: state and
- * size of each machine, its last load report and its last rejection.
+ * The read model of the cluster for the admission queue and the diagnosis of pending tasks: the
+ * state and the size of each machine, its last load report and its last rejection.
  *
- * <p>It is maintained beside the placement policy and never consulted by it: no placement is
- * decided here. Cores and memory are in the units of the task specifications.
+ * <p>The view is maintained separately from the placement policy, which does not use it. Cores and
+ * memory are in the units of the task specifications.
  */
 public final class ClusterView {
     private final Map<String, MachineKind> kinds = new HashMap<>();
@@ -25,12 +25,14 @@
     private double totalCores;
     private double totalMemory;
 
-    /** A view without machines; {@code kinds} are the configured machine kinds. */
+    /** Creates a view without machines; {@code kinds} are the configured machine kinds. */
     public ClusterView(List<MachineKind> kinds) {
         kinds.forEach(kind -> this.kinds.put(kind.name(), kind));
     }
 
-    /** Applies changed entries of the machine list, the same as the placement policy receives. */
+    /**
+     * Applies changed entries of the machine list. The placement policy receives the same entries.
+     */
     public void update(List<MachineEntry> entries) {
         for (MachineEntry entry : entries) {
             MachineStatus machine = machines.computeIfAbsent(entry.machine(), MachineStatus::new);
@@ -56,7 +58,9 @@
         }
     }
 
-    /** Removes a machine that membership has forgotten; does nothing if it is not listed. */
+    /**
+     * Removes a machine that membership no longer keeps; does nothing if the machine is not listed.
+     */
     public void remove(String machine) {
         if (machines.remove(machine) != null) {
             version++;
@@ -65,8 +69,8 @@
     }
 
     /**
-     * Applies a load report, received with a response or a health check. Ignored for a machine that
-     * is not listed, or where a figure is not finite.
+     * Applies a load report that a response or a health check contained. A report is ignored if the
+     * machine is not listed or an amount is not finite.
      */
     public void loadReported(String machine, double coresFree, double memoryFree) {
         MachineStatus status = machines.get(machine);
@@ -87,7 +91,7 @@
         }
     }
 
-    /** Records that the machine accepted an offer: an earlier rejection no longer describes it. */
+    /** Records that the machine accepted an offer, and clears its last rejection. */
     public void accepted(String machine) {
         MachineStatus status = machines.get(machine);
         if (status != null
@@ -97,7 +101,10 @@
         }
     }
 
-    /** Records that an attempt at the machine timed out, or that the connection broke during it. */
+    /**
+     * Records that an attempt on the machine timed out, or that the connection was lost during the
+     * attempt.
+     */
     public void unresponsive(String machine) {
         MachineStatus status = machines.get(machine);
         if (status != null) {
@@ -107,8 +114,8 @@
     }
 
     /**
-     * Whether a ready machine reported this much free capacity. A hint only, since the report may
-     * be out of date.
+     * Returns whether some ready machine reported at least this much free capacity. The result is
+     * only a hint, since reports may be out of date.
      */
     public boolean hasCapacity(double cores, double memory) {
         for (MachineStatus machine : machines.values()) {
@@ -121,8 +128,11 @@
         return false;
     }
 
-    /** Whether any listed machine, in whatever state, is that large in total. */
-    public boolean couldEverFit(double cores, double memory) {
+    /**
+     * Returns whether the total size of some listed machine, in any state, suffices for these
+     * amounts.
+     */
+    public boolean fitsSomeMachine(double cores, double memory) {
         for (MachineStatus machine : machines.values()) {
             if (machine.cores() >= cores && machine.memory() >= memory) {
                 return true;
@@ -131,7 +141,10 @@
         return false;
     }
 
-    /** Whether free capacity has grown anywhere since the last call; resets the mark. */
+    /**
+     * Returns whether the free capacity of some machine has grown since the last call of this
+     * method, and resets that flag.
+     */
     public boolean takeCapacityGained() {
         boolean gained = capacityGained;
         capacityGained = false;
@@ -139,8 +152,9 @@
     }
 
     /**
-     * Whether a task is large: it needs at least {@code fraction} of the largest ready machine's
-     * cores or memory. No task is large for a fraction of 1 or more.
+     * Returns whether a task is large, which means that it needs at least {@code fraction} of the
+     * most cores or the most memory of any ready machine. With a fraction of 1 or more, no task is
+     * large.
      */
     public boolean isLarge(double cores, double memory, double fraction) {
         return fraction < 1
@@ -149,25 +163,28 @@
     }
 
     /**
-     * Dominant share of the amounts: the larger of the fractions of all ready machines' cores and
-     * memory, as in Ghodsi et al., "Dominant Resource Fairness", NSDI 2011. Totals below 1 count as
-     * 1.
+     * Returns the dominant share of the amounts: the larger of the fractions of all ready machines'
+     * cores and memory, as in Ghodsi et al., "Dominant Resource Fairness", NSDI 2011. Totals below
+     * 1 count as 1.
      */
     public double dominantShare(double cores, double memory) {
         return Math.max(cores / Math.max(1, totalCores), memory / Math.max(1, totalMemory));
     }
 
-    /** A number that grows with each change that a reader could see. */
+    /**
+     * Returns the version of this view, a number that increases with each change that a reader
+     * could see.
+     */
     public long version() {
         return version;
     }
 
-    /** All listed machines in the order of their first appearance. */
+    /** Returns all listed machines in the order in which they were first listed. */
     public List<MachineStatus> allMachines() {
         return new ArrayList<>(machines.values());
     }
 
-    /** The machine of that name, or null if it is not listed. */
+    /** Returns the machine of that name, or null if it is not listed. */
     public MachineStatus machine(String name) {
         return machines.get(name);
     }
--- a/decisions/src/main/java/thornferry/decisions/membership/FlapQuarantine.java
+++ b/decisions/src/main/java/thornferry/decisions/membership/FlapQuarantine.java
@@ -4,16 +4,17 @@
 import java.util.List;
 
 /**
- * Quarantines a machine whose connection is lost too often.
+ * The quarantine of a machine whose connection is lost too often.
  *
- * <p>Without this, a machine with an unstable connection would receive offers after each reconnect,
- * and those would be left without an answer when the connection breaks again. The first quarantine
- * lasts {@link Membership.Limits#quarantineMicros}; each further one doubles, up to {@link
- * #MAX_GROWTH_FACTOR} times that, until the machine has been stable for a whole flap window after
- * the end of the last quarantine.
+ * <p>Without the quarantine, a machine with an unstable connection would receive offers after each
+ * reconnect, and these would remain unanswered when the connection is lost again. The first
+ * quarantine lasts {@link Membership.Limits#quarantineMicros}; each further one lasts twice as long
+ * as the one before, up to {@link #MAX_GROWTH_FACTOR} times the first. The length returns to that
+ * of the first once the machine has been stable for a whole flap window after the end of the last
+ * quarantine.
  */
 final class FlapQuarantine {
-    /** Longest quarantine, as a multiple of the first. */
+    /** Length of the longest quarantine, as a multiple of the first. */
     private static final int MAX_GROWTH_FACTOR = 16;
 
     private final Membership.Limits limits;
@@ -25,19 +26,23 @@
         this.limits = limits;
     }
 
-    /** Records a lost connection; begins a quarantine if that is one too many. */
+    /**
+     * Records a lost connection; begins a quarantine if more than {@link
+     * Membership.Limits#maxFlaps} were lost within the flap window.
+     */
     void connectionLost(long nowMicros) {
         disconnectTimesMicros.add(nowMicros);
-        disconnectTimesMicros.removeIf(time -> time <= nowMicros - limits.flapWindowMicros());
+        disconnectTimesMicros.removeIf(
+                lostAtMicros -> lostAtMicros <= nowMicros - limits.flapWindowMicros());
         if (disconnectTimesMicros.size() > limits.maxFlaps()) {
             begin(nowMicros);
         }
     }
 
     private void begin(long nowMicros) {
-        boolean stableSinceLast = nowMicros > quarantinedUntilMicros + limits.flapWindowMicros();
+        boolean wasStableSinceLast = nowMicros > quarantinedUntilMicros + limits.flapWindowMicros();
         durationMicros =
-                stableSinceLast
+                wasStableSinceLast
                         ? limits.quarantineMicros()
                         : Math.min(
                                 limits.quarantineMicros() * MAX_GROWTH_FACTOR, durationMicros * 2);
@@ -49,7 +54,7 @@
         return nowMicros < quarantinedUntilMicros;
     }
 
-    /** Time left; meaningful only while the quarantine is active. */
+    /** Returns the time until the quarantine ends; meaningful only while it is active. */
     long remainingMicros(long nowMicros) {
         return quarantinedUntilMicros - nowMicros;
     }
--- a/decisions/src/main/java/thornferry/decisions/membership/MachineStatus.java
+++ b/decisions/src/main/java/thornferry/decisions/membership/MachineStatus.java
@@ -5,8 +5,8 @@
 import thornferry.decisions.placement.Placement.MachineState;
 
 /**
- * Last observed status of one machine. Owned and updated by {@link ClusterView}; everybody else
- * only reads it, and sees later updates.
+ * The last observed status of one machine. Only {@link ClusterView} updates the status; other
+ * classes hold references to the same instance and so see later updates.
  */
 public final class MachineStatus {
     private final String name;
@@ -23,57 +23,63 @@
         this.name = name;
     }
 
-    /** Name of the machine. */
+    /** Returns the name of the machine. */
     public String name() {
         return name;
     }
 
-    /** Name of the machine's kind; empty before the first list entry. */
+    /** Returns the name of the machine's kind; empty before the first list entry. */
     public String kind() {
         return kind;
     }
 
-    /** State in the machine list. */
+    /** Returns the state of the machine in the machine list. */
     public MachineState state() {
         return state;
     }
 
-    /** Whether the machine is listed as ready for offers. */
+    /** Returns whether the machine is listed as ready for offers. */
     public boolean isReady() {
         return state == MachineState.READY;
     }
 
-    /** Total cores of the machine's kind; 0 if the kind is not configured. */
+    /** Returns the total cores of the machine's kind; 0 if the kind is not configured. */
     public double cores() {
         return cores;
     }
 
-    /** Total memory of the machine's kind; 0 if the kind is not configured. */
+    /** Returns the total memory of the machine's kind; 0 if the kind is not configured. */
     public double memory() {
         return memory;
     }
 
-    /** Cores free at the last load report; NaN if the machine joined without a report. */
+    /**
+     * Returns the cores that were free at the last load report; NaN if the machine became ready
+     * without a report.
+     */
     public double freeCores() {
         return freeCores;
     }
 
-    /** Memory free at the last load report; NaN if the machine joined without a report. */
+    /**
+     * Returns the memory that was free at the last load report; NaN if the machine became ready
+     * without a report.
+     */
     public double freeMemory() {
         return freeMemory;
     }
 
     /**
-     * Reason of the last rejection; {@link RejectionReason#NONE} once the machine has accepted an
-     * offer or has become ready again. A load report does not reset it.
+     * Returns the reason of the last rejection; {@link RejectionReason#NONE} once the machine has
+     * accepted an offer or has become ready again. A load report does not reset the reason.
      */
     public RejectionReason lastRejection() {
         return lastRejection;
     }
 
     /**
-     * Whether the machine has left an offer unanswered, or the connection broke during one, and has
-     * sent no response or load report since.
+     * Returns whether the machine has not answered an offer, or its connection was lost during an
+     * attempt, and the machine has sent no response or load report since.
      */
     public boolean unresponsive() {
         return unresponsive;
@@ -87,7 +93,7 @@
     }
 
     /**
-     * Takes over state and, on the transition to READY, free capacity from a list entry.
+     * Applies the state of a list entry and, on the transition to READY, its free capacity.
      *
      * @return whether the machine has become ready
      */
@@ -112,7 +118,7 @@
         unresponsive = false;
     }
 
-    /** Clears the last rejection and the mark of an unresponsive machine. */
+    /** Clears the last rejection and the unresponsive flag. */
     void setAccepted() {
         lastRejection = RejectionReason.NONE;
         unresponsive = false;
--- a/decisions/src/main/java/thornferry/decisions/membership/MemberMachine.java
+++ b/decisions/src/main/java/thornferry/decisions/membership/MemberMachine.java
@@ -6,20 +6,23 @@
 import thornferry.decisions.placement.Placement.MachineState;
 
 /**
- * Membership state of one machine: its current incarnation, its connection, its drain and its flap
- * quarantine. The package description lists the transitions.
+ * The membership state of one machine: its current incarnation, its connection, its drain and its
+ * flap quarantine. The package description lists the transitions.
  */
 final class MemberMachine {
     /** State of the machine's connection. */
     private enum ConnectionState {
+        /** The machine is registered on an open connection. */
         CONNECTED,
-        /** Without a connection, for less than {@link Membership.Limits#goneAfterMicros}. */
+        /**
+         * The machine has had no connection for at most {@link Membership.Limits#goneAfterMicros}.
+         */
         DISCONNECTED,
         /** The incarnation was declared ended for lack of a connection. */
         LOST
     }
 
-    /** List weight of every machine. */
+    /** Weight of every machine in the machine list. */
     private static final double DEFAULT_WEIGHT = 1;
 
     private static final long MICROS_PER_SECOND = 1_000_000;
@@ -34,7 +37,7 @@
     private boolean draining;
     private MachineState publishedState = MachineState.GONE;
 
-    /** A machine that registers for the first time. */
+    /** Creates the state of a machine that registers for the first time. */
     MemberMachine(
             long nowMicros, long connection, Registration registration, Membership.Limits limits) {
         this.quarantine = new FlapQuarantine(limits);
@@ -42,15 +45,16 @@
         connect(nowMicros, connection, registration);
     }
 
-    private void startIncarnation(long nowMicros, Registration first) {
-        startedAtMicros = Math.max(1, nowMicros - first.uptimeMicros());
+    private void startIncarnation(long nowMicros, Registration firstRegistration) {
+        startedAtMicros = Math.max(1, nowMicros - firstRegistration.uptimeMicros());
     }
 
     /**
-     * Registers again on a connection, in the same incarnation or a later one.
+     * Registers the machine again on a connection, in the same incarnation or a later one.
      *
-     * <p>The start time is computed once for each incarnation: uptimes are rounded and delayed on
-     * the way, and a start time that moved would look like a restart to the placement policy.
+     * <p>The start time is computed only once for each incarnation. Reported uptimes are rounded
+     * and arrive with a delay, and the placement policy would take a changed start time for a
+     * restart.
      */
     void registerAgain(long nowMicros, long newConnection, Registration newRegistration) {
         if (isSupersededBy(newRegistration)) {
@@ -66,7 +70,7 @@
         connection = newConnection;
     }
 
-    /** The connection is closed, or replaced by another. */
+    /** Records that the connection was closed or replaced by another. */
     void disconnect(long nowMicros) {
         connectionState = ConnectionState.DISCONNECTED;
         connection = Membership.NO_CONNECTION;
@@ -74,12 +78,12 @@
         quarantine.connectionLost(nowMicros);
     }
 
-    /** The incarnation is declared ended for lack of a connection. */
+    /** Declares the incarnation ended for lack of a connection. */
     void markLost() {
         connectionState = ConnectionState.LOST;
     }
 
-    /** Leaves a pause of the placer itself out of the time without a connection. */
+    /** Excludes a pause of the placer itself from the machine's time without a connection. */
     void excludePause(long pauseMicros) {
         if (!isConnected()) {
             disconnectedAtMicros += pauseMicros;
@@ -102,18 +106,23 @@
         return connectionState == ConnectionState.LOST;
     }
 
-    /** Whether the machine has just been without a connection for longer than allowed. */
-    boolean isDueToBeLost(long nowMicros, long goneAfterMicros) {
+    /**
+     * Returns whether the machine has had no connection for longer than allowed and has not been
+     * marked as lost.
+     */
+    boolean isConnectionTimedOut(long nowMicros, long goneAfterMicros) {
         return connectionState == ConnectionState.DISCONNECTED
                 && nowMicros - disconnectedAtMicros > goneAfterMicros;
     }
 
-    /** Whether the registration is of a later incarnation. */
-    boolean isSupersededBy(Registration other) {
-        return other.incarnation() > registration.incarnation();
+    /** Returns whether the registration is of a later incarnation than the current one. */
+    boolean isSupersededBy(Registration newRegistration) {
+        return newRegistration.incarnation() > registration.incarnation();
     }
 
-    /** Connection of the machine, or {@link Membership#NO_CONNECTION}. */
+    /**
+     * Returns the connection of the machine, or {@link Membership#NO_CONNECTION} if it has none.
+     */
     long connection() {
         return connection;
     }
@@ -126,7 +135,7 @@
         return registration.incarnation();
     }
 
-    /** The state that the placement policy should see now. */
+    /** Returns the state that the machine list should contain now. */
     MachineState currentState(long nowMicros) {
         if (!isConnected() || quarantine.isActive(nowMicros)) {
             return MachineState.GONE;
@@ -134,30 +143,33 @@
         return draining ? MachineState.DRAINING : MachineState.READY;
     }
 
-    /** The state that the placement policy was given last. */
+    /**
+     * Returns the state in the entry that was published last; {@link MachineState#GONE} before the
+     * first.
+     */
     MachineState publishedState() {
         return publishedState;
     }
 
-    /** Marks the state as published and returns the list entry that shows it. */
+    /** Marks the state as published and returns the list entry that contains it. */
     MachineEntry publish(long nowMicros, MachineState state) {
         publishedState = state;
-        // The policy takes free capacity in an entry for a current load report. The registered
-        // figures are current only at the moment of registration, not when a drain ends later.
-        boolean loadIsCurrent = nowMicros == registeredAtMicros;
+        // The policy treats the free capacity in an entry as a current load report. The registered
+        // amounts are current only at the time of registration, not when a drain ends later.
+        boolean isLoadCurrent = nowMicros == registeredAtMicros;
         return new MachineEntry(
                 registration.machine(),
                 registration.zone(),
                 registration.kind(),
                 registration.cell(),
                 state,
-                loadIsCurrent ? registration.freeCores() : Double.NaN,
-                loadIsCurrent ? registration.freeMemory() : Double.NaN,
+                isLoadCurrent ? registration.freeCores() : Double.NaN,
+                isLoadCurrent ? registration.freeMemory() : Double.NaN,
                 DEFAULT_WEIGHT,
                 startedAtMicros);
     }
 
-    /** The machine as operators see it. */
+    /** Returns the view of the machine for operators. */
     MachineView view(long nowMicros) {
         return new MachineView(
                 registration.machine(),
--- a/decisions/src/main/java/thornferry/decisions/membership/Membership.java
+++ b/decisions/src/main/java/thornferry/decisions/membership/Membership.java
@@ -12,46 +12,47 @@
 import thornferry.decisions.placement.Placement.MachineState;
 
 /**
- * Tracks which machines are registered, in which incarnation, and whether they may receive offers:
- * from registrations, closed connections and drains to the machine list of {@link Placement}.
+ * Tracks which machines are registered, in which incarnation, and whether they may receive offers.
+ * Membership derives the machine list of {@link Placement} from registrations, closed connections
+ * and drains.
  *
- * <p>A closed connection does not prove that the machine's tasks have ended. The machine is taken
- * off the list at once, since nothing can be sent to it, but its incarnation ends only after {@link
- * Limits#goneAfterMicros} or when a later incarnation registers. The package description lists the
- * states and transitions of a machine.
+ * <p>A closed connection does not prove that the machine's tasks have ended. The machine is
+ * published as {@link MachineState#GONE} at once, since nothing can be sent to it, but its
+ * incarnation ends only after {@link Limits#goneAfterMicros} or when a later incarnation registers.
+ * The package description lists the states and transitions of a machine.
  *
  * <p>Each method that changes state passes the resulting {@link Action}s, in order, to its {@code
  * actions} parameter. All times are microseconds; {@code nowMicros} never decreases.
  */
 public final class Membership {
-    /** Stands in for a connection's identity where a machine has none. */
+    /** The connection id of a machine without a connection. */
     public static final long NO_CONNECTION = -1;
 
-    /** Stands in for an incarnation where the machine is not known. */
+    /** The incarnation of a machine that is not known. */
     public static final long NO_INCARNATION = -1;
 
     /**
-     * A longer gap between two ticks is a pause of the placer itself, and is not counted as time
-     * without a connection of any machine.
+     * The longest time between two ticks that does not count as a pause of the placer itself. A
+     * pause is not counted as time without a connection for any machine.
      */
-    private static final long MAX_TICK_GAP_MICROS = 250_000;
+    private static final long MAX_TICK_INTERVAL_MICROS = 250_000;
 
     /** Value of {@link #lastTickMicros} before the first tick. */
-    private static final long NEVER = Long.MIN_VALUE;
+    private static final long NO_TICK_YET = Long.MIN_VALUE;
 
     private static final long MICROS_PER_MILLI = 1_000;
 
     /**
-     * Limits of the membership; each must be above 0.
+     * The limits of the membership; each must be above 0.
      *
      * @param goneAfterMicros time without a connection after which a machine's incarnation ends and
      *     its tasks are lost
-     * @param maxFlaps connections that a machine may lose within {@code flapWindowMicros} without
-     *     being quarantined
+     * @param maxFlaps maximum number of connections that a machine may lose within {@code
+     *     flapWindowMicros} without being quarantined
      * @param flapWindowMicros window in which lost connections are counted
-     * @param quarantineMicros length of a flapping machine's first quarantine; doubles up to 16
-     *     times that
-     * @param maxMachines machines known at once, including lost ones
+     * @param quarantineMicros length of a flapping machine's first quarantine; each further one
+     *     lasts twice as long, up to 16 times the first
+     * @param maxMachines maximum number of machines known at a time, including lost ones
      */
     public record Limits(
             long goneAfterMicros,
@@ -59,6 +60,11 @@
             long flapWindowMicros,
             long quarantineMicros,
             int maxMachines) {
+        /**
+         * Checks that each limit is above 0.
+         *
+         * @throws IllegalArgumentException if a limit is 0 or negative
+         */
         public Limits {
             requirePositive("goneAfterMicros", goneAfterMicros);
             requirePositive("maxFlaps", maxFlaps);
@@ -70,19 +76,24 @@
         private static void requirePositive(String field, long value) {
             if (value <= 0) {
                 throw new IllegalArgumentException(
-                        "membership limit " + field + " must be above 0, is " + value);
+                        "membership limit " + field + " is " + value + " but must be above 0");
             }
         }
     }
 
     /**
-     * What a machine reports when it registers.
+     * The report of a machine that registers.
      *
-     * @param incarnation number of this start of the machine's agent; grows with each start
-     * @param cores total cores, which must match the configured kind, as must {@code memory}
+     * @param machine name of the machine
+     * @param incarnation number of this start of the machine's agent; increases with each start
+     * @param kind name of the machine kind
+     * @param zone zone of the machine
+     * @param cell cell of the machine
+     * @param cores total cores; must match those of the configured kind
+     * @param memory total memory; must match that of the configured kind
      * @param uptimeMicros time since this incarnation started
-     * @param freeCores free cores, in units of task requests
-     * @param freeMemory free memory, in units of task requests
+     * @param freeCores free cores, in the unit of the task specifications
+     * @param freeMemory free memory, in the unit of the task specifications
      */
     public record Registration(
             String machine,
@@ -96,7 +107,10 @@
             double freeCores,
             double freeMemory) {}
 
-    /** What the caller has to do, in the order given. */
+    /**
+     * An action for the caller to carry out. The caller carries out actions in the order in which
+     * it receives them.
+     */
     public sealed interface Action {}
 
     /** Pass these changed entries of the machine list to the placement policy. */
@@ -105,11 +119,11 @@
     /** Close the connection and send its peer the reason. */
     public record CloseConnection(long connection, String reason) implements Action {}
 
-    /** This incarnation of the machine has ended: all tasks and offers there are lost. */
+    /** This incarnation of the machine has ended, and all its tasks and offers are lost. */
     public record IncarnationEnded(String machine, long incarnation, String reason)
             implements Action {}
 
-    /** A lost machine is no longer known, since another needed its entry. */
+    /** A lost machine was removed to make room for another one. */
     public record MachineForgotten(String machine) implements Action {}
 
     /** The machine is registered on this connection in this incarnation; its inventory is valid. */
@@ -121,11 +135,11 @@
             implements Action {}
 
     /**
-     * A machine as operators see it.
+     * The view of a machine for operators.
      *
      * @param state one of "gone", "draining", "held-out" (quarantined) and "ready"
-     * @param note why the machine receives no offers, if it is not connected or is quarantined;
-     *     else empty
+     * @param note the reason why the machine receives no offers, if it is not connected or is
+     *     quarantined; otherwise empty
      */
     public record MachineView(
             String machine,
@@ -141,7 +155,7 @@
     private final RegistrationValidator validator;
     private final Map<String, MemberMachine> machines = new LinkedHashMap<>();
     private final Map<Long, String> machineByConnection = new HashMap<>();
-    private long lastTickMicros = NEVER;
+    private long lastTickMicros = NO_TICK_YET;
 
     /** Creates a membership without machines; {@code kinds} are the configured machine kinds. */
     public Membership(Limits limits, List<Placement.MachineKind> kinds) {
@@ -150,7 +164,7 @@
     }
 
     /**
-     * A machine registers on a connection, for the first time or again. An invalid registration
+     * Handles a machine's first or repeated registration on a connection. An invalid registration
      * closes the connection and changes nothing else.
      */
     public void registered(
@@ -167,7 +181,7 @@
         if (machine == null) {
             MemberMachine added = new MemberMachine(nowMicros, connection, registration, limits);
             machines.put(registration.machine(), added);
-            admit(nowMicros, added, actions);
+            completeRegistration(nowMicros, added, actions);
             return;
         }
         closePreviousConnection(nowMicros, connection, machine, actions);
@@ -177,12 +191,12 @@
                             machine.name(), machine.incarnation(), "it has started anew"));
         }
         machine.registerAgain(nowMicros, connection, registration);
-        admit(nowMicros, machine, actions);
+        completeRegistration(nowMicros, machine, actions);
     }
 
     /**
-     * Returns how a valid registration conflicts with what is known; makes space for a machine that
-     * is not known yet.
+     * Returns how a valid registration conflicts with the known machines, or empty if it does not.
+     * Removes a lost machine if a machine that is not known yet needs its entry.
      */
     private Optional<String> findConflict(
             long connection,
@@ -194,12 +208,13 @@
             return Optional.of("this connection is registered as another node");
         }
         if (machine == null) {
-            return machines.size() < limits.maxMachines() || forgetLostMachine(actions)
+            return machines.size() < limits.maxMachines() || removeLostMachine(actions)
                     ? Optional.empty()
                     : Optional.of(
                             "the placer knows as many nodes as it may: " + limits.maxMachines());
         }
-        // Prevents a process that was thought dead from replacing its successor when it wakes.
+        // Prevents an agent process that was considered ended from replacing its successor when it
+        // resumes.
         return registration.incarnation() < machine.incarnation()
                 ? Optional.of(
                         "incarnation "
@@ -209,8 +224,8 @@
                 : Optional.empty();
     }
 
-    /** Forgets a lost machine that is not draining; returns false if there is none. */
-    private boolean forgetLostMachine(Consumer<Action> actions) {
+    /** Removes a lost machine that is not draining; returns false if there is none. */
+    private boolean removeLostMachine(Consumer<Action> actions) {
         Optional<String> lost =
                 machines.values().stream()
                         .filter(machine -> machine.isLost() && !machine.isDraining())
@@ -224,7 +239,10 @@
         return lost.isPresent();
     }
 
-    /** The newer of two connections counts, since the older may be half-open without notice. */
+    /**
+     * Closes the machine's previous connection, if any, since that may be half-open without either
+     * side having noticed.
+     */
     private void closePreviousConnection(
             long nowMicros, long connection, MemberMachine machine, Consumer<Action> actions) {
         if (machine.isConnected() && machine.connection() != connection) {
@@ -234,7 +252,8 @@
         }
     }
 
-    private void admit(long nowMicros, MemberMachine machine, Consumer<Action> actions) {
+    private void completeRegistration(
+            long nowMicros, MemberMachine machine, Consumer<Action> actions) {
         machineByConnection.put(machine.connection(), machine.name());
         actions.accept(
                 new MachineAdmitted(machine.name(), machine.incarnation(), machine.connection()));
@@ -245,8 +264,8 @@
     }
 
     /**
-     * A connection was closed, by whichever side. Ignored if no machine is registered on it: it
-     * never registered, or was replaced.
+     * Handles the close of a connection by either side. A close is ignored if no machine is
+     * registered on the connection, because none ever registered or the connection was replaced.
      */
     public void connectionClosed(long nowMicros, long connection, Consumer<Action> actions) {
         String name = machineByConnection.get(connection);
@@ -274,7 +293,8 @@
             return false;
         }
         member.setDraining(enabled);
-        // The policy comes first, so that no offer is made once the machine has been notified.
+        // The policy is informed first, so that no offer is made once the machine has been
+        // notified.
         publishState(nowMicros, member, actions);
         if (member.isConnected()) {
             actions.accept(new NotifyDrain(machine, member.connection(), enabled));
@@ -282,16 +302,16 @@
         return true;
     }
 
-    /** Advances time: ends incarnations and quarantines. To be called several times a second. */
+    /** Advances time: ends incarnations and quarantines. To be called several times per second. */
     public void tick(long nowMicros, Consumer<Action> actions) {
-        long gapMicros = lastTickMicros == NEVER ? 0 : nowMicros - lastTickMicros;
+        long sinceLastTickMicros = lastTickMicros == NO_TICK_YET ? 0 : nowMicros - lastTickMicros;
         lastTickMicros = nowMicros;
         for (MemberMachine machine : machines.values()) {
-            if (gapMicros > MAX_TICK_GAP_MICROS) {
+            if (sinceLastTickMicros > MAX_TICK_INTERVAL_MICROS) {
                 // Without this, a pause of the placer would end all incarnations at once.
-                machine.excludePause(gapMicros);
+                machine.excludePause(sinceLastTickMicros);
             }
-            if (machine.isDueToBeLost(nowMicros, limits.goneAfterMicros())) {
+            if (machine.isConnectionTimedOut(nowMicros, limits.goneAfterMicros())) {
                 machine.markLost();
                 actions.accept(
                         new IncarnationEnded(
@@ -313,30 +333,36 @@
         }
     }
 
-    /** Connection of a machine, or {@link #NO_CONNECTION} if it has none or is not known. */
+    /**
+     * Returns the connection of a machine, or {@link #NO_CONNECTION} if the machine has none or is
+     * not known.
+     */
     public long connectionOf(String machine) {
         MemberMachine member = machines.get(machine);
         return member == null ? NO_CONNECTION : member.connection();
     }
 
-    /** Whether the machine was listed as ready in the last entry passed to the policy. */
+    /** Returns whether the last published entry of the machine listed it as ready. */
     public boolean isReady(String machine) {
         MemberMachine member = machines.get(machine);
         return member != null && member.publishedState() == MachineState.READY;
     }
 
-    /** Current incarnation of a machine, or {@link #NO_INCARNATION} if it is not known. */
+    /**
+     * Returns the current incarnation of a machine, or {@link #NO_INCARNATION} if the machine is
+     * not known.
+     */
     public long incarnation(String machine) {
         MemberMachine member = machines.get(machine);
         return member == null ? NO_INCARNATION : member.incarnation();
     }
 
-    /** The machine registered on this connection, or null. */
+    /** Returns the machine registered on this connection, or null if there is none. */
     public String machineOf(long connection) {
         return machineByConnection.get(connection);
     }
 
-    /** All known machines in the order of their first registration, as operators see them. */
+    /** Returns the views of all known machines in the order of their first registration. */
     public List<MachineView> machineViews(long nowMicros) {
         List<MachineView> views = new ArrayList<>();
         machines.values().forEach(machine -> views.add(machine.view(nowMicros)));
--- a/decisions/src/main/java/thornferry/decisions/membership/RegistrationValidator.java
+++ b/decisions/src/main/java/thornferry/decisions/membership/RegistrationValidator.java
@@ -8,13 +8,13 @@
 import thornferry.decisions.placement.Placement.MachineKind;
 
 /**
- * Checks the content of a registration against the configured machine kinds. The messages are sent
- * to the machine.
+ * Checks the content of a registration against the configured machine kinds. The machine receives
+ * the error messages.
  */
 final class RegistrationValidator {
     private static final int MAX_NAME_LENGTH = 128;
 
-    /** Tolerance when a registered size is compared with the configured one. */
+    /** Tolerance of the comparison of registered and configured sizes. */
     private static final double SIZE_TOLERANCE = 1e-6;
 
     private final Map<String, MachineKind> kinds = new LinkedHashMap<>();
--- a/decisions/src/main/java/thornferry/decisions/membership/RejectionReason.java
+++ b/decisions/src/main/java/thornferry/decisions/membership/RejectionReason.java
@@ -1,12 +1,12 @@
 package thornferry.decisions.membership;
 
-/** Why a machine rejected an offer, as the machine itself reported it. */
+/** The reason for which a machine rejected an offer, as reported by the machine. */
 public enum RejectionReason {
-    /** Too few free cores for the task. */
+    /** The machine has too few free cores for the task. */
     INSUFFICIENT_CORES,
-    /** Too little free memory for the task. */
+    /** The machine has too little free memory for the task. */
     INSUFFICIENT_MEMORY,
-    /** Too many offers wait for an answer at the machine. */
+    /** Too many offers are waiting for an answer of the machine. */
     QUEUE_FULL,
     /** Another attempt with the same idempotency key is running, or ran within the key's window. */
     KEY_HELD,
@@ -14,6 +14,6 @@
     DRAINING,
     /** The machine cannot run the task, for a reason it does not specify. */
     UNAVAILABLE,
-    /** No rejection, or one without a reason. */
+    /** The machine rejected no offer, or rejected one without a reason. */
     NONE
 }
