--- a/decisions/src/test/java/thornferry/decisions/admission/AdmissionQueueFixture.java
+++ b/decisions/src/test/java/thornferry/decisions/admission/AdmissionQueueFixture.java
@@ -12,7 +12,10 @@
 import thornferry.decisions.placement.Placement.MachineKind;
 import thornferry.decisions.placement.Placement.MachineState;
 
-/** An admission queue before one machine of 100 cores, with a clock and a record of its actions. */
+/**
+ * An admission queue for one machine of 100 cores, with a simulated clock and a record of the
+ * queue's actions.
+ */
 final class AdmissionQueueFixture {
     static final long MILLISECOND = 1_000;
     static final long SECOND = 1_000_000;
@@ -30,7 +33,7 @@
     private int lastRequestNumber;
     private AdmissionQueue queue;
 
-    /** Replaces the queue by an empty one; the clock and the recorded actions remain. */
+    /** Replaces the queue with an empty one; the clock and the recorded actions remain. */
     void start(AdmissionSettings settings) {
         cluster.update(
                 List.of(
@@ -39,7 +42,7 @@
         queue = new AdmissionQueue(settings, cluster, SEED);
     }
 
-    /** Settings that react fast, without quotas. */
+    /** Returns settings with short times and without quotas. */
     static AdmissionSettings settings(int maxDispatched, int oldestEvery, long reserveForMicros) {
         return new AdmissionSettings(
                 true,
@@ -104,7 +107,7 @@
                 shedClasses);
     }
 
-    /** A quota on tasks at a time, tasks per second and cores. */
+    /** Returns a quota on tasks at a time, tasks per second and cores. */
     static Quota quota(double maxTasks, double perSecond, double maxCores) {
         double burst = perSecond == UNLIMITED ? UNLIMITED : 1;
         return new Quota(UNLIMITED, maxTasks, perSecond, burst, maxCores, UNLIMITED);
@@ -126,17 +129,17 @@
         return nowMicros;
     }
 
-    /** Ids of the requests dispatched, in order. */
+    /** Returns the ids of the dispatched requests, in order of dispatch. */
     List<String> dispatched() {
         return dispatched;
     }
 
-    /** Rejections by request id. */
+    /** Returns the rejections by request id. */
     Map<String, AdmissionQueue.Shed> rejected() {
         return rejected;
     }
 
-    /** Ids of the requests recalled, in order. */
+    /** Returns the ids of the recalled requests, in order of recall. */
     List<String> recalled() {
         return recalled;
     }
@@ -149,12 +152,12 @@
         return queue.status(nowMicros, requestId);
     }
 
-    /** A request of weight 1 for one core; the tests change what matters to them. */
+    /** Returns a builder of a request that, unless changed, has weight 1 and needs one core. */
     RequestBuilder request(String owner, String tenant, long maxWaitMicros) {
         return new RequestBuilder(owner, tenant, maxWaitMicros);
     }
 
-    /** A request of weight 1 for one core arrives; returns its id. */
+    /** Submits a request of weight 1 for one core and returns its id. */
     String arrive(String owner, String tenant, long maxWaitMicros) {
         return request(owner, tenant, maxWaitMicros).arrive();
     }
@@ -175,7 +178,7 @@
         queue.attemptEnded(nowMicros, requestId);
     }
 
-    /** The machine accepts the request at its first attempt. */
+    /** Starts an attempt of the request and places it. */
     void place(String requestId) {
         startAttempt(requestId);
         markPlaced(requestId);
@@ -198,7 +201,7 @@
         nowMicros += micros;
     }
 
-    /** Advances the clock with its regular ticks. */
+    /** Advances the clock and ticks the queue every 20 ms. */
     void pass(long micros) {
         long endMicros = nowMicros + micros;
         while (nowMicros < endMicros) {
@@ -211,13 +214,15 @@
         if (action instanceof AdmissionQueue.Dispatch dispatch) {
             dispatched.add(dispatch.requestId());
         } else if (action instanceof AdmissionQueue.Shed shed) {
-            assertThat(rejected.put(shed.requestId(), shed)).as("rejected once").isNull();
+            assertThat(rejected.put(shed.requestId(), shed))
+                    .as("earlier rejection of the same request")
+                    .isNull();
         } else if (action instanceof AdmissionQueue.Recall recall) {
             recalled.add(recall.requestId());
         }
     }
 
-    /** Builds a request and lets it arrive. */
+    /** Builds a request and submits it to the queue. */
     final class RequestBuilder {
         private final String owner;
         private final String tenant;
@@ -260,7 +265,7 @@
             return this;
         }
 
-        /** Lets the request arrive now; returns its id. */
+        /** Submits the request at the current time and returns its id. */
         String arrive() {
             lastRequestNumber++;
             String requestId = owner + "-" + lastRequestNumber;
--- a/decisions/src/test/java/thornferry/decisions/admission/AdmissionQueueTest.java
+++ b/decisions/src/test/java/thornferry/decisions/admission/AdmissionQueueTest.java
@@ -19,33 +19,38 @@
     private final AdmissionQueueFixture fixture = new AdmissionQueueFixture();
 
     @Test
-    void dispatchesAtOnceWithoutQuotas() {
+    void dispatchesRequestOnArrivalWithoutQuotas() {
         fixture.start(AdmissionSettings.defaults());
         assertThat(fixture.dispatched()).isEmpty();
         String request = fixture.arrive("o", "t", SECOND);
         assertThat(fixture.dispatched()).containsExactly(request);
     }
 
-    /** Totals agree with a plain count, and each request ends exactly once. */
+    /**
+     * Checks after each random event that the totals agree with a count of the live requests, and
+     * that no request is rejected twice.
+     */
     @Test
-    void losesAndDoubleCountsNothingUnderRandomEvents() {
+    void keepsTotalsConsistentUnderRandomEvents() {
         for (int seed = 0; seed < 30; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             fixture.dispatched().clear();
             fixture.rejected().clear();
             fixture.start(randomSettings(random));
-            Map<String, Double> coresOfLive = new HashMap<>();
+            Map<String, Double> coresByLiveRequest = new HashMap<>();
             for (int i = 0; i < 600; i++) {
                 fixture.advanceClock(random.nextInt(30) * MILLISECOND);
-                applyRandomEvent(random, coresOfLive);
-                coresOfLive.keySet().removeAll(fixture.rejected().keySet());
-                assertTotalsMatch(coresOfLive);
+                applyRandomEvent(random, coresByLiveRequest);
+                coresByLiveRequest.keySet().removeAll(fixture.rejected().keySet());
+                assertTotalsMatch(coresByLiveRequest);
             }
             fixture.advanceClock(60 * SECOND);
             fixture.tick();
             fixture.advanceClock(20 * MILLISECOND);
             fixture.tick();
-            assertThat(fixture.queue().waitingCount()).as("none waits past its deadline").isZero();
+            assertThat(fixture.queue().waitingCount())
+                    .as("requests waiting past their deadlines")
+                    .isZero();
         }
     }
 
@@ -65,31 +70,32 @@
                 .withQuotas(ownerQuota, null, null, null);
     }
 
-    private void applyRandomEvent(SplittableRandom random, Map<String, Double> coresOfLive) {
-        String some =
-                coresOfLive.isEmpty()
+    private void applyRandomEvent(SplittableRandom random, Map<String, Double> coresByLiveRequest) {
+        String requestId =
+                coresByLiveRequest.isEmpty()
                         ? ""
-                        : List.copyOf(coresOfLive.keySet()).get(random.nextInt(coresOfLive.size()));
+                        : List.copyOf(coresByLiveRequest.keySet())
+                                .get(random.nextInt(coresByLiveRequest.size()));
         switch (random.nextInt(8)) {
-            case 0, 1, 2 -> arriveRandom(random, coresOfLive);
-            case 3 -> fixture.startAttempt(some);
-            case 4 -> fixture.endAttempt(some);
+            case 0, 1, 2 -> arriveRandom(random, coresByLiveRequest);
+            case 3 -> fixture.startAttempt(requestId);
+            case 4 -> fixture.endAttempt(requestId);
             case 5 -> {
-                if (fixture.status(some).stage() == Stage.OFFERED) {
-                    fixture.markPlaced(some);
+                if (fixture.status(requestId).stage() == Stage.OFFERED) {
+                    fixture.markPlaced(requestId);
                 }
             }
             case 6 -> {
-                if (random.nextBoolean() && fixture.status(some).stage() != Stage.QUEUED) {
-                    fixture.finish(some);
-                    coresOfLive.remove(some);
+                if (random.nextBoolean() && fixture.status(requestId).stage() != Stage.QUEUED) {
+                    fixture.finish(requestId);
+                    coresByLiveRequest.remove(requestId);
                 }
             }
             default -> fixture.tick();
         }
     }
 
-    private void arriveRandom(SplittableRandom random, Map<String, Double> coresOfLive) {
+    private void arriveRandom(SplittableRandom random, Map<String, Double> coresByLiveRequest) {
         double cores = 1 + random.nextInt(6);
         String owner = "o" + random.nextInt(OWNERS);
         String tenant = "t" + random.nextInt(2);
@@ -101,13 +107,13 @@
                         .cores(cores)
                         .retry(random.nextInt(5) == 0)
                         .arrive();
-        coresOfLive.put(request, cores);
+        coresByLiveRequest.put(request, cores);
     }
 
-    private void assertTotalsMatch(Map<String, Double> coresOfLive) {
+    private void assertTotalsMatch(Map<String, Double> coresByLiveRequest) {
         int waiting = 0;
         double activeCores = 0;
-        for (Map.Entry<String, Double> live : coresOfLive.entrySet()) {
+        for (Map.Entry<String, Double> live : coresByLiveRequest.entrySet()) {
             Stage stage = fixture.status(live.getKey()).stage();
             assertThat(stage).isNotEqualTo(Stage.UNKNOWN);
             if (stage == Stage.QUEUED || stage == Stage.BACKING_OFF) {
--- a/decisions/src/test/java/thornferry/decisions/admission/DispatcherTest.java
+++ b/decisions/src/test/java/thornferry/decisions/admission/DispatcherTest.java
@@ -10,16 +10,18 @@
 
 class DispatcherTest {
     private static final int OLDEST_EVERY = 8;
-    private static final long MAX_WAIT = 60 * SECOND;
+    private static final long MAX_WAIT_MICROS = 60 * SECOND;
 
     private final AdmissionQueueFixture fixture = new AdmissionQueueFixture();
 
     @Test
     void recallsRequestsWithoutCapacityAndDispatchesThemWhenCapacityAppears() {
         fixture.start(settings(2, OLDEST_EVERY, 0));
-        String large = fixture.request("o", "t", MAX_WAIT).priorityWeight(5).cores(60).arrive();
-        String alsoLarge = fixture.request("o", "t", MAX_WAIT).priorityWeight(5).cores(60).arrive();
-        String small = fixture.arrive("o", "t", MAX_WAIT);
+        String large =
+                fixture.request("o", "t", MAX_WAIT_MICROS).priorityWeight(5).cores(60).arrive();
+        String alsoLarge =
+                fixture.request("o", "t", MAX_WAIT_MICROS).priorityWeight(5).cores(60).arrive();
+        String small = fixture.arrive("o", "t", MAX_WAIT_MICROS);
         assertThat(fixture.dispatched()).containsExactly(large, alsoLarge);
         fixture.cluster().loadReported(MACHINE, 50, 50);
         fixture.pass(300 * MILLISECOND);
@@ -33,7 +35,7 @@
     }
 
     @Test
-    void requestsWithoutCapacityDoNotDelayOthers() {
+    void dispatchesOthersWithoutDelayDespiteRequestsWithoutCapacity() {
         fixture.start(settings(8, OLDEST_EVERY, 0));
         fixture.cluster().loadReported(MACHINE, 50, 50);
         for (int i = 0; i < 500; i++) {
@@ -47,7 +49,7 @@
                 fixture.pass(20 * MILLISECOND);
             }
             assertThat(fixture.nowMicros() - arrivedAtMicros)
-                    .as("waited behind requests without capacity")
+                    .as("wait behind requests without capacity")
                     .isLessThanOrEqualTo(250 * MILLISECOND);
             fixture.place(request);
             fixture.finish(request);
@@ -57,32 +59,34 @@
     }
 
     @Test
-    void neverRecallsRequestThatWasOffered() {
+    void doesNotRecallRequestThatWasOffered() {
         fixture.start(settings(1, OLDEST_EVERY, 0));
-        String offered = fixture.request("o", "t", MAX_WAIT).priorityWeight(5).cores(60).arrive();
-        fixture.arrive("o", "t", MAX_WAIT);
+        String offered =
+                fixture.request("o", "t", MAX_WAIT_MICROS).priorityWeight(5).cores(60).arrive();
+        fixture.arrive("o", "t", MAX_WAIT_MICROS);
         fixture.startAttempt(offered);
         fixture.endAttempt(offered);
         fixture.pass(2 * SECOND);
         assertThat(fixture.recalled())
-                .as("the policy knows that it may have run")
+                .as("a request whose attempt may have run must stay with the policy")
                 .doesNotContain(offered);
     }
 
     @Test
     void reservesCapacityForLargeTaskForBoundedTime() {
         fixture.start(settings(4, 1_000, SECOND));
-        String large = fixture.request("o", "t", MAX_WAIT).priorityWeight(2).cores(60).arrive();
+        String large =
+                fixture.request("o", "t", MAX_WAIT_MICROS).priorityWeight(2).cores(60).arrive();
         fixture.pass(1_100 * MILLISECOND);
-        String small = fixture.arrive("o", "t", MAX_WAIT);
-        String highWeight = fixture.request("o", "t", MAX_WAIT).priorityWeight(3).arrive();
+        String small = fixture.arrive("o", "t", MAX_WAIT_MICROS);
+        String highWeight = fixture.request("o", "t", MAX_WAIT_MICROS).priorityWeight(3).arrive();
         assertThat(fixture.dispatched()).contains(large, highWeight).doesNotContain(small);
         assertThat(fixture.status(small).capacityReserved()).isTrue();
         fixture.pass(1_100 * MILLISECOND);
         assertThat(fixture.dispatched()).contains(small);
-        String afterReservation = fixture.arrive("o", "t", MAX_WAIT);
+        String afterReservation = fixture.arrive("o", "t", MAX_WAIT_MICROS);
         assertThat(fixture.dispatched())
-                .as("no other reservation follows at once")
+                .as("no reservation may follow another at once")
                 .contains(afterReservation);
     }
 }
--- a/decisions/src/test/java/thornferry/decisions/admission/LoadShedderTest.java
+++ b/decisions/src/test/java/thornferry/decisions/admission/LoadShedderTest.java
@@ -16,15 +16,15 @@
     private final AdmissionQueueFixture fixture = new AdmissionQueueFixture();
 
     @Test
-    void rejectsBeforeDeadlineWhatCannotBePlacedInTime() {
+    void rejectsWaitingRequestBeforeItsDeadline() {
         fixture.start(settings(1, OLDEST_EVERY, 0));
         String blocker =
                 fixture.request("o", "t", 60 * SECOND).priorityWeight(5).cores(60).arrive();
         fixture.startAttempt(blocker);
-        fixture.endAttempt(blocker); // so that it is not recalled
-        String expiring = fixture.request("o", "t", SECOND).cores(60).arrive();
+        fixture.endAttempt(blocker); // a request that was offered is not recalled
+        String waitingRequest = fixture.request("o", "t", SECOND).cores(60).arrive();
         fixture.pass(960 * MILLISECOND);
-        assertThat(fixture.rejected()).containsKey(expiring);
+        assertThat(fixture.rejected()).containsKey(waitingRequest);
         assertThat(fixture.queue().waitingCount()).isZero();
     }
 
@@ -43,12 +43,13 @@
     }
 
     /**
-     * 100 requests a second that may wait 4 s, of which 20 a second are placed; then none any more.
+     * Submits 100 requests per second, each with a maximum wait of 4 s, of which 20 per second are
+     * placed; then submits no more.
      */
     @Test
     void rejectsEarlyUnderOverloadAndRecovers() {
         fixture.start(settings(4, OLDEST_EVERY, 0));
-        long rejectedAtOnce = 0;
+        long rejectedOnArrival = 0;
         for (int i = 0; i < 1_000; i++) {
             String request = fixture.arrive("o" + i % 5, "t", 4 * SECOND);
             fixture.advanceClock(10 * MILLISECOND);
@@ -58,19 +59,21 @@
             if (i % 2 == 0) {
                 fixture.tick();
             }
-            rejectedAtOnce += fixture.rejected().containsKey(request) ? 1 : 0;
+            rejectedOnArrival += fixture.rejected().containsKey(request) ? 1 : 0;
         }
         assertThat(fixture.queue().isOverloaded()).isTrue();
-        assertThat(rejectedAtOnce).as("rejected at once, of 1,000").isGreaterThan(200);
+        assertThat(rejectedOnArrival)
+                .as("requests rejected on arrival, of 1,000")
+                .isGreaterThan(200);
         long rejectedAtDeadline =
                 fixture.rejected().values().stream()
                         .filter(shed -> shed.reason().startsWith("no room came"))
                         .count();
         assertThat(rejectedAtDeadline)
-                .as("rejected only at the deadline")
+                .as("requests rejected only at the deadline")
                 .isLessThan(fixture.rejected().size() / 20);
         assertThat(fixture.queue().waitingCount())
-                .as("a queue that can be served in time")
+                .as("waiting requests, few enough to be placed in time")
                 .isLessThan(120);
         fixture.pass(5 * SECOND);
         assertThat(fixture.queue().isOverloaded()).isFalse();
@@ -94,7 +97,7 @@
         assertThat(delays.get(499)).isLessThanOrEqualTo(30 * SECOND);
         for (int i = 0; i + 60 < 500; i++) {
             assertThat(delays.get(i + 60) - delays.get(i))
-                    .as("60 of 500 within a short time")
+                    .as("time over which 60 of 500 clients retry")
                     .isGreaterThan(300 * MILLISECOND);
         }
     }
--- a/decisions/src/test/java/thornferry/decisions/admission/LoginRateLimiterTest.java
+++ b/decisions/src/test/java/thornferry/decisions/admission/LoginRateLimiterTest.java
@@ -18,12 +18,12 @@
         return limiter.attemptStarted(nowMicros, address, login);
     }
 
-    private void endAttempt(String address, String login, boolean good) {
-        limiter.attemptEnded(nowMicros, address, login, good);
+    private void endAttempt(String address, String login, boolean passcodeValid) {
+        limiter.attemptEnded(nowMicros, address, login, passcodeValid);
     }
 
-    /** Failed attempts, each as soon as it is allowed. */
-    private void fail(String address, String login, int attempts) {
+    /** Makes failed attempts, each as early as the limiter allows. */
+    private void failAttempts(String address, String login, int attempts) {
         for (int i = 0; i < attempts; i++) {
             nowMicros = Math.max(nowMicros, startAttempt(address, login));
             endAttempt(address, login, false);
@@ -31,28 +31,28 @@
     }
 
     @Test
-    void delaysOnlyFailedLoginFromSameAddress() {
-        fail("10.0.0.1", "depot1", 20);
+    void delaysOnlySameLoginFromSameAddress() {
+        failAttempts("10.0.0.1", "depot1", 20);
         assertThat(startAttempt("10.0.0.1", "depot1")).isEqualTo(nowMicros + 10 * SECOND);
         assertThat(startAttempt("10.0.0.2", "depot1"))
-                .as("the owner at another address")
+                .as("same login from another address")
                 .isEqualTo(nowMicros);
         assertThat(startAttempt("10.0.0.1", "depot2"))
-                .as("another login at the same address")
+                .as("another login from the same address")
                 .isEqualTo(nowMicros);
     }
 
     @Test
-    void doublesDelaySoThatThirtyGuessesTakeMinutes() {
+    void doublesDelaySoThatThirtyFailuresTakeMinutes() {
         long startMicros = nowMicros;
-        fail("a", "l", 30);
+        failAttempts("a", "l", 30);
         assertThat(nowMicros - startMicros).isGreaterThan(120 * SECOND);
     }
 
     @Test
-    void allowsFreeFailuresAndForgetsThemAfterSuccess() {
+    void doesNotDelayFreeFailuresAndDiscardsThemAfterSuccess() {
         long startMicros = nowMicros;
-        fail("a", "l", 3);
+        failAttempts("a", "l", 3);
         assertThat(startAttempt("a", "l")).isEqualTo(startMicros);
         endAttempt("a", "l", false);
         endAttempt("a", "l", false);
@@ -63,19 +63,19 @@
 
     @Test
     void rejectsConcurrentAttemptsOfDelayedLogin() {
-        fail("a", "l", 5);
+        failAttempts("a", "l", 5);
         assertThat(startAttempt("a", "l")).isPositive();
         assertThat(startAttempt("a", "l")).isPositive();
         assertThat(startAttempt("a", "l")).isEqualTo(-1);
     }
 
     @Test
-    void boundsTrackedLoginsAndForgetsInTime() {
-        fail("a", "l", 10);
+    void boundsTrackedLoginsAndDiscardsOldFailures() {
+        failAttempts("a", "l", 10);
         nowMicros += 601 * SECOND;
         assertThat(startAttempt("a", "l")).isEqualTo(nowMicros);
         for (int i = 0; i < 1_000; i++) {
-            fail("a", "l" + i, 1);
+            failAttempts("a", "l" + i, 1);
         }
         assertThat(limiter.trackedCount()).isEqualTo(MAX_TRACKED);
     }
--- a/decisions/src/test/java/thornferry/decisions/admission/QuotaTest.java
+++ b/decisions/src/test/java/thornferry/decisions/admission/QuotaTest.java
@@ -10,7 +10,7 @@
 
 class QuotaTest {
     private static final double UNLIMITED = Double.POSITIVE_INFINITY;
-    private static final long MAX_WAIT = 60 * SECOND;
+    private static final long MAX_WAIT_MICROS = 60 * SECOND;
 
     private final AdmissionQueueFixture fixture = new AdmissionQueueFixture();
 
@@ -19,24 +19,24 @@
     }
 
     @Test
-    void blocksOwnerAtTaskQuotaUntilTaskEnds() {
+    void blocksOnlyOwnerAtTaskQuotaUntilItsTaskEnds() {
         fixture.start(withOwnerQuota(taskQuota(1)));
-        String first = fixture.arrive("o", "t", MAX_WAIT);
-        String second = fixture.arrive("o", "t", MAX_WAIT);
-        String otherOwner = fixture.arrive("p", "t", MAX_WAIT);
+        String first = fixture.arrive("o", "t", MAX_WAIT_MICROS);
+        String second = fixture.arrive("o", "t", MAX_WAIT_MICROS);
+        String otherOwner = fixture.arrive("p", "t", MAX_WAIT_MICROS);
         assertThat(fixture.dispatched()).containsExactly(first, otherOwner);
         assertThat(fixture.status(second).quotaBlock().quota()).isEqualTo("tasks");
         fixture.place(first);
-        assertThat(fixture.dispatched()).as("a placed task still counts").hasSize(2);
+        assertThat(fixture.dispatched()).as("a placed task counts against the quota").hasSize(2);
         fixture.finish(first);
         assertThat(fixture.dispatched()).contains(second);
     }
 
     @Test
-    void dispatchesAtRateOfQuota() {
+    void limitsDispatchRateToQuota() {
         fixture.start(withOwnerQuota(quota(UNLIMITED, 2, UNLIMITED)));
         for (int i = 0; i < 10; i++) {
-            fixture.arrive("o", "t", MAX_WAIT);
+            fixture.arrive("o", "t", MAX_WAIT_MICROS);
         }
         assertThat(fixture.dispatched()).hasSize(1);
         fixture.pass(2 * SECOND);
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void rejectsRequestLargerThanQuotaAndClassThatDoesNotWait() {
+    void rejectsRequestLargerThanQuotaAndRequestOfShedClass() {
         fixture.start(
                 AdmissionQueueFixture.withShedClasses(
                         withOwnerQuota(quota(1, UNLIMITED, 4)), Set.of("hasty")));
@@ -62,7 +62,7 @@
     void reloadKeepsWaitingRequestsAndDispatchesUpToNewQuota() {
         fixture.start(withOwnerQuota(taskQuota(1)));
         for (int i = 0; i < 50; i++) {
-            fixture.arrive("o", "t", MAX_WAIT);
+            fixture.arrive("o", "t", MAX_WAIT_MICROS);
         }
         assertThat(fixture.queue().waitingCount()).isEqualTo(49);
         fixture.reload(withOwnerQuota(taskQuota(20)));
--- a/decisions/src/test/java/thornferry/decisions/admission/RejectionTextTest.java
+++ b/decisions/src/test/java/thornferry/decisions/admission/RejectionTextTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Clients may match these sentences, so their exact text must not change. */
+/** Checks the exact text of the rejection sentences, because clients may match them. */
 class RejectionTextTest {
     private static QuotaBlock block(QuotaScope scope, String quotaName, double limit) {
         return new QuotaBlock(scope, quotaName, limit, 0, QuotaBlock.NO_TIME_LIMIT_MICROS);
--- a/decisions/src/test/java/thornferry/decisions/admission/SettingOutOfRangeExceptionTest.java
+++ b/decisions/src/test/java/thornferry/decisions/admission/SettingOutOfRangeExceptionTest.java
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void rejectsNotANumber() {
+    void rejectsNaN() {
         assertThatIllegalArgumentException().isThrownBy(() -> new Quota(Double.NaN, 1, 1, 1, 1, 1));
         assertThatIllegalArgumentException()
                 .isThrownBy(
--- a/decisions/src/test/java/thornferry/decisions/membership/FlapQuarantineTest.java
+++ b/decisions/src/test/java/thornferry/decisions/membership/FlapQuarantineTest.java
@@ -6,14 +6,18 @@
 
 class FlapQuarantineTest {
     private static final long SECOND = 1_000_000;
-    private static final long FLAP_WINDOW = 30 * SECOND;
-    private static final long FIRST_QUARANTINE = 5 * SECOND;
+    private static final long FLAP_WINDOW_MICROS = 30 * SECOND;
+    private static final long FIRST_QUARANTINE_MICROS = 5 * SECOND;
     private static final int MAX_FLAPS = 2;
 
     private final FlapQuarantine quarantine =
             new FlapQuarantine(
                     new Membership.Limits(
-                            10 * SECOND, MAX_FLAPS, FLAP_WINDOW, FIRST_QUARANTINE, 3));
+                            10 * SECOND,
+                            MAX_FLAPS,
+                            FLAP_WINDOW_MICROS,
+                            FIRST_QUARANTINE_MICROS,
+                            3));
     private long nowMicros = 1_000 * SECOND;
 
     private void loseConnections(int count) {
@@ -29,39 +33,39 @@
     }
 
     @Test
-    void forgetsConnectionsLostBeforeWindow() {
+    void ignoresConnectionsLostBeforeWindow() {
         loseConnections(MAX_FLAPS);
-        nowMicros += FLAP_WINDOW;
+        nowMicros += FLAP_WINDOW_MICROS;
         loseConnections(MAX_FLAPS);
         assertThat(quarantine.isActive(nowMicros)).isFalse();
     }
 
     @Test
-    void endsAfterItsDuration() {
+    void endsQuarantineAfterItsDuration() {
         loseConnections(MAX_FLAPS + 1);
-        assertThat(quarantine.remainingMicros(nowMicros)).isEqualTo(FIRST_QUARANTINE);
-        assertThat(quarantine.isActive(nowMicros + FIRST_QUARANTINE - 1)).isTrue();
-        assertThat(quarantine.isActive(nowMicros + FIRST_QUARANTINE)).isFalse();
+        assertThat(quarantine.remainingMicros(nowMicros)).isEqualTo(FIRST_QUARANTINE_MICROS);
+        assertThat(quarantine.isActive(nowMicros + FIRST_QUARANTINE_MICROS - 1)).isTrue();
+        assertThat(quarantine.isActive(nowMicros + FIRST_QUARANTINE_MICROS)).isFalse();
     }
 
     @Test
-    void doublesUpToSixteenTimesFirst() {
-        long expectedMicros = FIRST_QUARANTINE;
+    void doublesDurationUpToSixteenTimesFirst() {
+        long expectedMicros = FIRST_QUARANTINE_MICROS;
         for (int round = 0; round < 7; round++) {
             loseConnections(MAX_FLAPS + 1);
             assertThat(quarantine.remainingMicros(nowMicros)).isEqualTo(expectedMicros);
             nowMicros += expectedMicros;
-            expectedMicros = Math.min(16 * FIRST_QUARANTINE, 2 * expectedMicros);
+            expectedMicros = Math.min(16 * FIRST_QUARANTINE_MICROS, 2 * expectedMicros);
         }
     }
 
     @Test
-    void startsAnewAfterStableWindow() {
+    void returnsToFirstDurationAfterStableWindow() {
         loseConnections(MAX_FLAPS + 1);
         loseConnections(MAX_FLAPS + 1);
-        assertThat(quarantine.remainingMicros(nowMicros)).isEqualTo(2 * FIRST_QUARANTINE);
-        nowMicros += 2 * FIRST_QUARANTINE + FLAP_WINDOW + 1;
+        assertThat(quarantine.remainingMicros(nowMicros)).isEqualTo(2 * FIRST_QUARANTINE_MICROS);
+        nowMicros += 2 * FIRST_QUARANTINE_MICROS + FLAP_WINDOW_MICROS + 1;
         loseConnections(MAX_FLAPS + 1);
-        assertThat(quarantine.remainingMicros(nowMicros)).isEqualTo(FIRST_QUARANTINE);
+        assertThat(quarantine.remainingMicros(nowMicros)).isEqualTo(FIRST_QUARANTINE_MICROS);
     }
 }
--- a/decisions/src/test/java/thornferry/decisions/membership/MembershipTest.java
+++ b/decisions/src/test/java/thornferry/decisions/membership/MembershipTest.java
@@ -16,7 +16,7 @@
 import thornferry.decisions.placement.Placement.MachineState;
 
 class MembershipTest {
-    private static final long MILLI = 1_000;
+    private static final long MILLISECOND = 1_000;
     private static final long SECOND = 1_000_000;
 
     private final Membership membership =
@@ -43,12 +43,12 @@
         return actionsOf(() -> membership.connectionClosed(nowMicros, connection, actions::add));
     }
 
-    /** Ticks every 100 ms, as the placer does. */
+    /** Advances the clock and ticks every 100 ms, as the placer does. */
     private List<Action> advance(long durationMicros) {
         return actionsOf(
                 () -> {
                     for (long endMicros = nowMicros + durationMicros; nowMicros < endMicros; ) {
-                        nowMicros = Math.min(endMicros, nowMicros + 100 * MILLI);
+                        nowMicros = Math.min(endMicros, nowMicros + 100 * MILLISECOND);
                         membership.tick(nowMicros, actions::add);
                     }
                 });
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void admitsAndListsRegisteredMachine() {
+    void admitsRegisteredMachineAndPublishesItAsReady() {
         List<Action> result = register(1, "n", 5);
         assertThat(result.get(0)).isEqualTo(new MachineAdmitted("n", 5, 1));
         assertThat(lastPublishedState(result)).isEqualTo(MachineState.READY);
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void unlistsDisconnectedMachineWithoutEndingIncarnation() {
+    void publishesDisconnectedMachineAsGoneWithoutEndingIncarnation() {
         register(1, "n", 5);
         assertThat(lastPublishedState(disconnect(1))).isEqualTo(MachineState.GONE);
         assertThat(advance(9 * SECOND)).noneMatch(IncarnationEnded.class::isInstance);
@@ -99,27 +99,28 @@
         MachinesChanged first = (MachinesChanged) register(1, "n", 5).get(1);
         disconnect(1);
         nowMicros += SECOND;
-        // its uptime is rounded and delayed on the way: a start that moved would look like a
-        // restart
+        // The reported uptime has not grown meanwhile. The policy would take a changed start time
+        // for a restart.
         MachinesChanged again = (MachinesChanged) register(2, "n", 5).get(1);
         assertThat(again.entries().get(0).startedAtMicros())
                 .isEqualTo(first.entries().get(0).startedAtMicros());
     }
 
     @Test
-    void endsIncarnationOnceAfterTimeWithoutConnection() {
+    void endsIncarnationExactlyOnceAfterTimeWithoutConnection() {
         register(1, "n", 5);
         disconnect(1);
         assertThat(advance(30 * SECOND)).filteredOn(IncarnationEnded.class::isInstance).hasSize(1);
     }
 
     @Test
-    void excludesOwnPauseFromTimeWithoutConnection() {
+    void excludesPauseOfPlacerFromTimeWithoutConnection() {
         register(1, "n", 5);
         advance(SECOND);
         disconnect(1);
         advance(9 * SECOND);
-        // no tick meanwhile: eleven seconds since the disconnect, but only nine of them ticked
+        // The placer pauses for 2 s without a tick. Of the 11 s since the disconnect only 9 s
+        // count.
         nowMicros += 2 * SECOND;
         assertThat(actionsOf(() -> membership.tick(nowMicros, actions::add)))
                 .noneMatch(IncarnationEnded.class::isInstance);
@@ -135,7 +136,7 @@
                         new CloseConnection(1, "registered again on another connection"),
                         new IncarnationEnded("n", 5, "it has started anew"),
                         new MachineAdmitted("n", 6, 2));
-        // closing the old connection does not affect the new incarnation
+        // Closing the old connection does not affect the new incarnation.
         assertThat(disconnect(1)).isEmpty();
         assertThat(membership.connectionOf("n")).isEqualTo(2);
     }
@@ -150,7 +151,7 @@
     }
 
     @Test
-    void prefersNewerConnection() {
+    void closesOlderConnectionOfSameIncarnation() {
         register(1, "n", 5);
         List<Action> result = register(2, "n", 5);
         assertThat(result)
@@ -178,7 +179,7 @@
             assertThat(viewedState("n")).isEqualTo("held-out");
             long startMicros = nowMicros;
             while (viewedState("n").equals("held-out")) {
-                advance(100 * MILLI);
+                advance(100 * MILLISECOND);
             }
             quarantineMicros[round] = nowMicros - startMicros;
             disconnect(connection++);
@@ -188,7 +189,7 @@
     }
 
     @Test
-    void drainNotifiesPolicyFirstAndOutlastsIncarnations() {
+    void keepsDrainAcrossIncarnationsAndInformsPolicyFirst() {
         register(1, "n", 5);
         List<Action> result = actionsOf(() -> membership.drain(nowMicros, "n", true, actions::add));
         assertThat(lastPublishedState(result)).isEqualTo(MachineState.DRAINING);
@@ -204,7 +205,7 @@
                                                 membership.drain(
                                                         nowMicros, "n", false, actions::add))))
                 .isEqualTo(MachineState.READY);
-        assertThat(membership.drain(nowMicros, "nobody", true, actions::add)).isFalse();
+        assertThat(membership.drain(nowMicros, "unknown", true, actions::add)).isFalse();
     }
 
     @Test
