--- a/decisions/src/main/java/thornferry/decisions/admission/AdmissionQueue.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/AdmissionQueue.java
@@ -166,8 +166,8 @@
      */
     public void reload(long nowMicros, AdmissionSettings newSettings, Consumer<Action> actions) {
         settings = newSettings;
-        quotas.settingsChanged();
-        retryBudget.settingsChanged();
+        quotas.applySettings();
+        retryBudget.applySettings();
         index.refreshAll(nowMicros);
         dispatcher.dispatchReady(nowMicros, actions);
     }
@@ -190,14 +190,14 @@
         }
         if (!request.retry()) {
             overload.recordNewRequest();
-            retryBudget.newRequestArrived(nowMicros, request);
+            retryBudget.recordNewRequest(nowMicros, request);
         }
         Optional<String> rejection =
-                quotas.rejectionOnArrival(nowMicros, entry)
-                        .or(() -> loadShedder.rejectionOnArrival(nowMicros, entry));
+                quotas.findRejectionOnArrival(nowMicros, entry)
+                        .or(() -> loadShedder.findRejectionOnArrival(nowMicros, entry));
         if (rejection.isPresent()) {
             entries.remove(request.requestId());
-            index.discardIfIdle(nowMicros, entry.owner());
+            index.removeOwnerIfIdle(nowMicros, entry.owner());
             sendRejection(nowMicros, entry, rejection.get(), actions);
             return;
         }
@@ -251,7 +251,7 @@
     public void attemptStarted(long nowMicros, String request, String machine, boolean repeat) {
         QueueEntry entry = entries.get(request);
         boolean isRetry = repeat || (entry != null && entry.request().retry());
-        retryBudget.attemptStarted(nowMicros, machine, isRetry);
+        retryBudget.recordAttemptStart(nowMicros, machine, isRetry);
         if (entry != null && entry.stage() == Stage.DISPATCHED) {
             window.attemptStarted(entry);
         }
@@ -323,7 +323,7 @@
         }
         entry.moveTo(Stage.UNKNOWN);
         reservation.remove(entry);
-        index.discardIfIdle(nowMicros, entry.owner());
+        index.removeOwnerIfIdle(nowMicros, entry.owner());
     }
 
     /** Removes an entry from the queue or window of its stage; does not change the stage. */
--- a/decisions/src/main/java/thornferry/decisions/admission/AdmissionSettings.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/AdmissionSettings.java
@@ -36,7 +36,8 @@
  *     machine that is not a retry
  * @param retryPerSecond retries per second that each owner and machine is allowed regardless of new
  *     requests
- * @param minRetryAfterMicros minimum Retry-After of a rejected task, in microseconds
+ * @param minRetryAfterMicros minimum Retry-After of a rejected task before its random spread, which
+ *     may reduce it to half, in microseconds
  * @param maxRetryAfterMicros maximum Retry-After of a rejected task, in microseconds
  * @param ownerQuota quota of each owner that {@code ownerQuotas} does not name
  * @param tenantQuota quota of each tenant that {@code tenantQuotas} does not name
--- a/decisions/src/main/java/thornferry/decisions/admission/BackoffQueue.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/BackoffQueue.java
@@ -47,7 +47,7 @@
         long untilMicros =
                 Math.min(
                         retryBudget.nextRetryAtMicros(nowMicros, entry.request()),
-                        entry.latestBackoffMicros());
+                        entry.latestBackoffEndMicros());
         add(nowMicros, entry, untilMicros, BackoffCause.RETRY_BUDGET);
     }
 
@@ -65,7 +65,7 @@
         long untilMicros =
                 Math.min(
                         nowMicros + Math.min(delayMicros, maxDelayMicros),
-                        entry.latestBackoffMicros());
+                        entry.latestBackoffEndMicros());
         add(nowMicros, entry, untilMicros, BackoffCause.NO_CAPACITY);
     }
 
--- a/decisions/src/main/java/thornferry/decisions/admission/CapacityReservation.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/CapacityReservation.java
@@ -101,11 +101,11 @@
         List<QueueEntry> candidates = new ArrayList<>(window.entries());
         candidates.addAll(backoff.firstByPriority());
         return candidates.stream()
-                .filter(entry -> waitsLongForCapacity(nowMicros, entry))
+                .filter(entry -> hasWaitedLongForCapacity(nowMicros, entry))
                 .min(QueueEntry.BY_PRIORITY);
     }
 
-    private boolean waitsLongForCapacity(long nowMicros, QueueEntry entry) {
+    private boolean hasWaitedLongForCapacity(long nowMicros, QueueEntry entry) {
         return nowMicros - entry.arrivedAtMicros() >= settings.get().reserveAfterMicros()
                 && !entry.exceedsRetryBudget()
                 && isLarge(entry);
--- a/decisions/src/main/java/thornferry/decisions/admission/LoadShedder.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/LoadShedder.java
@@ -46,7 +46,7 @@
      * Returns the rejection sentence for a request that has just arrived and would wait beyond its
      * deadline; empty if the request may wait.
      */
-    Optional<String> rejectionOnArrival(long nowMicros, QueueEntry entry) {
+    Optional<String> findRejectionOnArrival(long nowMicros, QueueEntry entry) {
         if (!overload.shouldRejectEarly(nowMicros)) {
             return Optional.empty();
         }
@@ -58,7 +58,9 @@
 
     /**
      * Records a rejection at the deadline as a sign of overload if the request could have been
-     * placed: it had a reasonable maximum wait, and neither its size nor a quota prevented it.
+     * placed: its maximum wait was at least half of {@link AdmissionSettings#intervalMicros}, some
+     * machine was large enough for it, and neither the retry budget nor a quota of its owner
+     * blocked it.
      */
     void recordRejectionAtDeadline(long nowMicros, QueueEntry entry) {
         boolean hasShortMaxWait = entry.maxWaitMicros() < settings.get().intervalMicros() / 2;
@@ -123,7 +125,7 @@
                             .map(entry -> entry.waitedFraction(nowMicros))
                             .orElse(0.0);
             if (waitedFraction < settings.get().targetWaitFraction()
-                    || overload.intervalHasEnded(nowMicros)) {
+                    || overload.hasIntervalEnded(nowMicros)) {
                 overload.recordWait(waitedFraction);
             }
         }
--- a/decisions/src/main/java/thornferry/decisions/admission/OverloadController.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/OverloadController.java
@@ -27,7 +27,10 @@
     /** Number of intervals for which a late rejection counts as a sign of overload. */
     private static final int LATE_REJECTION_INTERVALS = 2;
 
-    /** Lower bound of the fraction of the placement rate that is allotted to retries. */
+    /**
+     * Lower bound of the fraction of the placement rate that is left to rejected clients that
+     * retry.
+     */
     private static final double MIN_RETRY_FRACTION = 1.0 / 4;
 
     /** Makes the random sequence differ from other sequences with the same seed. */
@@ -67,7 +70,7 @@
         return minWaitedFraction != NO_SAMPLE;
     }
 
-    boolean intervalHasEnded(long nowMicros) {
+    boolean hasIntervalEnded(long nowMicros) {
         return nowMicros >= intervalEndMicros;
     }
 
@@ -75,7 +78,7 @@
         if (minWaitedFraction < settings.get().targetWaitFraction()) {
             overloaded = false;
             beginInterval(nowMicros);
-        } else if (intervalHasEnded(nowMicros)) {
+        } else if (hasIntervalEnded(nowMicros)) {
             if (!overloaded && hasSample()) {
                 overloaded = true;
                 shedsInOverload = 0;
@@ -167,18 +170,18 @@
                 Math.max(
                         placementRate * MIN_RETRY_FRACTION,
                         placementRate - newRequests.perSecond());
-        long slotMicros = (long) (MICROS_PER_SECOND / Math.max(1, spareRate));
-        nextRetrySlotMicros = Math.max(nextRetrySlotMicros, nowMicros) + slotMicros;
-        long waitMicros = nextRetrySlotMicros - nowMicros;
+        long slotLengthMicros = (long) (MICROS_PER_SECOND / Math.max(1, spareRate));
+        nextRetrySlotMicros = Math.max(nextRetrySlotMicros, nowMicros) + slotLengthMicros;
+        long untilSlotMicros = nextRetrySlotMicros - nowMicros;
         long maxMicros = settings.get().maxRetryAfterMicros();
         long minMicros = settings.get().minRetryAfterMicros();
-        if (waitMicros > maxMicros) {
+        if (untilSlotMicros > maxMicros) {
             // There are more clients than slots. Their delays are spread over the whole range,
             // because a concentration anywhere in it would cause another burst of retries.
             nextRetrySlotMicros = nowMicros + maxMicros;
             return minMicros / 2 + random.nextLong(Math.max(1, maxMicros - minMicros / 2));
         }
-        long delayMicros = Math.max(minMicros, waitMicros);
+        long delayMicros = Math.max(minMicros, untilSlotMicros);
         return delayMicros / 2 + random.nextLong(delayMicros / 2 + 1);
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/admission/QueueEntry.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/QueueEntry.java
@@ -7,7 +7,7 @@
 final class QueueEntry {
     /**
      * Minimum time before its deadline at which a request may still be dispatched. The policy
-     * answers 40 ms before the deadline.
+     * answers 40 ms before the deadline, so a later dispatch cannot succeed.
      */
     static final long DISPATCH_MARGIN_MICROS = 60_000;
 
@@ -169,7 +169,7 @@
     }
 
     /** Returns the latest end of a backoff that leaves enough time for a dispatch afterwards. */
-    long latestBackoffMicros() {
+    long latestBackoffEndMicros() {
         return request.deadlineMicros() - 2 * DISPATCH_MARGIN_MICROS;
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/admission/QueueIndex.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/QueueIndex.java
@@ -110,7 +110,7 @@
     }
 
     /** Removes an owner without waiting or active tasks, and its tenant if that has none either. */
-    void discardIfIdle(long nowMicros, OwnerQueue owner) {
+    void removeOwnerIfIdle(long nowMicros, OwnerQueue owner) {
         if (!owner.usage().isIdle() || owners.get(owner.name()) != owner) {
             return;
         }
--- a/decisions/src/main/java/thornferry/decisions/admission/QueuedRequest.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/QueuedRequest.java
@@ -9,7 +9,7 @@
  * @param taskClass class of the task
  * @param priorityWeight weight by which requests of a tenant are ordered, highest first
  * @param cores cores that the task needs
- * @param memory memory that the task needs, in the unit of the machine sizes
+ * @param memory memory that the task needs, in the unit of the task specifications
  * @param deadlineMicros time by which the task must be placed
  * @param expectedRunMicros expected run time; 0 if unknown
  * @param retry whether the request repeats an earlier one
--- a/decisions/src/main/java/thornferry/decisions/admission/Quota.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/Quota.java
@@ -13,7 +13,7 @@
  * @param burst maximum number of tasks that may be dispatched at once after a pause
  * @param maxCores maximum sum of the cores of the tasks that are dispatched or placed at a time
  * @param maxMemory maximum sum of the memory of the tasks that are dispatched or placed at a time,
- *     in the unit of the machine sizes
+ *     in the unit of the task specifications
  */
 public record Quota(
         double maxWaiting,
@@ -52,7 +52,7 @@
     }
 
     /** Returns whether the request's task alone exceeds the limit on cores or memory. */
-    boolean isSmallerThan(QueuedRequest request) {
+    boolean isTooSmallFor(QueuedRequest request) {
         return request.cores() > maxCores || request.memory() > maxMemory;
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/admission/QuotaChecker.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/QuotaChecker.java
@@ -12,20 +12,25 @@
 
     private final Supplier<AdmissionSettings> settings;
     private final UsageTotals site;
-    private final TokenBuckets ownerRates = unlimitedBuckets();
-    private final TokenBuckets tenantRates = unlimitedBuckets();
-    private final TokenBuckets siteRate = unlimitedBuckets();
+
+    /** Token buckets of the owners without a quota of their own. */
+    private final TokenBuckets defaultOwnerBuckets = unlimitedBuckets();
+
+    /** Token buckets of the tenants without a quota of their own. */
+    private final TokenBuckets defaultTenantBuckets = unlimitedBuckets();
+
+    private final TokenBuckets siteBucket = unlimitedBuckets();
 
     /** Token buckets by owner, for owners with a quota of their own. */
-    private final Map<String, TokenBuckets> ratesByOwner = new HashMap<>();
+    private final Map<String, TokenBuckets> bucketsByOwner = new HashMap<>();
 
     /** Token buckets by tenant, for tenants with a quota of their own. */
-    private final Map<String, TokenBuckets> ratesByTenant = new HashMap<>();
+    private final Map<String, TokenBuckets> bucketsByTenant = new HashMap<>();
 
     QuotaChecker(Supplier<AdmissionSettings> settings, UsageTotals site) {
         this.settings = settings;
         this.site = site;
-        settingsChanged();
+        applySettings();
     }
 
     private static TokenBuckets unlimitedBuckets() {
@@ -33,39 +38,41 @@
     }
 
     /** Applies the dispatch rates of the current settings. */
-    void settingsChanged() {
+    void applySettings() {
         AdmissionSettings current = settings.get();
-        configure(ownerRates, current.ownerQuota());
-        configure(tenantRates, current.tenantQuota());
-        configure(siteRate, current.siteQuota());
-        replaceRates(ratesByOwner, current.ownerQuotas());
-        replaceRates(ratesByTenant, current.tenantQuotas());
+        configure(defaultOwnerBuckets, current.ownerQuota());
+        configure(defaultTenantBuckets, current.tenantQuota());
+        configure(siteBucket, current.siteQuota());
+        replaceBuckets(bucketsByOwner, current.ownerQuotas());
+        replaceBuckets(bucketsByTenant, current.tenantQuotas());
     }
 
-    private static void configure(TokenBuckets rate, Quota quota) {
-        rate.configure(quota.perSecond(), quota.burst());
+    private static void configure(TokenBuckets buckets, Quota quota) {
+        buckets.configure(quota.perSecond(), quota.burst());
     }
 
-    private static void replaceRates(Map<String, TokenBuckets> rates, Map<String, Quota> quotas) {
-        rates.clear();
+    private static void replaceBuckets(
+            Map<String, TokenBuckets> bucketsByName, Map<String, Quota> quotas) {
+        bucketsByName.clear();
         quotas.forEach(
                 (name, quota) ->
-                        rates.put(name, new TokenBuckets(quota.perSecond(), quota.burst())));
+                        bucketsByName.put(
+                                name, new TokenBuckets(quota.perSecond(), quota.burst())));
     }
 
     /**
      * Returns the rejection sentence for a request that has just arrived and may not wait; empty if
      * it may wait.
      */
-    Optional<String> rejectionOnArrival(long nowMicros, QueueEntry entry) {
+    Optional<String> findRejectionOnArrival(long nowMicros, QueueEntry entry) {
         QueuedRequest request = entry.request();
         Quota ownerQuota = settings.get().quotaOfOwner(request.owner());
         Quota tenantQuota = settings.get().quotaOfTenant(request.tenant());
-        if (ownerQuota.isSmallerThan(request)) {
+        if (ownerQuota.isTooSmallFor(request)) {
             return Optional.of(RejectionText.ownerQuotaTooSmall(ownerQuota));
         }
-        if (tenantQuota.isSmallerThan(request)
-                || settings.get().siteQuota().isSmallerThan(request)) {
+        if (tenantQuota.isTooSmallFor(request)
+                || settings.get().siteQuota().isTooSmallFor(request)) {
             return Optional.of(RejectionText.TENANT_OR_SITE_QUOTA_TOO_SMALL);
         }
         if (entry.owner().usage().waitingTasks() >= ownerQuota.maxWaiting()) {
@@ -97,10 +104,11 @@
     QuotaBlock findOwnerBlock(long nowMicros, QueueEntry entry) {
         UsageTotals usage = entry.owner().usage();
         Quota quota = settings.get().quotaOfOwner(usage.name());
-        QuotaBlock block = findSizeBlock(QuotaScope.OWNER, quota, usage, entry.request());
+        QuotaBlock block = findUsageBlock(QuotaScope.OWNER, quota, usage, entry.request());
         return block != null
                 ? block
-                : findRateBlock(nowMicros, QuotaScope.OWNER, quota, usage, ownerRate(usage.name()));
+                : findRateBlock(
+                        nowMicros, QuotaScope.OWNER, quota, usage, bucketsOfOwner(usage.name()));
     }
 
     /**
@@ -115,22 +123,22 @@
     private QuotaBlock findTenantBlock(long nowMicros, QueueEntry entry) {
         UsageTotals usage = entry.tenant().usage();
         Quota quota = settings.get().quotaOfTenant(usage.name());
-        QuotaBlock block = findSizeBlock(QuotaScope.TENANT, quota, usage, entry.request());
+        QuotaBlock block = findUsageBlock(QuotaScope.TENANT, quota, usage, entry.request());
         return block != null
                 ? block
                 : findRateBlock(
-                        nowMicros, QuotaScope.TENANT, quota, usage, tenantRate(usage.name()));
+                        nowMicros, QuotaScope.TENANT, quota, usage, bucketsOfTenant(usage.name()));
     }
 
     private QuotaBlock findSiteBlock(long nowMicros, QueueEntry entry) {
         Quota quota = settings.get().siteQuota();
-        QuotaBlock block = findSizeBlock(QuotaScope.SITE, quota, site, entry.request());
+        QuotaBlock block = findUsageBlock(QuotaScope.SITE, quota, site, entry.request());
         return block != null
                 ? block
-                : findRateBlock(nowMicros, QuotaScope.SITE, quota, site, siteRate);
+                : findRateBlock(nowMicros, QuotaScope.SITE, quota, site, siteBucket);
     }
 
-    private static QuotaBlock findSizeBlock(
+    private static QuotaBlock findUsageBlock(
             QuotaScope scope, Quota quota, UsageTotals usage, QueuedRequest request) {
         if (usage.activeTasks() + 1 > quota.maxTasks()) {
             return untimedBlock(scope, QuotaNames.TASKS, quota.maxTasks(), usage.activeTasks());
@@ -148,8 +156,12 @@
     }
 
     private static QuotaBlock findRateBlock(
-            long nowMicros, QuotaScope scope, Quota quota, UsageTotals usage, TokenBuckets rate) {
-        if (!quota.limitsRate() || rate.hasToken(nowMicros, usage.name())) {
+            long nowMicros,
+            QuotaScope scope,
+            Quota quota,
+            UsageTotals usage,
+            TokenBuckets buckets) {
+        if (!quota.limitsRate() || buckets.hasToken(nowMicros, usage.name())) {
             return null;
         }
         return new QuotaBlock(
@@ -157,7 +169,7 @@
                 QuotaNames.TASK_RATE,
                 quota.perSecond(),
                 quota.perSecond(),
-                rate.nextTokenAtMicros(nowMicros, usage.name()));
+                buckets.nextTokenAtMicros(nowMicros, usage.name()));
     }
 
     /**
@@ -167,16 +179,16 @@
     void recordFirstDispatch(long nowMicros, QueueEntry entry) {
         String owner = entry.owner().name();
         String tenant = entry.tenant().name();
-        ownerRate(owner).take(nowMicros, owner);
-        tenantRate(tenant).take(nowMicros, tenant);
-        siteRate.take(nowMicros, site.name());
+        bucketsOfOwner(owner).take(nowMicros, owner);
+        bucketsOfTenant(tenant).take(nowMicros, tenant);
+        siteBucket.take(nowMicros, site.name());
     }
 
-    private TokenBuckets ownerRate(String owner) {
-        return ratesByOwner.getOrDefault(owner, ownerRates);
+    private TokenBuckets bucketsOfOwner(String owner) {
+        return bucketsByOwner.getOrDefault(owner, defaultOwnerBuckets);
     }
 
-    private TokenBuckets tenantRate(String tenant) {
-        return ratesByTenant.getOrDefault(tenant, tenantRates);
+    private TokenBuckets bucketsOfTenant(String tenant) {
+        return bucketsByTenant.getOrDefault(tenant, defaultTenantBuckets);
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/admission/QuotaUsage.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/QuotaUsage.java
@@ -7,7 +7,7 @@
  * @param waiting tasks that wait in the queue or back off
  * @param tasks tasks dispatched or placed
  * @param cores cores of the dispatched and placed tasks
- * @param memory memory of the dispatched and placed tasks, in the unit of the machine sizes
+ * @param memory memory of the dispatched and placed tasks, in the unit of the task specifications
  * @param dominantShare the larger of the fractions of all ready machines' cores and memory that
  *     these tasks use
  * @param quota the quota that applies
--- a/decisions/src/main/java/thornferry/decisions/admission/RetryBudget.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/RetryBudget.java
@@ -8,7 +8,13 @@
  * that rejects every offer causes a retry storm.
  */
 final class RetryBudget {
+    /** Minimum number of retries that a full budget allows at once. */
     private static final double MIN_BURST = 5;
+
+    /**
+     * A full budget holds the retries of this many seconds at the retry rate, but at least {@link
+     * #MIN_BURST}.
+     */
     private static final double BURST_SECONDS = 2;
 
     private final Supplier<AdmissionSettings> settings;
@@ -16,17 +22,17 @@
 
     RetryBudget(Supplier<AdmissionSettings> settings) {
         this.settings = settings;
-        settingsChanged();
+        applySettings();
     }
 
     /** Applies the retry rate of the current settings. */
-    void settingsChanged() {
+    void applySettings() {
         double perSecond = settings.get().retryPerSecond();
         tokens.configure(perSecond, Math.max(MIN_BURST, BURST_SECONDS * perSecond));
     }
 
     /** Adds {@link AdmissionSettings#retryRatio} tokens to the owner's budget for a new request. */
-    void newRequestArrived(long nowMicros, QueuedRequest request) {
+    void recordNewRequest(long nowMicros, QueuedRequest request) {
         tokens.add(nowMicros, ownerKey(request.owner()), settings.get().retryRatio());
     }
 
@@ -34,7 +40,7 @@
      * Records the start of an attempt on a machine: takes a token from the machine's budget for a
      * retry, and adds {@link AdmissionSettings#retryRatio} tokens for any other attempt.
      */
-    void attemptStarted(long nowMicros, String machine, boolean isRetry) {
+    void recordAttemptStart(long nowMicros, String machine, boolean isRetry) {
         if (isRetry) {
             tokens.take(nowMicros, machineKey(machine));
         } else {
@@ -48,11 +54,11 @@
      * when an attempt starts there.
      */
     boolean tryTake(long nowMicros, QueuedRequest request) {
-        boolean machineAllows =
+        boolean machineHasToken =
                 request.rejectedBy().isEmpty()
                         || tokens.hasToken(nowMicros, machineKey(request.rejectedBy()));
         String owner = ownerKey(request.owner());
-        if (!machineAllows || !tokens.hasToken(nowMicros, owner)) {
+        if (!machineHasToken || !tokens.hasToken(nowMicros, owner)) {
             return false;
         }
         tokens.take(nowMicros, owner);
--- a/decisions/src/main/java/thornferry/decisions/membership/MemberMachine.java
+++ b/decisions/src/main/java/thornferry/decisions/membership/MemberMachine.java
@@ -170,7 +170,7 @@
     }
 
     /** Returns the view of the machine for operators. */
-    MachineView view(long nowMicros) {
+    MachineView toView(long nowMicros) {
         return new MachineView(
                 registration.machine(),
                 registration.incarnation(),
--- a/decisions/src/main/java/thornferry/decisions/membership/Membership.java
+++ b/decisions/src/main/java/thornferry/decisions/membership/Membership.java
@@ -179,9 +179,10 @@
             return;
         }
         if (machine == null) {
-            MemberMachine added = new MemberMachine(nowMicros, connection, registration, limits);
-            machines.put(registration.machine(), added);
-            completeRegistration(nowMicros, added, actions);
+            MemberMachine newMachine =
+                    new MemberMachine(nowMicros, connection, registration, limits);
+            machines.put(registration.machine(), newMachine);
+            completeRegistration(nowMicros, newMachine, actions);
             return;
         }
         closePreviousConnection(nowMicros, connection, machine, actions);
@@ -226,17 +227,17 @@
 
     /** Removes a lost machine that is not draining; returns false if there is none. */
     private boolean removeLostMachine(Consumer<Action> actions) {
-        Optional<String> lost =
+        Optional<String> lostMachine =
                 machines.values().stream()
                         .filter(machine -> machine.isLost() && !machine.isDraining())
                         .map(MemberMachine::name)
                         .findFirst();
-        lost.ifPresent(
+        lostMachine.ifPresent(
                 name -> {
                     machines.remove(name);
                     actions.accept(new MachineForgotten(name));
                 });
-        return lost.isPresent();
+        return lostMachine.isPresent();
     }
 
     /**
@@ -246,9 +247,11 @@
     private void closePreviousConnection(
             long nowMicros, long connection, MemberMachine machine, Consumer<Action> actions) {
         if (machine.isConnected() && machine.connection() != connection) {
-            long previous = machine.connection();
+            long previousConnection = machine.connection();
             disconnect(nowMicros, machine);
-            actions.accept(new CloseConnection(previous, "registered again on another connection"));
+            actions.accept(
+                    new CloseConnection(
+                            previousConnection, "registered again on another connection"));
         }
     }
 
@@ -365,7 +368,7 @@
     /** Returns the views of all known machines in the order of their first registration. */
     public List<MachineView> machineViews(long nowMicros) {
         List<MachineView> views = new ArrayList<>();
-        machines.values().forEach(machine -> views.add(machine.view(nowMicros)));
+        machines.values().forEach(machine -> views.add(machine.toView(nowMicros)));
         return views;
     }
 }
--- a/decisions/src/test/java/thornferry/decisions/admission/AdmissionQueueTest.java
+++ b/decisions/src/test/java/thornferry/decisions/admission/AdmissionQueueTest.java
@@ -77,7 +77,7 @@
                         : List.copyOf(coresByLiveRequest.keySet())
                                 .get(random.nextInt(coresByLiveRequest.size()));
         switch (random.nextInt(8)) {
-            case 0, 1, 2 -> arriveRandom(random, coresByLiveRequest);
+            case 0, 1, 2 -> submitRandomRequest(random, coresByLiveRequest);
             case 3 -> fixture.startAttempt(requestId);
             case 4 -> fixture.endAttempt(requestId);
             case 5 -> {
@@ -95,7 +95,8 @@
         }
     }
 
-    private void arriveRandom(SplittableRandom random, Map<String, Double> coresByLiveRequest) {
+    private void submitRandomRequest(
+            SplittableRandom random, Map<String, Double> coresByLiveRequest) {
         double cores = 1 + random.nextInt(6);
         String owner = "o" + random.nextInt(OWNERS);
         String tenant = "t" + random.nextInt(2);
