--- a/decisions/src/main/java/thornferry/decisions/admission/CapacityReservation.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/CapacityReservation.java
@@ -9,8 +9,8 @@
 
 /**
  * Reserves capacity that becomes free for a large task that has waited long. During a reservation,
- * which has a maximum length, small tasks of lower priority weight are held back, except those that
- * are expected to end before the reservation does (backfill).
+ * which has a maximum length, tasks of lower priority weight that are not large are held back,
+ * except those that are expected to end before the reservation does (backfill).
  */
 final class CapacityReservation {
     /**
@@ -24,7 +24,10 @@
     private final ClusterView cluster;
     private final DispatchWindow window;
     private final BackoffQueue backoff;
+
+    /** The reservation in force; empty if there is none. */
     private Optional<Reservation> current = Optional.empty();
+
     private long nextAllowedAtMicros = Long.MIN_VALUE;
 
     CapacityReservation(
--- a/decisions/src/main/java/thornferry/decisions/admission/Dispatcher.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/Dispatcher.java
@@ -15,7 +15,7 @@
     private final DispatchWindow window;
     private final BackoffQueue backoff;
     private final OverloadController overload;
-    private boolean dispatching;
+    private boolean isDispatching;
 
     Dispatcher(
             QueueIndex index,
@@ -36,14 +36,14 @@
 
     /**
      * Dispatches every request that may be dispatched now. The consumer of an action may call the
-     * queue again before it returns. Such a nested call does not dispatch; the outer call does,
-     * because it selects the next request afresh in each step.
+     * queue again before it returns. Such a nested call dispatches nothing itself; the outer call
+     * covers it, because each step selects the next request from the current state.
      */
     void dispatchReady(long nowMicros, Consumer<Action> actions) {
-        if (dispatching) {
+        if (isDispatching) {
             return;
         }
-        dispatching = true;
+        isDispatching = true;
         try {
             for (Optional<QueueEntry> next = selectNext(nowMicros);
                     next.isPresent();
@@ -55,7 +55,7 @@
             }
             dispatchRechecks(nowMicros, actions);
         } finally {
-            dispatching = false;
+            isDispatching = false;
         }
     }
 
--- a/decisions/src/main/java/thornferry/decisions/admission/LoadShedder.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/LoadShedder.java
@@ -64,12 +64,12 @@
      */
     void recordRejectionAtDeadline(long nowMicros, QueueEntry entry) {
         boolean hasShortMaxWait = entry.maxWaitMicros() < settings.get().intervalMicros() / 2;
-        boolean blockedByOwnerQuota =
+        boolean isBlockedByOwnerQuota =
                 entry.stage() == AdmissionQueue.Stage.QUEUED && entry.owner().block() != null;
         if (entry.fitsSomeMachine()
                 && !hasShortMaxWait
                 && !entry.exceedsRetryBudget()
-                && !blockedByOwnerQuota) {
+                && !isBlockedByOwnerQuota) {
             overload.recordLateRejection(nowMicros);
         }
     }
@@ -87,7 +87,7 @@
         }
         for (int i = 0; i < QueueIndex.MAX_SCANNED && overload.shouldRejectEarly(nowMicros); i++) {
             Optional<QueueEntry> candidate = nextToShed();
-            if (candidate.isEmpty() || isPlacedInTime(nowMicros, candidate.get())) {
+            if (candidate.isEmpty() || canBePlacedInTime(nowMicros, candidate.get())) {
                 break;
             }
             shed(candidate.get(), RejectionText.WAIT_TOO_LONG, reject);
@@ -139,7 +139,7 @@
                 .or(backoff::highestPriority);
     }
 
-    private boolean isPlacedInTime(long nowMicros, QueueEntry entry) {
+    private boolean canBePlacedInTime(long nowMicros, QueueEntry entry) {
         return estimatedWaitMicros(entry) <= entry.request().remainingMicros(nowMicros);
     }
 
--- a/decisions/src/main/java/thornferry/decisions/membership/Membership.java
+++ b/decisions/src/main/java/thornferry/decisions/membership/Membership.java
@@ -285,7 +285,7 @@
     }
 
     /**
-     * Begins or ends a drain, which outlasts connections and incarnations.
+     * Begins or ends a drain. A drain persists across connections and incarnations.
      *
      * @return false if the machine is not known
      */
