--- a/decisions/src/main/java/thornferry/decisions/admission/QuotaChecker.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/QuotaChecker.java
@@ -7,61 +7,72 @@
 
 /** Checks requests against the quotas of their owner, their tenant and the site. */
 final class QuotaChecker {
-    /** Absorbs rounding errors of sums of cores and memory. */
+    /** Tolerance for the rounding errors of sums of cores and memory. */
     private static final double TOLERANCE = 1e-9;
 
     private final Supplier<AdmissionSettings> settings;
     private final UsageTotals site;
-    private final TokenBuckets ownerRates = unlimited();
-    private final TokenBuckets tenantRates = unlimited();
-    private final TokenBuckets siteRate = unlimited();
 
-    /** Buckets of the owners and tenants that have a quota of their own. */
-    private final Map<String, TokenBuckets> ratesByOwner = new HashMap<>();
+    /** Token buckets of the owners without a quota of their own. */
+    private final TokenBuckets defaultOwnerBuckets = unlimitedBuckets();
 
-    private final Map<String, TokenBuckets> ratesByTenant = new HashMap<>();
+    /** Token buckets of the tenants without a quota of their own. */
+    private final TokenBuckets defaultTenantBuckets = unlimitedBuckets();
+
+    private final TokenBuckets siteBucket = unlimitedBuckets();
+
+    /** Token buckets by owner, for owners with a quota of their own. */
+    private final Map<String, TokenBuckets> bucketsByOwner = new HashMap<>();
+
+    /** Token buckets by tenant, for tenants with a quota of their own. */
+    private final Map<String, TokenBuckets> bucketsByTenant = new HashMap<>();
 
     QuotaChecker(Supplier<AdmissionSettings> settings, UsageTotals site) {
         this.settings = settings;
         this.site = site;
-        settingsChanged();
+        applySettings();
     }
 
-    private static TokenBuckets unlimited() {
+    private static TokenBuckets unlimitedBuckets() {
         return new TokenBuckets(0, Double.POSITIVE_INFINITY);
     }
 
-    /** Applies the current settings' dispatch rates. */
-    void settingsChanged() {
+    /** Applies the dispatch rates of the current settings. */
+    void applySettings() {
         AdmissionSettings current = settings.get();
-        configure(ownerRates, current.ownerQuota());
-        configure(tenantRates, current.tenantQuota());
-        configure(siteRate, current.siteQuota());
-        replaceRates(ratesByOwner, current.ownerQuotas());
-        replaceRates(ratesByTenant, current.tenantQuotas());
+        configure(defaultOwnerBuckets, current.ownerQuota());
+        configure(defaultTenantBuckets, current.tenantQuota());
+        configure(siteBucket, current.siteQuota());
+        replaceBuckets(bucketsByOwner, current.ownerQuotas());
+        replaceBuckets(bucketsByTenant, current.tenantQuotas());
     }
 
-    private static void configure(TokenBuckets rate, Quota quota) {
-        rate.configure(quota.perSecond(), quota.burst());
+    private static void configure(TokenBuckets buckets, Quota quota) {
+        buckets.configure(quota.perSecond(), quota.burst());
     }
 
-    private static void replaceRates(Map<String, TokenBuckets> rates, Map<String, Quota> quotas) {
-        rates.clear();
+    private static void replaceBuckets(
+            Map<String, TokenBuckets> bucketsByName, Map<String, Quota> quotas) {
+        bucketsByName.clear();
         quotas.forEach(
                 (name, quota) ->
-                        rates.put(name, new TokenBuckets(quota.perSecond(), quota.burst())));
+                        bucketsByName.put(
+                                name, new TokenBuckets(quota.perSecond(), quota.burst())));
     }
 
-    /** Why a request that has just arrived may not even wait; empty if it may. */
-    Optional<String> rejectionOnArrival(long nowMicros, QueueEntry entry) {
+    /**
+     * Returns the rejection sentence for a request that has just arrived and may not wait; empty if
+     * it may wait.
+     */
+    Optional<String> findRejectionOnArrival(long nowMicros, QueueEntry entry) {
         QueuedRequest request = entry.request();
         Quota ownerQuota = settings.get().quotaOfOwner(request.owner());
         Quota tenantQuota = settings.get().quotaOfTenant(request.tenant());
-        if (ownerQuota.isSmallerThan(request)) {
+        if (ownerQuota.isTooSmallFor(request)) {
             return Optional.of(RejectionText.ownerQuotaTooSmall(ownerQuota));
         }
-        if (tenantQuota.isSmallerThan(request)
-                || settings.get().siteQuota().isSmallerThan(request)) {
+        if (tenantQuota.isTooSmallFor(request)
+                || settings.get().siteQuota().isTooSmallFor(request)) {
             return Optional.of(RejectionText.TENANT_OR_SITE_QUOTA_TOO_SMALL);
         }
         if (entry.owner().usage().waitingTasks() >= ownerQuota.maxWaiting()) {
@@ -73,48 +84,61 @@
         if (!settings.get().shedClasses().contains(request.taskClass())) {
             return Optional.empty();
         }
-        return Optional.ofNullable(block(nowMicros, entry))
+        return Optional.ofNullable(findBlock(nowMicros, entry))
                 .map(block -> RejectionText.classDoesNotWait(block, request.taskClass()));
     }
 
-    /** The first quota that the request would exceed now; null if none. */
-    QuotaBlock block(long nowMicros, QueueEntry entry) {
-        QuotaBlock ownerBlock = ownerBlock(nowMicros, entry);
-        return ownerBlock != null ? ownerBlock : sharedBlock(nowMicros, entry);
+    /**
+     * Returns the first quota that a dispatch of the request would exceed now, or null if there is
+     * none.
+     */
+    QuotaBlock findBlock(long nowMicros, QueueEntry entry) {
+        QuotaBlock ownerBlock = findOwnerBlock(nowMicros, entry);
+        return ownerBlock != null ? ownerBlock : findTenantOrSiteBlock(nowMicros, entry);
     }
 
-    /** The owner's quota that the request would exceed now; null if none. */
-    QuotaBlock ownerBlock(long nowMicros, QueueEntry entry) {
+    /**
+     * Returns the owner's quota that a dispatch of the request would exceed now, or null if there
+     * is none.
+     */
+    QuotaBlock findOwnerBlock(long nowMicros, QueueEntry entry) {
         UsageTotals usage = entry.owner().usage();
         Quota quota = settings.get().quotaOfOwner(usage.name());
-        QuotaBlock block = sizeBlock(QuotaScope.OWNER, quota, usage, entry.request());
+        QuotaBlock block = findUsageBlock(QuotaScope.OWNER, quota, usage, entry.request());
         return block != null
                 ? block
-                : rateBlock(nowMicros, QuotaScope.OWNER, quota, usage, ownerRate(usage.name()));
+                : findRateBlock(
+                        nowMicros, QuotaScope.OWNER, quota, usage, bucketsOfOwner(usage.name()));
     }
 
-    /** The tenant's or the site's quota that the request would exceed now; null if none. */
-    QuotaBlock sharedBlock(long nowMicros, QueueEntry entry) {
-        QuotaBlock tenantBlock = tenantBlock(nowMicros, entry);
-        return tenantBlock != null ? tenantBlock : siteBlock(nowMicros, entry);
+    /**
+     * Returns the quota of the tenant or the site that a dispatch of the request would exceed now,
+     * or null if there is none.
+     */
+    QuotaBlock findTenantOrSiteBlock(long nowMicros, QueueEntry entry) {
+        QuotaBlock tenantBlock = findTenantBlock(nowMicros, entry);
+        return tenantBlock != null ? tenantBlock : findSiteBlock(nowMicros, entry);
     }
 
-    private QuotaBlock tenantBlock(long nowMicros, QueueEntry entry) {
+    private QuotaBlock findTenantBlock(long nowMicros, QueueEntry entry) {
         UsageTotals usage = entry.tenant().usage();
         Quota quota = settings.get().quotaOfTenant(usage.name());
-        QuotaBlock block = sizeBlock(QuotaScope.TENANT, quota, usage, entry.request());
+        QuotaBlock block = findUsageBlock(QuotaScope.TENANT, quota, usage, entry.request());
         return block != null
                 ? block
-                : rateBlock(nowMicros, QuotaScope.TENANT, quota, usage, tenantRate(usage.name()));
+                : findRateBlock(
+                        nowMicros, QuotaScope.TENANT, quota, usage, bucketsOfTenant(usage.name()));
     }
 
-    private QuotaBlock siteBlock(long nowMicros, QueueEntry entry) {
+    private QuotaBlock findSiteBlock(long nowMicros, QueueEntry entry) {
         Quota quota = settings.get().siteQuota();
-        QuotaBlock block = sizeBlock(QuotaScope.SITE, quota, site, entry.request());
-        return block != null ? block : rateBlock(nowMicros, QuotaScope.SITE, quota, site, siteRate);
+        QuotaBlock block = findUsageBlock(QuotaScope.SITE, quota, site, entry.request());
+        return block != null
+                ? block
+                : findRateBlock(nowMicros, QuotaScope.SITE, quota, site, siteBucket);
     }
 
-    private static QuotaBlock sizeBlock(
+    private static QuotaBlock findUsageBlock(
             QuotaScope scope, Quota quota, UsageTotals usage, QueuedRequest request) {
         if (usage.activeTasks() + 1 > quota.maxTasks()) {
             return untimedBlock(scope, QuotaNames.TASKS, quota.maxTasks(), usage.activeTasks());
@@ -131,9 +155,13 @@
         return new QuotaBlock(scope, quotaName, limit, usage, QuotaBlock.NO_TIME_LIMIT_MICROS);
     }
 
-    private static QuotaBlock rateBlock(
-            long nowMicros, QuotaScope scope, Quota quota, UsageTotals usage, TokenBuckets rate) {
-        if (!quota.limitsRate() || rate.hasToken(nowMicros, usage.name())) {
+    private static QuotaBlock findRateBlock(
+            long nowMicros,
+            QuotaScope scope,
+            Quota quota,
+            UsageTotals usage,
+            TokenBuckets buckets) {
+        if (!quota.limitsRate() || buckets.hasToken(nowMicros, usage.name())) {
             return null;
         }
         return new QuotaBlock(
@@ -141,23 +169,26 @@
                 QuotaNames.TASK_RATE,
                 quota.perSecond(),
                 quota.perSecond(),
-                rate.nextTokenAtMicros(nowMicros, usage.name()));
+                buckets.nextTokenAtMicros(nowMicros, usage.name()));
     }
 
-    /** Takes a request's first dispatch from the dispatch rates. */
+    /**
+     * Takes a token for a request's first dispatch from the buckets of its owner, its tenant and
+     * the site.
+     */
     void recordFirstDispatch(long nowMicros, QueueEntry entry) {
         String owner = entry.owner().name();
         String tenant = entry.tenant().name();
-        ownerRate(owner).take(nowMicros, owner);
-        tenantRate(tenant).take(nowMicros, tenant);
-        siteRate.take(nowMicros, site.name());
+        bucketsOfOwner(owner).take(nowMicros, owner);
+        bucketsOfTenant(tenant).take(nowMicros, tenant);
+        siteBucket.take(nowMicros, site.name());
     }
 
-    private TokenBuckets ownerRate(String owner) {
-        return ratesByOwner.getOrDefault(owner, ownerRates);
+    private TokenBuckets bucketsOfOwner(String owner) {
+        return bucketsByOwner.getOrDefault(owner, defaultOwnerBuckets);
     }
 
-    private TokenBuckets tenantRate(String tenant) {
-        return ratesByTenant.getOrDefault(tenant, tenantRates);
+    private TokenBuckets bucketsOfTenant(String tenant) {
+        return bucketsByTenant.getOrDefault(tenant, defaultTenantBuckets);
     }
 }
