--- a/state/src/main/java/thornferry/state/ActiveFile.java
+++ b/state/src/main/java/thornferry/state/ActiveFile.java
@@ -17,24 +17,29 @@
 import thornferry.state.SnapshotWriter.PendingSnapshot;
 
 /**
- * The file that entries are appended to, and its replacement by a compacted one. Safe for use by
- * several threads: appends, and the two ends of a rewrite, exclude each other.
+ * The journal file that entries are appended to. Compaction replaces it with a smaller one, which
+ * is called a rewrite here.
+ *
+ * <p>Instances are safe for use by several threads: appends and the beginning and end of a rewrite
+ * are mutually exclusive.
  */
 final class ActiveFile implements Closeable {
     private static final Logger LOG = LoggerFactory.getLogger(ActiveFile.class);
 
-    /** After a failed write, the next one is attempted no earlier. */
+    /** The minimum time between a failed write and the next attempt to write. */
     private static final long RETRY_BACKOFF_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    /** A file is not compacted before it has grown to this multiple of its initial size. */
+    /** The multiple of its initial size that a file must reach before it is compacted. */
     private static final long COMPACTION_GROWTH_FACTOR = 2;
 
-    private static final String CLOSED = "the journal is closed";
+    private static final String CLOSED_MESSAGE = "the journal is closed";
 
     private enum State {
+        /** Entries are appended to the file; no compacted file is being written. */
         APPENDING,
         /** Appended entries are also collected for the compacted file that is being written. */
         REWRITING,
+        /** The file is closed, and appends fail. */
         CLOSED
     }
 
@@ -42,11 +47,11 @@
     private final Durability durability;
     private final LongSupplier nanoClock;
     private State state = State.APPENDING;
-    private Path path; // null until there is a file
-    private Storage.WritableFile output; // null until this incarnation has started
+    private Path path; // null until a file exists
+    private Storage.WritableFile output; // null until the first rewrite of this incarnation
     private long generation;
     private long initialBytes;
-    private long validBytes; // up to the end of the last frame that was written in full
+    private long validBytes; // up to the end of the last completely written frame
     private List<byte[]> framesDuringRewrite = List.of();
     private String failure = "";
     private long failedAtNanos;
@@ -64,14 +69,13 @@
     }
 
     /**
-     * Writes frames at the end of the file, and forces it if the configured durability requires
-     * that.
+     * Appends frames to the file, and forces it to disk if the configured durability requires that.
      *
      * @return the failure as a sentence; empty on success
      */
     synchronized Optional<String> append(List<byte[]> frames) {
         if (state == State.CLOSED) {
-            return Optional.of(CLOSED);
+            return Optional.of(CLOSED_MESSAGE);
         }
         if (hasFailed() && nanoClock.getAsLong() - failedAtNanos < RETRY_BACKOFF_NANOS) {
             return Optional.of(failure);
@@ -90,7 +94,7 @@
 
     private void write(byte[] bytes) throws IOException {
         if (hasFailed()) {
-            // Without this, a part of a failed write would stay in the middle of the file.
+            // Removes what the failed write left behind, which would otherwise precede these bytes.
             output.truncate(validBytes);
         }
         output.write(validBytes, bytes);
@@ -126,7 +130,7 @@
         return !failure.isEmpty();
     }
 
-    /** The failure of the last write, as a sentence; empty if it succeeded. */
+    /** Returns the failure of the last write, as a sentence; empty if the write succeeded. */
     synchronized String failure() {
         return failure;
     }
@@ -140,26 +144,27 @@
     }
 
     /**
-     * Begins a rewrite if the file has grown enough. From now on, until {@link #endRewrite}, frames
-     * that are appended are collected too, because the snapshot may lack them.
+     * Begins a rewrite if the file has hasGrown enough. Until {@link #endRewrite}, appended frames
+     * are also collected, because the snapshot does not contain them.
      *
-     * @param snapshot called under the lock of this file, so that no frame is appended between the
-     *     snapshot and the beginning of the collection
-     * @return the snapshot; empty if the file is not to be rewritten now
+     * @param snapshotSupplier called while the lock of this file is held, so that every frame is
+     *     either in the snapshot or collected
+     * @param thresholdBytes the size below which the file is not rewritten
+     * @return the snapshot; empty if the file need not or cannot be rewritten now
      */
     synchronized Optional<Iterable<JournalRecord>> beginRewrite(
-            Supplier<Iterable<JournalRecord>> snapshot, long thresholdBytes) {
-        boolean large = validBytes >= thresholdBytes;
-        boolean grown = validBytes >= COMPACTION_GROWTH_FACTOR * initialBytes;
-        if (state != State.APPENDING || hasFailed() || !large || !grown) {
+            Supplier<Iterable<JournalRecord>> snapshotSupplier, long thresholdBytes) {
+        boolean isLarge = validBytes >= thresholdBytes;
+        boolean hasGrown = validBytes >= COMPACTION_GROWTH_FACTOR * initialBytes;
+        if (state != State.APPENDING || hasFailed() || !isLarge || !hasGrown) {
             return Optional.empty();
         }
         state = State.REWRITING;
         framesDuringRewrite = new ArrayList<>();
-        return Optional.of(snapshot.get());
+        return Optional.of(snapshotSupplier.get());
     }
 
-    /** Ends the collection of appended frames, whether or not the rewrite has succeeded. */
+    /** Ends the rewrite, successful or not, and discards the collected frames. */
     synchronized void endRewrite() {
         framesDuringRewrite = List.of();
         if (state == State.REWRITING) {
@@ -168,42 +173,44 @@
     }
 
     /**
-     * Replaces the file by a compacted one, to which the frames are added that were appended since
-     * {@link #beginRewrite}.
+     * Replaces the file with a compacted one, after adding to the latter the frames that were
+     * appended since {@link #beginRewrite}.
      *
-     * <p>The steps are ordered so that a crash between any two of them loses nothing: the contents
-     * are on the disk before the file takes its name, and the name is on the disk before the former
-     * file is deleted.
+     * <p>The steps are ordered so that a crash between any two of them loses no record: the
+     * contents are on the disk before the compacted file is renamedPath, and its final name is on
+     * the disk before the previous file is deleted.
      *
-     * @throws IOException if the file stays as it was; the snapshot is then closed
+     * @throws IOException if the replacement failed; the active file is then unchanged and the
+     *     snapshot's file is closed
      */
-    synchronized void replaceBy(PendingSnapshot snapshot) throws IOException {
-        Path renamed = folder.file(generation + 1);
+    synchronized void replaceWith(PendingSnapshot snapshot) throws IOException {
+        Path renamedPath = folder.file(generation + 1);
         long bytes;
         try {
             if (state == State.CLOSED) {
-                throw new IOException(CLOSED);
+                throw new IOException(CLOSED_MESSAGE);
             }
-            bytes = appendCollected(snapshot);
+            bytes = appendCollectedFrames(snapshot);
             snapshot.output().force();
-            folder.storage().rename(snapshot.path(), renamed);
+            folder.storage().rename(snapshot.path(), renamedPath);
         } catch (IOException e) {
             snapshot.output().close();
             throw e;
         }
-        // From here on the new file is the newest one, so that it takes the entries even if the
-        // former file cannot be removed.
-        Optional<Path> formerPath = Optional.ofNullable(path);
-        Optional<Storage.WritableFile> formerOutput = Optional.ofNullable(output);
-        path = renamed;
+        // The renamedPath file is now the newest generation, which the next incarnation reads.
+        // Entries
+        // must therefore go into it even if the previous file cannot be removed.
+        Optional<Path> previousPath = Optional.ofNullable(path);
+        Optional<Storage.WritableFile> previousOutput = Optional.ofNullable(output);
+        path = renamedPath;
         output = snapshot.output();
         generation++;
         validBytes = bytes;
         initialBytes = bytes;
-        removeFormer(formerPath, formerOutput);
+        removePreviousFile(previousPath, previousOutput);
     }
 
-    private long appendCollected(PendingSnapshot snapshot) throws IOException {
+    private long appendCollectedFrames(PendingSnapshot snapshot) throws IOException {
         long bytes = snapshot.sizeBytes();
         for (byte[] frame : framesDuringRewrite) {
             snapshot.output().write(bytes, frame);
@@ -212,22 +219,23 @@
         return bytes;
     }
 
-    private void removeFormer(
-            Optional<Path> formerPath, Optional<Storage.WritableFile> formerOutput) {
+    private void removePreviousFile(
+            Optional<Path> previousPath, Optional<Storage.WritableFile> previousOutput) {
         try {
             folder.storage().forceFolder(folder.path());
-            if (formerOutput.isPresent()) {
-                formerOutput.get().close();
+            if (previousOutput.isPresent()) {
+                previousOutput.get().close();
             }
-            if (formerPath.isPresent()) {
-                folder.storage().delete(formerPath.get());
+            if (previousPath.isPresent()) {
+                folder.storage().delete(previousPath.get());
             }
         } catch (IOException e) {
-            LOG.warn("journal {}: the former file remains: {}", path, e.getMessage());
+            LOG.warn(
+                    "journal {}: the previous file could not be removed: {}", path, e.getMessage());
         }
     }
 
-    /** Closes the file; appends fail from now on. */
+    /** Closes the file; later appends fail. */
     @Override
     public synchronized void close() throws IOException {
         state = State.CLOSED;
--- a/state/src/main/java/thornferry/state/Durability.java
+++ b/state/src/main/java/thornferry/state/Durability.java
@@ -1,14 +1,14 @@
 package thornferry.state;
 
-/** Which failures an acknowledged journal record survives. */
+/** The failures that an acknowledged journal record survives. */
 public enum Durability {
-    /** Nothing is written; after a restart the placer relies on the nodes' reports alone. */
+    /** No journal is written; after a restart the placer relies on the nodes' reports alone. */
     NONE,
     /**
-     * Handed to the operating system: survives any end of the process, but not a crash of the
-     * machine.
+     * Records are written to the operating system: they survive any end of the process, but not a
+     * crash of the machine.
      */
     OS,
-    /** Forced to the disk, together with other pending records: survives a power loss. */
+    /** Records are forced to disk, several at a time: they survive a power loss. */
     DISK
 }
--- a/state/src/main/java/thornferry/state/FrameFormat.java
+++ b/state/src/main/java/thornferry/state/FrameFormat.java
@@ -11,39 +11,40 @@
 import thornferry.state.v1.Header;
 
 /**
- * The layout of a journal file: {@link #magic}, then frames, of which the first holds the file's
- * header and each other one entry. A frame is the length of its body (4 bytes, big-endian), the
- * CRC-32C of length and body (4 bytes), and the body.
+ * The layout of a journal file: the {@link #magic} bytes, a frame with the file's header, and one
+ * frame for each entry. A frame consists of the length of its body (4 bytes, big-endian), the
+ * CRC-32C of length and body (4 bytes, big-endian), and the body.
  */
 final class FrameFormat {
     /** The version of the format, as written into the header. */
     static final int VERSION = 1;
 
-    /** Length and checksum before the body of a frame. */
+    /** The size of the length and the checksum, which precede the body of a frame. */
     static final int FRAME_HEADER_BYTES = 8;
 
-    /** No body is longer: ids, keys and names have much smaller limits of their own. */
+    /** The maximum length of a body; ids, keys and names have much lower limits. */
     static final int MAX_BODY_BYTES = 1 << 16;
 
     private static final byte[] MAGIC = {'T', 'F', 'J', '\n'};
 
     private FrameFormat() {}
 
-    /** The bytes that every journal file begins with. */
+    /** Returns the bytes that every journal file begins with. */
     static byte[] magic() {
         return MAGIC.clone();
     }
 
-    /** Reads the beginning of a file; false if it is not that of a journal. */
+    /** Reads the first bytes of a file; returns false if the file is not a journal. */
     static boolean readMagic(DataInputStream input) throws IOException {
         return Arrays.equals(input.readNBytes(MAGIC.length), MAGIC);
     }
 
-    /** The framed header of a placer's journal. */
+    /** Returns the frame with the header of a placer's journal. */
     static byte[] header(String placer) {
         return frame(Header.newBuilder().setVersion(VERSION).setPlacer(placer).build());
     }
 
+    /** Returns the frame whose body is a message. */
     static byte[] frame(MessageLite message) {
         byte[] body = message.toByteArray();
         ByteBuffer frame = ByteBuffer.allocate(FRAME_HEADER_BYTES + body.length);
@@ -69,7 +70,9 @@
         }
     }
 
-    /** Covers the length too, so that a run of zeros is not an intact, empty frame. */
+    /**
+     * Returns the checksum of length and body; without the length, zeros would be an empty frame.
+     */
     private static int checksum(byte[] body) {
         CRC32C checksum = new CRC32C();
         checksum.update(ByteBuffer.allocate(Integer.BYTES).putInt(0, body.length));
--- a/state/src/main/java/thornferry/state/GroupCommitter.java
+++ b/state/src/main/java/thornferry/state/GroupCommitter.java
@@ -7,19 +7,19 @@
 import java.util.function.Consumer;
 
 /**
- * Appends entries on a thread of its own, in batches (group commit): what arrives during one force
- * is written and forced together with the next. So an entry waits for at most two forces, however
- * many arrive.
+ * Appends entries in batches on its own thread (group commit). Entries that arrive while one batch
+ * is being forced to disk form the next batch. As long as that batch stays below its maximum size,
+ * an entry waits for at most two forces.
  */
 final class GroupCommitter {
-    /** A batch takes no further entry once it has reached this size. */
+    /** The size at which a batch is full. */
     private static final int MAX_BATCH_BYTES = 1 << 20;
 
-    /** How often an idle thread checks whether the file was closed. */
+    /** The interval at which the idle thread checks whether the file was closed. */
     private static final long CLOSE_CHECK_MILLIS = 100;
 
     @SuppressWarnings("ArrayRecordComponent") // entries are not compared
-    private record PendingAppend(byte[] frame, Consumer<String> done) {}
+    private record PendingAppend(byte[] frame, Consumer<String> callback) {}
 
     private final ActiveFile file;
     private final ArrayDeque<PendingAppend> queue = new ArrayDeque<>(); // guarded by itself
@@ -38,12 +38,12 @@
     /**
      * Queues a frame for the next batch.
      *
-     * @param done called on the committer's thread: with null when the frame is durable, otherwise
-     *     with the failure
+     * @param callback called on the committer's thread, with null when the frame is durable,
+     *     otherwise with the failure as a sentence
      */
-    void submit(byte[] frame, Consumer<String> done) {
+    void submit(byte[] frame, Consumer<String> callback) {
         synchronized (queue) {
-            queue.add(new PendingAppend(frame, done));
+            queue.add(new PendingAppend(frame, callback));
             queue.notifyAll();
         }
     }
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Waits for entries; returns none if the file was closed while none were pending. */
+    /** Waits for entries; returns an empty batch if the file is closed and no entry is pending. */
     private List<PendingAppend> nextBatch() throws InterruptedException {
         List<PendingAppend> batch = new ArrayList<>();
         synchronized (queue) {
@@ -82,6 +82,6 @@
 
     private void commit(List<PendingAppend> batch) {
         Optional<String> failure = file.append(batch.stream().map(PendingAppend::frame).toList());
-        batch.forEach(append -> append.done().accept(failure.orElse(null)));
+        batch.forEach(append -> append.callback().accept(failure.orElse(null)));
     }
 }
--- a/state/src/main/java/thornferry/state/Journal.java
+++ b/state/src/main/java/thornferry/state/Journal.java
@@ -19,42 +19,42 @@
  * </ol>
  *
  * <p>If the callback reports a failure, the record may or may not be on the disk: the dependent
- * message must not be sent, and the next incarnation must be able to cope with finding the record.
+ * message must not be sent, and the next incarnation must handle either case.
  *
  * <p><b>Duties of the implementation.</b> Records become durable in the order of the calls to
- * {@link #append}, and a callback reports success only after the record, and all before it, have
+ * {@link #append}, and a callback reports success only after the record, and all earlier ones, have
  * reached the configured {@link Durability}. A compacted file replaces the active one in this
- * order: write, force, rename, force the folder, and only then delete the former file. So a crash
- * at any point leaves at least one file with all acknowledged records.
+ * order: write, force, rename, force the folder, and only then delete the previous file. A crash at
+ * any point therefore leaves at least one file with all acknowledged records.
  *
- * <p><b>Threads.</b> All methods are called from one thread. Callbacks may run on the calling
- * thread, before {@code append} returns, or on a thread of the journal.
+ * <p><b>Threads.</b> The caller must call all methods from one thread. Callbacks may run on the
+ * calling thread, before {@code append} returns, or on a thread of the journal.
  */
 public interface Journal extends AutoCloseable {
     /**
-     * Writes nothing and acknowledges every record at once: for a placer that is configured with
-     * {@link Durability#NONE}.
+     * A journal that writes nothing and acknowledges every record immediately, for a placer that is
+     * configured with {@link Durability#NONE}.
      */
     Journal NONE = withoutFile(null);
 
     /**
-     * A journal that cannot be written: every {@link #append} fails.
+     * Returns a journal that cannot be written: every {@link #append} fails.
      *
-     * @param why the failure that callbacks and {@link #writeFailure} report
+     * @param failure the failure that callbacks and {@link #writeFailure} report, as a sentence
      */
-    static Journal broken(String why) {
-        return withoutFile(why);
+    static Journal broken(String failure) {
+        return withoutFile(failure);
     }
 
     private static Journal withoutFile(String failureOrNull) {
         return new Journal() {
             @Override
-            public void append(JournalRecord journalRecord, Consumer<String> done) {
-                done.accept(failureOrNull);
+            public void append(JournalRecord journalRecord, Consumer<String> callback) {
+                callback.accept(failureOrNull);
             }
 
             @Override
-            public void compact(Supplier<Iterable<JournalRecord>> snapshot) {
+            public void compact(Supplier<Iterable<JournalRecord>> snapshotSupplier) {
                 // there is no file to compact
             }
 
@@ -74,25 +74,28 @@
      * Appends a record. Records become durable in the order of the calls.
      *
      * @param journalRecord what the next incarnation must know
-     * @param done called once: with null when the record is as durable as configured, otherwise
+     * @param callback called once: with null when the record is as durable as configured, otherwise
      *     with the failure as a sentence. After a failure the record may be lost, and the message
      *     that depends on it must not be sent
      */
-    void append(JournalRecord journalRecord, Consumer<String> done);
+    void append(JournalRecord journalRecord, Consumer<String> callback);
 
     /**
-     * Compacts the file if it has grown enough, and retries a failed write. To be called
-     * periodically.
+     * Compacts the file if it has grown enough, and retries a failed write. The caller must call
+     * this method periodically.
      *
-     * @param snapshot supplies the records that are still needed. Called at most once, before this
-     *     method returns, and only if the file is to be compacted; the result may be iterated later
-     *     by another thread and must not change
+     * @param snapshotSupplier supplies the records that are still needed. It is called at most
+     *     once, before this method returns, and only if the file is to be compacted. Its result may
+     *     be iterated later by another thread and must not change
      */
-    void compact(Supplier<Iterable<JournalRecord>> snapshot);
+    void compact(Supplier<Iterable<JournalRecord>> snapshotSupplier);
 
-    /** The failure that prevents writing at present, as a sentence; empty if writing works. */
+    /**
+     * Returns the failure that currently prevents writing, as a sentence; empty if there is none.
+     */
     String writeFailure();
 
+    /** Closes the journal; later appends fail. */
     @Override
     void close();
 }
--- a/state/src/main/java/thornferry/state/JournalFile.java
+++ b/state/src/main/java/thornferry/state/JournalFile.java
@@ -14,17 +14,18 @@
 import thornferry.state.SnapshotWriter.PendingSnapshot;
 
 /**
- * The journal of one placer instance in a folder of its own, which one process at a time may have
- * open.
+ * The journal of one placer instance, on disk. Each instance has its own folder, which only one
+ * process at a time may have open.
  *
  * <p>Each incarnation begins with a compacted file, which holds the records that are still needed;
- * further records are appended to it. Compacted files are complete before they take their name, so
- * that only the end of a file can be torn. See {@link Journal} for the ordering of writes.
+ * later records are appended to it. A compacted file is written under a temporary name and renamed
+ * when it is complete, so that a torn write can only be at the end of a file. See {@link Journal}
+ * for the ordering of writes.
  */
 public final class JournalFile implements Journal {
     private static final Logger LOG = LoggerFactory.getLogger(JournalFile.class);
 
-    /** Another process, or another instance in this one, uses the folder. */
+    /** Thrown if another process, or another instance in this process, uses the folder. */
     public static final class JournalInUseException extends IOException {
         private static final long serialVersionUID = 1;
 
@@ -37,19 +38,19 @@
         }
     }
 
-    /** Which thread writes, forces and compacts. */
+    /** The threads that write, force and compact. */
     enum Threading {
-        /** The journal has threads for forcing and for compaction. */
+        /** The journal has its own threads for forcing and for compaction. */
         BACKGROUND,
-        /** Everything is done by the caller: for tests that must be reproducible. */
+        /** The calling thread does everything, so that tests are reproducible. */
         CALLER
     }
 
     /**
-     * How a journal is written.
+     * The options for writing a journal.
      *
      * @param nanoClock measures the backoff after a failed write
-     * @param compactionThresholdBytes a smaller file is not compacted
+     * @param compactionThresholdBytes the size below which a file is not compacted
      */
     record Options(
             Durability durability,
@@ -70,7 +71,7 @@
     private final RecoveredJournal recovered;
     private final ActiveFile activeFile;
     private final SnapshotWriter snapshotWriter;
-    private final Optional<GroupCommitter> committer; // empty: the caller of append writes
+    private final Optional<GroupCommitter> committer; // empty if the caller of append writes
 
     JournalFile(JournalFolder folder, String placer, Options options) throws IOException {
         this.folder = folder;
@@ -79,22 +80,22 @@
         recovered = JournalRecovery.recover(folder, placer);
         activeFile = new ActiveFile(folder, recovered, options.durability(), options.nanoClock());
         snapshotWriter = new SnapshotWriter(folder, placer, options.durability());
-        boolean forcesInBackground =
+        boolean usesGroupCommit =
                 options.threading() == Threading.BACKGROUND
                         && options.durability() == Durability.DISK;
         committer =
-                forcesInBackground
+                usesGroupCommit
                         ? Optional.of(new GroupCommitter(activeFile, placer))
                         : Optional.empty();
     }
 
     /**
-     * Opens the journal of a placer instance and reads what former incarnations wrote. Nothing is
-     * written before {@link #startIncarnation}; a newest file that is incomplete or foreign is set
-     * aside under another name.
+     * Opens the journal of a placer instance and reads the records of earlier incarnations. No
+     * record is written before {@link #startIncarnation}. If the newest file is damaged or foreign,
+     * it is renamed and kept for inspection.
      *
-     * @param folder created if it does not exist
-     * @param placer the instance's name; the journal of another one is not used
+     * @param folder the folder of the instance; created if it does not exist
+     * @param placer the name of the instance; the journal of another instance is not used
      * @param durability {@link Durability#OS} or {@link Durability#DISK}
      * @throws JournalInUseException if another placer has the folder open
      * @throws IOException if the folder cannot be created, read or written
@@ -102,7 +103,8 @@
     public static JournalFile open(Path folder, String placer, Durability durability)
             throws IOException {
         if (durability == Durability.NONE) {
-            throw new IllegalArgumentException("nothing is written with durability none");
+            throw new IllegalArgumentException(
+                    "durability none has no journal file; expected os or disk");
         }
         JournalFolder locked = JournalFolder.lock(folder);
         try {
@@ -113,26 +115,26 @@
         }
     }
 
-    /** The journal files of a folder, oldest generation first. */
+    /** Returns the journal files of a folder, oldest generation first. */
     public static List<Path> files(Path folder) throws IOException {
         return JournalFolder.files(Storage.SYSTEM, folder);
     }
 
-    /** The records that former incarnations wrote, oldest first. */
+    /** Returns the records that earlier incarnations wrote, oldest first. */
     public List<JournalRecord> records() {
         return recovered.contents().records();
     }
 
-    /** Why {@link #records} may lack some, as a sentence; empty if it is complete. */
+    /** Returns why {@link #records} may be incomplete, as a sentence; empty if it is complete. */
     public String incompleteBecause() {
-        return recovered.incompleteBecause();
+        return recovered.incompleteReason();
     }
 
     /**
-     * Begins this incarnation with a compacted file; from now on {@link #append} may be called.
+     * Begins this incarnation with a compacted file. {@link #append} may be called afterwards.
      *
      * @param snapshot the records that are still needed
-     * @throws IOException if the file cannot be written; the former one is then still in place
+     * @throws IOException if the file cannot be written; the previous file is then still in place
      */
     public void startIncarnation(Iterable<JournalRecord> snapshot) throws IOException {
         rewrite(snapshot);
@@ -140,13 +142,13 @@
     }
 
     @Override
-    public void append(JournalRecord journalRecord, Consumer<String> done) {
+    public void append(JournalRecord journalRecord, Consumer<String> callback) {
         byte[] frame = RecordCodec.frame(journalRecord);
         if (committer.isPresent()) {
-            committer.get().submit(frame, done);
+            committer.get().submit(frame, callback);
         } else {
             Optional<String> failure = activeFile.append(List.of(frame));
-            done.accept(failure.orElse(null));
+            callback.accept(failure.orElse(null));
         }
     }
 
@@ -156,16 +158,16 @@
     }
 
     @Override
-    public void compact(Supplier<Iterable<JournalRecord>> snapshot) {
+    public void compact(Supplier<Iterable<JournalRecord>> snapshotSupplier) {
         retryFailedWrite();
         activeFile
-                .beginRewrite(snapshot, options.compactionThresholdBytes())
-                .ifPresent(this::compactTo);
+                .beginRewrite(snapshotSupplier, options.compactionThresholdBytes())
+                .ifPresent(this::startCompaction);
     }
 
     /**
-     * While writing fails, no task is placed that needs the journal, so nothing is appended and
-     * nothing else would find out that writing works again.
+     * Appends an entry if the last write failed. While writing fails, tasks that need the journal
+     * are not placed, so no other append would detect that writing works again.
      */
     private void retryFailedWrite() {
         if (!activeFile.failure().isEmpty()) {
@@ -173,8 +175,8 @@
         }
     }
 
-    /** Writes the compacted file, normally on a thread of its own as it may be many megabytes. */
-    private void compactTo(Iterable<JournalRecord> records) {
+    /** Compacts the file, normally on a separate thread because it may have many megabytes. */
+    private void startCompaction(Iterable<JournalRecord> records) {
         if (options.threading() == Threading.CALLER) {
             rewriteOrLog(records);
             return;
@@ -198,13 +200,13 @@
     private void rewrite(Iterable<JournalRecord> records) throws IOException {
         try {
             PendingSnapshot snapshot = snapshotWriter.write(records);
-            activeFile.replaceBy(snapshot);
+            activeFile.replaceWith(snapshot);
         } finally {
             activeFile.endRewrite();
         }
     }
 
-    /** Closes the file and releases the folder; records that are still pending fail. */
+    /** Closes the file and unlocks the folder; appends that are still pending fail. */
     @Override
     public void close() {
         try {
--- a/state/src/main/java/thornferry/state/JournalFolder.java
+++ b/state/src/main/java/thornferry/state/JournalFolder.java
@@ -15,14 +15,19 @@
 import thornferry.state.JournalFile.JournalInUseException;
 
 /**
- * The folder of one placer instance's journal. It holds one file for each generation, {@code
- * journal-N.tfj}, of which the highest N counts; a file that is being prepared; files set aside
- * because they could not be used; and the lock file that keeps a second process out.
+ * The folder of one placer instance's journal. It contains:
+ *
+ * <ul>
+ *   <li>{@code journal-N.tfj}, the file of generation N; the one with the highest N is used;
+ *   <li>a temporary file, while a compacted file is being written;
+ *   <li>renamed files that could not be used;
+ *   <li>the lock file, which prevents a second process from using the folder.
+ * </ul>
  */
 final class JournalFolder implements Closeable {
     private static final String LOCK_FILE = "lock";
     private static final String TEMPORARY_FILE = "journal-new.tmp";
-    private static final String ASIDE_SUFFIX = ".aside-";
+    private static final String UNUSABLE_SUFFIX = ".aside-";
     private static final Pattern FILE_NAME = Pattern.compile("journal-(\\d{1,18})\\.tfj");
 
     private final Path path;
@@ -36,7 +41,7 @@
     }
 
     /**
-     * Creates the folder if need be, and locks it until {@link #close}.
+     * Creates the folder if it does not exist, and locks it until {@link #close}.
      *
      * @throws JournalInUseException if another process, or another instance in this one, has locked
      *     it
@@ -63,48 +68,50 @@
         }
     }
 
-    /** The journal files of a folder, oldest generation first. */
+    /** Returns the journal files of a folder, oldest generation first. */
     static List<Path> files(Storage storage, Path folder) throws IOException {
         return storage.list(folder).stream()
-                .filter(file -> matchName(file).matches())
+                .filter(file -> fileNameMatcher(file).matches())
                 .sorted(Comparator.comparingLong(JournalFolder::generation))
                 .toList();
     }
 
-    /** The journal files, oldest generation first. */
+    /** Returns the journal files of this folder, oldest generation first. */
     List<Path> files() throws IOException {
         return files(storage, path);
     }
 
-    /** The N of a file's name {@code journal-N.tfj}. */
+    /** Returns the generation N of a file with the name {@code journal-N.tfj}. */
     static long generation(Path file) {
-        Matcher matcher = matchName(file);
+        Matcher matcher = fileNameMatcher(file);
         if (!matcher.matches()) {
-            throw new IllegalArgumentException("not the name of a journal file: " + file);
+            throw new IllegalArgumentException(
+                    "not named like a journal file, journal-N.tfj: " + file);
         }
         return Long.parseLong(matcher.group(1));
     }
 
-    private static Matcher matchName(Path file) {
+    private static Matcher fileNameMatcher(Path file) {
         return FILE_NAME.matcher(file.getFileName().toString());
     }
 
-    /** The file of a generation. */
+    /** Returns the path of a generation's file. */
     Path file(long generation) {
         return path.resolve("journal-" + generation + ".tfj");
     }
 
-    /** The file that a compacted journal is written to before it takes its name. */
+    /** Returns the path at which a compacted file is written before it is renamed. */
     Path temporaryFile() {
         return path.resolve(TEMPORARY_FILE);
     }
 
-    /** Renames a file that cannot be used, for later inspection; returns its new name. */
-    Path setAside(Path file) throws IOException {
-        Path aside =
-                file.resolveSibling(file.getFileName() + ASIDE_SUFFIX + System.currentTimeMillis());
-        storage.rename(file, aside);
-        return aside;
+    /** Renames a file that cannot be used, to keep it for inspection; returns its new path. */
+    Path renameUnusable(Path file) throws IOException {
+        Path newPath =
+                file.resolveSibling(
+                        file.getFileName() + UNUSABLE_SUFFIX + System.currentTimeMillis());
+        storage.rename(file, newPath);
+        return newPath;
     }
 
     Path path() {
@@ -115,7 +122,7 @@
         return storage;
     }
 
-    /** Releases the lock. */
+    /** Unlocks the folder. */
     @Override
     public void close() throws IOException {
         lock.close();
--- a/state/src/main/java/thornferry/state/JournalReader.java
+++ b/state/src/main/java/thornferry/state/JournalReader.java
@@ -14,8 +14,8 @@
 import thornferry.state.v1.Incarnation;
 
 /**
- * Reads one journal file. The file is streamed, so that the memory used is that of its intact
- * records, whatever its size.
+ * Reads one journal file. The file is streamed, so that the memory in use is limited to the intact
+ * records, whatever the size of the file.
  */
 final class JournalReader {
     private static final int READ_BUFFER_BYTES = 1 << 16;
@@ -23,7 +23,7 @@
     private final DataInputStream input;
     private final long fileBytes;
     private final List<JournalRecord> records = new ArrayList<>();
-    private Incarnation lastIncarnation; // null until one was read
+    private Incarnation lastIncarnation; // null until an incarnation was read
     private long validBytes;
 
     private JournalReader(DataInputStream input, long fileBytes) {
@@ -34,7 +34,7 @@
     /**
      * Reads a file up to its first entry that is not intact.
      *
-     * @param expectedPlacer the instance that must have written the journal; empty for any
+     * @param expectedPlacer the instance that must have written the journal; empty if any may have
      */
     static JournalContents read(Storage storage, Path file, Optional<String> expectedPlacer)
             throws IOException {
@@ -52,7 +52,7 @@
         Optional<byte[]> headerBody =
                 FrameFormat.readMagic(input) ? FrameFormat.readBody(input) : Optional.empty();
         if (headerBody.isEmpty()) {
-            return JournalContents.foreign("is no journal");
+            return JournalContents.foreign("is not a journal file");
         }
         Header header = Header.parseFrom(headerBody.get());
         Optional<String> mismatch = mismatch(header, expectedPlacer);
@@ -60,33 +60,33 @@
             return JournalContents.foreign(mismatch.get());
         }
         validBytes = FrameFormat.magic().length;
-        countFrame(headerBody.get());
+        addFrameSize(headerBody.get());
         while (validBytes < fileBytes) {
             Optional<byte[]> body = FrameFormat.readBody(input);
             if (body.isEmpty()) {
                 return contentsBeforeDamage(header.getPlacer());
             }
             add(Entry.parseFrom(body.get()));
-            countFrame(body.get());
+            addFrameSize(body.get());
         }
         return contents(header.getPlacer(), true, "");
     }
 
-    /** Why the file is not a journal of this version and placer; empty if it is. */
+    /** Returns why the file is not a journal of this version and placer; empty if it is one. */
     private static Optional<String> mismatch(Header header, Optional<String> expectedPlacer) {
         if (header.getVersion() != FrameFormat.VERSION) {
             return Optional.of(
-                    "is of version "
+                    "has format version "
                             + header.getVersion()
-                            + "; this program reads "
+                            + "; this program reads version "
                             + FrameFormat.VERSION);
         }
         return expectedPlacer
                 .filter(placer -> !header.getPlacer().equals(placer))
-                .map(placer -> "is that of placer " + header.getPlacer() + ", not of " + placer);
+                .map(placer -> "belongs to placer " + header.getPlacer() + ", not to " + placer);
     }
 
-    private void countFrame(byte[] body) {
+    private void addFrameSize(byte[] body) {
         validBytes += FrameFormat.FRAME_HEADER_BYTES + body.length;
     }
 
@@ -98,6 +98,7 @@
         }
     }
 
+    /** Returns the contents before a frame that is not intact: a torn last write, or damage. */
     private JournalContents contentsBeforeDamage(String placer) throws IOException {
         boolean torn = onlyZerosFollow();
         String damage = torn ? "its last line was not whole and is cut off" : "is damaged";
@@ -105,9 +106,9 @@
     }
 
     /**
-     * After a frame that is not intact: whether the rest cannot hold further entries. Killing the
-     * process leaves at most one unfinished frame, and a power loss may leave a run of zeros;
-     * anything more is damage, and entries behind it may be lost.
+     * Returns whether the rest of the file, after a frame that is not intact, consists of zeros and
+     * is shorter than a frame. Killing the process leaves at most one unfinished frame, and a power
+     * loss may leave a run of zeros. Anything else is damage, and entries after it may be lost.
      */
     private boolean onlyZerosFollow() throws IOException {
         byte[] rest = input.readNBytes(FrameFormat.MAX_BODY_BYTES + 1);
--- a/state/src/main/java/thornferry/state/JournalRecovery.java
+++ b/state/src/main/java/thornferry/state/JournalRecovery.java
@@ -10,36 +10,37 @@
 import thornferry.state.v1.Entry;
 import thornferry.state.v1.Incarnation;
 
-/** Finds out, at the start of a placer, what former incarnations have left in its folder. */
+/** Reads, at the start of a placer, the journal that earlier incarnations left in its folder. */
 final class JournalRecovery {
     private static final Logger LOG = LoggerFactory.getLogger(JournalRecovery.class);
 
-    /** Linux: a random id that the kernel draws anew at each boot. */
+    /** The random id that a Linux kernel generates at each boot. */
     private static final Path BOOT_ID_FILE = Path.of("/proc/sys/kernel/random/boot_id");
 
     /**
-     * What was found.
+     * The journal that earlier incarnations left.
      *
-     * @param file the newest file; empty if there is none or it was set aside
-     * @param generation of the newest file, also if it was set aside; 0 if there was none
-     * @param incompleteBecause why records may be missing, as a sentence; empty if none are
+     * @param file the newest file; empty if there is none or if it was renamed as unusable
+     * @param generation the generation of the newest file, even if that was renamed; 0 if there is
+     *     no file
+     * @param contents the contents of the newest file
+     * @param incompleteReason why records may be missing, as a sentence; empty if none are
      */
     record RecoveredJournal(
             Optional<Path> file,
             long generation,
             JournalContents contents,
-            String incompleteBecause) {}
+            String incompleteReason) {}
 
     private JournalRecovery() {}
 
-    /**
-     * Reads the newest file of the folder. A file with missing or foreign contents is set aside.
-     */
+    /** Reads the newest file of the folder, and renames it if it is damaged or foreign. */
     static RecoveredJournal recover(JournalFolder folder, String placer) throws IOException {
         List<Path> files = folder.files();
         if (files.isEmpty()) {
-            JournalContents nothing = JournalContents.empty(placer);
-            return new RecoveredJournal(Optional.empty(), 0, nothing, incompleteBecause(nothing));
+            JournalContents noContents = JournalContents.empty(placer);
+            return new RecoveredJournal(
+                    Optional.empty(), 0, noContents, incompleteReason(noContents));
         }
         Path newest = files.get(files.size() - 1);
         JournalContents contents =
@@ -49,31 +50,31 @@
         }
         Optional<Path> file = Optional.of(newest);
         if (!contents.complete()) {
-            Path aside = folder.setAside(newest);
-            LOG.warn("journal {} is set aside as {}", newest, aside);
+            Path newPath = folder.renameUnusable(newest);
+            LOG.warn("journal {} cannot be used and was renamed to {}", newest, newPath);
             file = Optional.empty();
         }
         return new RecoveredJournal(
-                file, JournalFolder.generation(newest), contents, incompleteBecause(contents));
+                file, JournalFolder.generation(newest), contents, incompleteReason(contents));
     }
 
-    private static String incompleteBecause(JournalContents contents) {
-        if (!contents.complete()) { // foreign contents never are
-            return "the journal found " + contents.problem();
+    private static String incompleteReason(JournalContents contents) {
+        if (!contents.complete()) { // this includes foreign contents
+            return "the newest journal file " + contents.problem();
         }
-        Incarnation former = contents.lastIncarnation();
-        if (former == null) {
-            return "there was no journal before";
+        Incarnation previous = contents.lastIncarnation();
+        if (previous == null) {
+            return "there is no journal of an earlier incarnation";
         }
-        boolean unforced = former.getDurability().equals(Durability.OS.name());
-        if (unforced && !former.getBoot().equals(bootId())) {
-            return "the machine was started anew, and with durability os its last lines may be"
+        boolean unforced = previous.getDurability().equals(Durability.OS.name());
+        if (unforced && !previous.getBoot().equals(bootId())) {
+            return "the machine was rebooted, and with durability os the last records may be"
                     + " lost";
         }
         return "";
     }
 
-    /** The framed entry that marks the start of an incarnation on this boot of the machine. */
+    /** Returns the frame that records the start of an incarnation on this boot of the machine. */
     static byte[] incarnationFrame(Durability durability) {
         Incarnation incarnation =
                 Incarnation.newBuilder().setBoot(bootId()).setDurability(durability.name()).build();
@@ -81,8 +82,8 @@
     }
 
     /**
-     * Identifies this boot of the machine. Empty where the system has no such id; then a reboot
-     * goes unnoticed.
+     * Returns the id of the machine's current boot; empty if the system has no such id, in which
+     * case a reboot is not detected.
      */
     private static String bootId() {
         try {
--- a/state/src/main/java/thornferry/state/JournalWords.java
+++ b/state/src/main/java/thornferry/state/JournalWords.java
@@ -7,13 +7,13 @@
 import thornferry.decisions.requests.RequestResult;
 
 /**
- * The words that journal files use for enumerated values. They never change; the names of the
- * constants may.
+ * The names that journal files use for enumerated values. The stored names never change, whereas
+ * the Java constants may be renamed.
  */
 public final class JournalWords {
     private JournalWords() {}
 
-    /** The word for an idempotency. */
+    /** Returns the stored name of an idempotency. */
     public static String of(Idempotency idempotency) {
         return switch (idempotency) {
             case IDEMPOTENT -> "SAFE";
@@ -22,7 +22,7 @@
         };
     }
 
-    /** The word for a request's result. */
+    /** Returns the stored name of a request's result. */
     public static String of(RequestResult result) {
         return switch (result) {
             case PLACED -> "PLACED";
@@ -31,7 +31,7 @@
         };
     }
 
-    /** The word for a termination cause. */
+    /** Returns the stored name of a termination cause. */
     public static String of(TerminationCause cause) {
         return switch (cause) {
             case COMPLETED -> "ENDED";
@@ -43,37 +43,38 @@
     }
 
     /**
-     * The idempotency that a word stands for.
+     * Returns the idempotency with a stored name.
      *
-     * @throws IllegalArgumentException if the word is not known
+     * @throws IllegalArgumentException if the name is unknown
      */
-    static Idempotency idempotency(String word) {
-        return constant(Idempotency.values(), JournalWords::of, word);
+    static Idempotency idempotency(String storedName) {
+        return constantWithName(Idempotency.values(), JournalWords::of, storedName);
     }
 
     /**
-     * The request's result that a word stands for.
+     * Returns the request's result with a stored name.
      *
-     * @throws IllegalArgumentException if the word is not known
+     * @throws IllegalArgumentException if the name is unknown
      */
-    static RequestResult result(String word) {
-        return constant(RequestResult.values(), JournalWords::of, word);
+    static RequestResult result(String storedName) {
+        return constantWithName(RequestResult.values(), JournalWords::of, storedName);
     }
 
     /**
-     * The termination cause that a word stands for.
+     * Returns the termination cause with a stored name.
      *
-     * @throws IllegalArgumentException if the word is not known
+     * @throws IllegalArgumentException if the name is unknown
      */
-    static TerminationCause terminationCause(String word) {
-        return constant(TerminationCause.values(), JournalWords::of, word);
+    static TerminationCause terminationCause(String storedName) {
+        return constantWithName(TerminationCause.values(), JournalWords::of, storedName);
     }
 
-    private static <E extends Enum<E>> E constant(
-            E[] constants, Function<E, String> wordOf, String word) {
+    private static <E extends Enum<E>> E constantWithName(
+            E[] constants, Function<E, String> toStoredName, String storedName) {
         return Arrays.stream(constants)
-                .filter(constant -> wordOf.apply(constant).equals(word))
+                .filter(constant -> toStoredName.apply(constant).equals(storedName))
                 .findFirst()
-                .orElseThrow(() -> new IllegalArgumentException("unknown word: " + word));
+                .orElseThrow(
+                        () -> new IllegalArgumentException("unknown stored name: " + storedName));
     }
 }
--- a/state/src/main/java/thornferry/state/RecordCodec.java
+++ b/state/src/main/java/thornferry/state/RecordCodec.java
@@ -10,11 +10,11 @@
 import thornferry.state.v1.Offered;
 import thornferry.state.v1.StoredTaskSpec;
 
-/** Converts journal records to the entries of a file, and back. */
+/** Converts journal records to entries of a journal file, and entries to records. */
 final class RecordCodec {
     private RecordCodec() {}
 
-    /** The framed entry of a record. */
+    /** Returns the frame that contains the entry of a record. */
     static byte[] frame(JournalRecord journalRecord) {
         return FrameFormat.frame(encode(journalRecord));
     }
@@ -86,10 +86,10 @@
     }
 
     /**
-     * The record of an entry.
+     * Returns the record of an entry.
      *
-     * @throws InvalidProtocolBufferException if the entry's type, or a word in it, is not known to
-     *     this version
+     * @throws InvalidProtocolBufferException if this version does not know the type of the entry,
+     *     or the name of an enumerated value in it
      */
     static JournalRecord decode(Entry entry) throws InvalidProtocolBufferException {
         long atMicros = entry.getAtMicros();
@@ -101,11 +101,11 @@
                 case FINISHED -> decode(atMicros, entry.getFinished());
                 default ->
                         throw new InvalidProtocolBufferException(
-                                "a line of a type that this version does not know");
+                                "has an entry of a type that this version does not know");
             };
         } catch (IllegalArgumentException e) {
             throw new InvalidProtocolBufferException(
-                    "a line with a word that this version does not know");
+                    "has an entry with a value that this version does not know");
         }
     }
 
--- a/state/src/main/java/thornferry/state/Storage.java
+++ b/state/src/main/java/thornferry/state/Storage.java
@@ -16,22 +16,29 @@
 
     /** An open file. */
     interface WritableFile extends Closeable {
-        /** Writes all bytes at an offset; if it throws, any part of them may have been written. */
+        /**
+         * Writes all bytes at an offset.
+         *
+         * @throws IOException if writing failed; any part of the bytes may have been written
+         */
         void write(long offset, byte[] bytes) throws IOException;
 
         void truncate(long sizeBytes) throws IOException;
 
-        /** When it returns, everything written before survives a power loss. */
+        /** Forces everything written so far to disk, where it survives a power loss. */
         void force() throws IOException;
     }
 
-    /** Creates an empty file; one that has the name already is overwritten. */
+    /** Creates an empty file, or truncates an existing file of that name. */
     WritableFile create(Path file) throws IOException;
 
-    /** Atomic if the file system supports it; survives a power loss after {@link #forceFolder}. */
+    /**
+     * Renames a file, atomically if the file system supports that. The new name survives a power
+     * loss only after {@link #forceFolder}.
+     */
     void rename(Path from, Path to) throws IOException;
 
-    /** When it returns, names that were created, changed or deleted before survive a power loss. */
+    /** Forces the creations, renames and deletions of files in a folder to disk. */
     void forceFolder(Path folder) throws IOException;
 
     void delete(Path file) throws IOException;
--- a/state/src/main/java/thornferry/state/SystemStorage.java
+++ b/state/src/main/java/thornferry/state/SystemStorage.java
@@ -35,7 +35,9 @@
 
         @Override
         public void force() throws IOException {
-            // the data, and the metadata needed to read it back, such as the length of the file
+            // Without other metadata, this forces the data and what is needed to read it, such as
+            // the
+            // length of the file.
             channel.force(false);
         }
 
@@ -69,7 +71,7 @@
         try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
             channel.force(true);
         } catch (IOException e) {
-            LOG.debug("this system cannot force folders: {}", e.getMessage());
+            LOG.debug("the system cannot force a folder to disk: {}", e.getMessage());
         }
     }
 
--- a/state/src/test/java/thornferry/state/CrashingStorage.java
+++ b/state/src/test/java/thornferry/state/CrashingStorage.java
@@ -14,23 +14,24 @@
 import java.util.TreeMap;
 
 /**
- * An in-memory file system that crashes, or whose disk is full, at a chosen step. After a power
- * loss, unforced changes may or may not be there: writes reach the disk in any order and torn
- * anywhere, and names as they were after one of their changes.
+ * An in-memory file system that crashes, or whose disk is full, at a given step. Each operation is
+ * a step. After a power loss, any subset of the unforced writes is on the disk, applied in any
+ * order, and each may be torn at any byte. The names of files are those that were forced last, or
+ * those after any one of the later changes.
  */
 final class CrashingStorage implements Storage {
     private static final String DISK_FULL = "No space left on device";
 
-    /** Ends the incarnation; an Error, so that no code handles it as a failed operation. */
+    /** Ends the incarnation. It is an Error, so that no code handles it as a failed operation. */
     static final class PowerLoss extends Error {
         private static final long serialVersionUID = 1;
     }
 
-    /** What is lost with the process. */
+    /** The kinds of crash, which differ in what is lost. */
     enum Crash {
-        /** Only the process ends; the system still has what was written. */
+        /** Only the process ends; the operating system retains everything that was written. */
         KILL,
-        /** Unforced changes may be lost. */
+        /** The machine stops; unforced changes may be lost. */
         POWER_LOSS
     }
 
@@ -38,7 +39,7 @@
     private sealed interface Change {
         byte[] applyTo(byte[] content);
 
-        /** The part of the change that reaches the disk before a crash in the middle of it. */
+        /** Returns the random part of the change that reaches the disk if a crash interrupts it. */
         Change torn(SplittableRandom random);
     }
 
@@ -85,7 +86,7 @@
             unforced.clear();
         }
 
-        /** Some of the unforced changes reach the disk: in any order, each torn anywhere. */
+        /** Applies some of the unforced changes to the disk, in random order and torn at random. */
         void losePower(SplittableRandom random) {
             List<Change> changes = new ArrayList<>(unforced);
             for (int i = changes.size(); i > 1; i--) {
@@ -99,11 +100,11 @@
     }
 
     private final SplittableRandom random;
-    private Map<Path, Inode> names = new TreeMap<>();
-    private Map<Path, Inode> forcedNames = new TreeMap<>();
-    private final List<Map<Path, Inode>> unforcedNames = new ArrayList<>(); // after each change
+    private Map<Path, Inode> files = new TreeMap<>();
+    private Map<Path, Inode> forcedFiles = new TreeMap<>();
+    private final List<Map<Path, Inode>> unforcedFiles = new ArrayList<>(); // one per change
 
-    /** Operations so far; the steps of the fields below are counted likewise. */
+    /** The number of operations so far; the fields below refer to this count. */
     int steps;
 
     int crashAtStep = Integer.MAX_VALUE;
@@ -119,7 +120,7 @@
         diskFullUntilStep = Integer.MAX_VALUE;
     }
 
-    /** Counts an operation; returns whether the disk is full for it. */
+    /** Counts an operation; returns whether the disk is full at that step. */
     private boolean countStep() {
         steps++;
         if (steps == crashAtStep) {
@@ -128,46 +129,46 @@
         return steps >= diskFullFromStep && steps < diskFullUntilStep;
     }
 
-    private void countStepOnDiskThatMayBeFull() throws IOException {
+    private void countStepOrThrowIfDiskFull() throws IOException {
         if (countStep()) {
             throw new IOException(DISK_FULL);
         }
     }
 
-    /** Ends the process, or the machine; what is left can be opened again. */
+    /** Crashes the process or the machine; what remains can be opened by another incarnation. */
     void crash(Crash crash) {
         if (crash == Crash.POWER_LOSS) {
-            names = namesAfterPowerLoss();
-            names.values().forEach(inode -> inode.losePower(random));
+            files = filesAfterPowerLoss();
+            files.values().forEach(inode -> inode.losePower(random));
         }
-        names.values().forEach(Inode::force);
-        forcedNames = new TreeMap<>(names);
-        names = new TreeMap<>(names);
-        unforcedNames.clear();
+        files.values().forEach(Inode::force);
+        forcedFiles = new TreeMap<>(files);
+        files = new TreeMap<>(files);
+        unforcedFiles.clear();
         crashAtStep = Integer.MAX_VALUE;
     }
 
-    private Map<Path, Inode> namesAfterPowerLoss() {
-        if (unforcedNames.isEmpty() || random.nextBoolean()) {
-            return forcedNames;
+    private Map<Path, Inode> filesAfterPowerLoss() {
+        if (unforcedFiles.isEmpty() || random.nextBoolean()) {
+            return forcedFiles;
         }
-        return unforcedNames.get(random.nextInt(unforcedNames.size()));
+        return unforcedFiles.get(random.nextInt(unforcedFiles.size()));
     }
 
-    private void recordNameChange() {
-        unforcedNames.add(new TreeMap<>(names));
+    private void recordFileChange() {
+        unforcedFiles.add(new TreeMap<>(files));
     }
 
     byte[] content(Path file) {
-        return names.get(file).content;
+        return files.get(file).content;
     }
 
     void put(Path file, byte[] content) {
         Inode inode = new Inode();
         inode.content = content;
         inode.forced = content;
-        names.put(file, inode);
-        forcedNames.put(file, inode);
+        files.put(file, inode);
+        forcedFiles.put(file, inode);
     }
 
     private final class InodeFile implements WritableFile {
@@ -198,7 +199,7 @@
 
         @Override
         public void force() throws IOException {
-            countStepOnDiskThatMayBeFull();
+            countStepOrThrowIfDiskFull();
             inode.force();
         }
 
@@ -212,35 +213,35 @@
     public WritableFile create(Path file) throws IOException {
         countStep();
         Inode inode = new Inode();
-        names.put(file, inode);
-        recordNameChange();
+        files.put(file, inode);
+        recordFileChange();
         return new InodeFile(inode);
     }
 
     @Override
     public void rename(Path from, Path to) throws IOException {
-        countStepOnDiskThatMayBeFull();
-        names.put(to, names.remove(from));
-        recordNameChange();
+        countStepOrThrowIfDiskFull();
+        files.put(to, files.remove(from));
+        recordFileChange();
     }
 
     @Override
     public void forceFolder(Path folder) {
         countStep();
-        forcedNames = new TreeMap<>(names);
-        unforcedNames.clear();
+        forcedFiles = new TreeMap<>(files);
+        unforcedFiles.clear();
     }
 
     @Override
     public void delete(Path file) {
         countStep();
-        names.remove(file);
-        recordNameChange();
+        files.remove(file);
+        recordFileChange();
     }
 
     @Override
     public List<Path> list(Path folder) {
-        return List.copyOf(names.keySet());
+        return List.copyOf(files.keySet());
     }
 
     @Override
@@ -254,7 +255,7 @@
     }
 
     private Inode inode(Path file) throws IOException {
-        Inode inode = names.get(file);
+        Inode inode = files.get(file);
         if (inode == null) {
             throw new FileNotFoundException(file.toString());
         }
--- a/state/src/test/java/thornferry/state/JournalFileTest.java
+++ b/state/src/test/java/thornferry/state/JournalFileTest.java
@@ -75,7 +75,8 @@
         private final CrashingStorage storage;
         private final Set<String> acknowledged = new LinkedHashSet<>();
         private final List<JournalRecord> appended = new ArrayList<>();
-        private int lastNumber = 1_000; // so that all attempts have names of the same length
+        private int lastNumber =
+                1_000; // four digits, so that the order of the names is that of the numbers
 
         CrashTrial(long seed, Durability durability) {
             this.seed = seed;
@@ -84,7 +85,10 @@
             storage = new CrashingStorage(random);
         }
 
-        /** Every incarnation must find the acknowledged records of the former ones, in order. */
+        /**
+         * Checks that every incarnation finds the acknowledged records of all earlier ones, in
+         * order.
+         */
         void run(CrashingStorage.Crash crash) throws IOException {
             for (int incarnation = 0; incarnation < INCARNATIONS; incarnation++) {
                 scheduleFaults();
@@ -93,7 +97,8 @@
                 } catch (CrashingStorage.PowerLoss e) {
                     // as scheduled
                 } catch (IOException e) {
-                    storage.clearDiskFull(); // it could not start; the operator frees disk space
+                    storage.clearDiskFull(); // the incarnation could not start; the operator frees
+                    // disk space
                 }
                 storage.crash(crash);
                 storage.clearDiskFull();
@@ -152,14 +157,14 @@
     }
 
     @Test
-    void recordsHandedToTheSystemSurviveKillAtAnyStep() throws IOException {
+    void recordsWrittenToTheSystemSurviveKillAtAnyStep() throws IOException {
         for (long seed = 1; seed <= 2_000; seed++) {
             new CrashTrial(seed, Durability.OS).run(CrashingStorage.Crash.KILL);
         }
     }
 
     @Test
-    void crashTrialDetectsJournalThatDoesNotForce() {
+    void crashTrialDetectsJournalThatIsNotForcedToDisk() {
         assertThatThrownBy(
                         () -> {
                             for (long seed = 1; seed <= 3_000; seed++) {
@@ -195,7 +200,7 @@
             JournalContents contents = read(Arrays.copyOf(journal, length), "p-0");
             assertThat(contents.records().size()).isBetween(maxRecords, maxRecords + 1);
             maxRecords = Math.max(maxRecords, contents.records().size());
-            // a kill tears at most the last record, so nothing else is missing
+            // a killed process leaves at most one torn record, so no other record is missing
             assertThat(contents.complete()).isEqualTo(!contents.foreign());
         }
         assertThat(maxRecords).isEqualTo(5);
@@ -218,16 +223,16 @@
     }
 
     @Test
-    void setsForeignJournalAsideAndReportsIt() throws IOException {
+    void renamesForeignJournalAndReportsIt() throws IOException {
         assertThat(read(journalOfFiveRecords(), "p-1").problem())
-                .contains("is that of placer p-0, not of p-1");
+                .contains("belongs to placer p-0, not to p-1");
         assertThat(read("no journal at all".getBytes(StandardCharsets.UTF_8), "p-0").problem())
-                .isEqualTo("is no journal");
+                .isEqualTo("is not a journal file");
         Files.write(
                 Files.createDirectories(folder).resolve("journal-7.tfj"), journalOfFiveRecords());
         try (JournalFile file = JournalFile.open(folder, "p-1", Durability.DISK)) {
             assertThat(file.records()).isEmpty();
-            assertThat(file.incompleteBecause()).contains("is that of placer p-0");
+            assertThat(file.incompleteBecause()).contains("belongs to placer p-0");
             file.startIncarnation(List.of());
         }
         try (Stream<Path> remaining = Files.list(folder)) {
@@ -242,10 +247,11 @@
     }
 
     @Test
-    void rejectsSecondOwnerAndRetainsRecordsOfTheFirst() throws Exception {
+    void rejectsSecondUserOfFolderAndRetainsRecordsOfTheFirst() throws Exception {
         CountDownLatch done = new CountDownLatch(20);
         try (JournalFile file = JournalFile.open(folder, "p-0", Durability.DISK)) {
-            assertThat(file.incompleteBecause()).isEqualTo("there was no journal before");
+            assertThat(file.incompleteBecause())
+                    .isEqualTo("there is no journal of an earlier incarnation");
             file.startIncarnation(List.of());
             assertThatThrownBy(() -> JournalFile.open(folder, "p-0", Durability.DISK))
                     .isInstanceOf(JournalFile.JournalInUseException.class)
--- a/state/src/test/java/thornferry/state/StoredJournalTest.java
+++ b/state/src/test/java/thornferry/state/StoredJournalTest.java
@@ -20,17 +20,17 @@
 import thornferry.state.v1.Incarnation;
 
 /**
- * Journals of version 0.2.0 in {@code src/test/resources/journal-v1}, written by that version's
- * {@link JournalFile}: every later version reads the same records from them and writes the same
- * bytes.
+ * Guards the compatibility of the journal format. The fixtures in {@code
+ * src/test/resources/journal-v1} were written by the {@link JournalFile} of version 0.2.0. Every
+ * later version must read the same records from them and encode these records to the same bytes.
  */
 class StoredJournalTest {
     private static final Path FIXTURES = Path.of("src/test/resources/journal-v1");
 
-    /** Rewritten by a second incarnation, then appended to. */
-    private static final Path REWRITTEN = FIXTURES.resolve("placer-0/journal-2.tfj");
+    /** The journal that a second incarnation compacted at its start and then appended to. */
+    private static final Path COMPACTED = FIXTURES.resolve("placer-0/journal-2.tfj");
 
-    /** Its last entry was cut in the middle. */
+    /** A journal whose last entry is truncated. */
     private static final Path TORN = FIXTURES.resolve("placer-1/journal-1.tfj");
 
     private static final TaskSpec NON_IDEMPOTENT_TASK =
@@ -43,10 +43,10 @@
             new TaskSpec("zähler-1", "levy-run", "zähler", "", 3, 6, null, 0);
 
     /**
-     * What the first incarnation wrote, except for the attempt that never ran, which the rewritten
-     * file leaves out.
+     * The records of the first incarnation, without the attempt that never ran, which compaction
+     * dropped.
      */
-    private static final List<JournalRecord> CARRIED_OVER =
+    private static final List<JournalRecord> RETAINED =
             List.of(
                     new JournalRecord.Completed(
                             1_700_000_000_000_200L,
@@ -77,8 +77,8 @@
                             "an earlier attempt may have run"));
 
     /**
-     * What the second incarnation appended: one record of every kind, and each way in which a task
-     * ends.
+     * The records that the second incarnation appended; together they have every type of record and
+     * every termination cause.
      */
     private static final List<JournalRecord> APPENDED =
             List.of(
@@ -132,7 +132,7 @@
 
     private static byte[] encoded(
             String placer,
-            List<JournalRecord> carriedOver,
+            List<JournalRecord> retained,
             Incarnation incarnation,
             List<JournalRecord> appended)
             throws IOException {
@@ -144,7 +144,7 @@
                                 .setVersion(FrameFormat.VERSION)
                                 .setPlacer(placer)
                                 .build()));
-        for (JournalRecord journalRecord : carriedOver) {
+        for (JournalRecord journalRecord : retained) {
             bytes.write(RecordCodec.frame(journalRecord));
         }
         bytes.write(FrameFormat.frame(Entry.newBuilder().setIncarnation(incarnation).build()));
@@ -155,22 +155,22 @@
     }
 
     @Test
-    void readsEveryRecordKindOfRewrittenFile() throws IOException {
-        JournalContents contents = JournalContents.of(REWRITTEN, "placer-0");
+    void readsEveryRecordTypeOfCompactedFile() throws IOException {
+        JournalContents contents = JournalContents.of(COMPACTED, "placer-0");
         assertThat(contents.problem()).isEmpty();
         assertThat(contents.complete()).isTrue();
         assertThat(contents.foreign()).isFalse();
         assertThat(contents.placer()).isEqualTo("placer-0");
         assertThat(contents.lastIncarnation().getDurability()).isEqualTo("OS");
-        assertThat(contents.records().subList(0, 3)).isEqualTo(CARRIED_OVER);
+        assertThat(contents.records().subList(0, 3)).isEqualTo(RETAINED);
         assertThat(contents.records().subList(3, contents.records().size())).isEqualTo(APPENDED);
     }
 
     @Test
     void encodesTheSameRecordsToTheSameBytes() throws IOException {
-        Incarnation incarnation = JournalContents.of(REWRITTEN, "placer-0").lastIncarnation();
-        assertThat(encoded("placer-0", CARRIED_OVER, incarnation, APPENDED))
-                .isEqualTo(Files.readAllBytes(REWRITTEN));
+        Incarnation incarnation = JournalContents.of(COMPACTED, "placer-0").lastIncarnation();
+        assertThat(encoded("placer-0", RETAINED, incarnation, APPENDED))
+                .isEqualTo(Files.readAllBytes(COMPACTED));
     }
 
     @Test
@@ -186,15 +186,16 @@
     }
 
     @Test
-    void takesOverStoredJournalAtNextStart() throws IOException {
-        Path copy = Files.createDirectories(folder.resolve("placer-0"));
-        Files.copy(REWRITTEN, copy.resolve("journal-2.tfj"));
-        try (JournalFile journal = JournalFile.open(copy, "placer-0", Durability.DISK)) {
+    void recoversStoredJournalAtNextStart() throws IOException {
+        Path copiedFolder = Files.createDirectories(folder.resolve("placer-0"));
+        Files.copy(COMPACTED, copiedFolder.resolve("journal-2.tfj"));
+        try (JournalFile journal = JournalFile.open(copiedFolder, "placer-0", Durability.DISK)) {
             assertThat(journal.records()).hasSize(12);
             journal.startIncarnation(journal.records());
         }
-        JournalContents rewritten = JournalContents.of(copy.resolve("journal-3.tfj"), "placer-0");
-        assertThat(rewritten.records().subList(3, 12)).isEqualTo(APPENDED);
-        assertThat(rewritten.lastIncarnation().getDurability()).isEqualTo("DISK");
+        JournalContents compacted =
+                JournalContents.of(copiedFolder.resolve("journal-3.tfj"), "placer-0");
+        assertThat(compacted.records().subList(3, 12)).isEqualTo(APPENDED);
+        assertThat(compacted.lastIncarnation().getDurability()).isEqualTo("DISK");
     }
 }
