--- a/security/src/main/java/thornferry/security/CertificateRequest.java
+++ b/security/src/main/java/thornferry/security/CertificateRequest.java
@@ -6,13 +6,14 @@
 import java.util.regex.Pattern;
 
 /**
- * A request for a certificate that the authority signs.
+ * The contents of a certificate that the authority is to sign.
  *
  * @param name common name of the certificate and stem of its file names
- * @param use what the certificate is for
- * @param hosts DNS names and IP addresses of a server; unused for the other uses
- * @param notBefore when the certificate becomes valid
- * @param validFor how long it is valid, counted from the end of the allowed clock skew
+ * @param use the purpose of the certificate
+ * @param hosts DNS names and IP addresses of a server; ignored for other uses
+ * @param notBefore the time from which the certificate is valid
+ * @param validFor the period of validity, which begins {@link CertificateSigner#MAX_CLOCK_SKEW}
+ *     after {@code notBefore}
  */
 public record CertificateRequest(
         String name, Keys.Use use, List<String> hosts, Instant notBefore, Duration validFor) {
@@ -22,7 +23,10 @@
         hosts = List.copyOf(hosts);
     }
 
-    /** A request for a certificate that is valid from now on, also on machines whose clock lags. */
+    /**
+     * Returns a request for a certificate that is valid from now on. Its start is set back by the
+     * maximum clock skew, so that machines whose clock lags accept it too.
+     */
     public static CertificateRequest validNow(
             String name, Keys.Use use, List<String> hosts, Duration validFor) {
         return new CertificateRequest(
--- a/security/src/main/java/thornferry/security/CertificateSigner.java
+++ b/security/src/main/java/thornferry/security/CertificateSigner.java
@@ -36,16 +36,16 @@
 import org.bouncycastle.operator.OperatorCreationException;
 import org.bouncycastle.operator.jcajce.JcaContentSignerBuilder;
 
-/** Generates key pairs, and builds and signs X.509 certificates in the name of one authority. */
+/** Builds X.509 certificates and signs them with the key of one authority. */
 final class CertificateSigner {
-    /** Clocks of a site's machines may differ by this much. */
+    /** The maximum difference allowed between the clocks of a site's machines. */
     static final Duration MAX_CLOCK_SKEW = Duration.ofMinutes(5);
 
     private static final String KEY_ALGORITHM = "EC";
     private static final String CURVE = "secp256r1";
     private static final String SIGNATURE_ALGORITHM = "SHA256withECDSA";
     private static final int SERIAL_NUMBER_BITS = 159;
-    private static final Pattern LIKE_IP_ADDRESS = Pattern.compile("[0-9.]+|.*:.*");
+    private static final Pattern IP_ADDRESS_LIKE = Pattern.compile("[0-9.]+|.*:.*");
 
     private final X500Name issuer;
     private final PrivateKey issuerKey;
@@ -55,7 +55,7 @@
         this.issuerKey = issuerKey;
     }
 
-    /** A signer in the name of an authority. */
+    /** Returns a signer that issues certificates of an authority. */
     static CertificateSigner of(X509Certificate authority, PrivateKey authorityKey)
             throws IOException {
         try {
@@ -66,11 +66,11 @@
         }
     }
 
-    /** Builds the certificate of a new authority, signed by its own key. */
+    /** Builds the certificate of a new authority, signed with its own key. */
     static X509Certificate selfSign(CertificateRequest request, KeyPair keyPair)
             throws IOException {
-        CertificateSigner self = new CertificateSigner(subject(request), keyPair.getPrivate());
-        return self.sign(request, keyPair.getPublic());
+        CertificateSigner signer = new CertificateSigner(subject(request), keyPair.getPrivate());
+        return signer.sign(request, keyPair.getPublic());
     }
 
     static KeyPair generateKeyPair() throws IOException {
@@ -85,7 +85,7 @@
 
     X509Certificate sign(CertificateRequest request, PublicKey publicKey) throws IOException {
         try {
-            X509v3CertificateBuilder builder = builder(request, publicKey);
+            X509v3CertificateBuilder builder = createBuilder(request, publicKey);
             addExtensions(builder, request, publicKey);
             return new JcaX509CertificateConverter()
                     .getCertificate(
@@ -97,7 +97,8 @@
         }
     }
 
-    private X509v3CertificateBuilder builder(CertificateRequest request, PublicKey publicKey) {
+    private X509v3CertificateBuilder createBuilder(
+            CertificateRequest request, PublicKey publicKey) {
         Instant notAfter = request.notBefore().plus(MAX_CLOCK_SKEW).plus(request.validFor());
         return new JcaX509v3CertificateBuilder(
                 issuer,
@@ -159,7 +160,7 @@
 
     private static boolean isIpAddress(String host) {
         try {
-            return LIKE_IP_ADDRESS.matcher(host).matches() && InetAddress.getByName(host) != null;
+            return IP_ADDRESS_LIKE.matcher(host).matches() && InetAddress.getByName(host) != null;
         } catch (UnknownHostException e) {
             return false;
         }
--- a/security/src/main/java/thornferry/security/CertificateStatus.java
+++ b/security/src/main/java/thornferry/security/CertificateStatus.java
@@ -4,14 +4,14 @@
 import java.time.Instant;
 
 /**
- * The present state of one certificate.
+ * The current state of one certificate.
  *
- * @param name stem of its file names
- * @param use what it is for, or {@code unknown} if it does not say so
- * @param notBefore when it becomes valid
- * @param notAfter when it expires
- * @param left time until it expires; negative if it has expired
- * @param signedByAuthority whether the present authority has signed it
+ * @param name the stem of the certificate's file names
+ * @param use the purpose of the certificate; {@code unknown} if the certificate does not state one
+ * @param notBefore the time from which the certificate is valid
+ * @param notAfter the time at which the certificate expires
+ * @param left the time until the certificate expires; negative if it has expired
+ * @param signedByAuthority whether the current authority signed the certificate
  */
 public record CertificateStatus(
         String name,
@@ -20,12 +20,12 @@
         Instant notAfter,
         Duration left,
         boolean signedByAuthority) {
-    /** Whether the certificate has expired. */
+    /** Returns whether the certificate has expired. */
     public boolean isExpired() {
         return left.isNegative();
     }
 
-    /** Whether the certificate has expired, or does so within the given time. */
+    /** Returns whether the certificate has expired or will expire within a given time. */
     public boolean expiresWithin(Duration time) {
         return left.compareTo(time) < 0;
     }
--- a/security/src/main/java/thornferry/security/KeyFileException.java
+++ b/security/src/main/java/thornferry/security/KeyFileException.java
@@ -3,7 +3,10 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** A certificate or key cannot be read, created or used; the message names the file or name. */
+/**
+ * Thrown if a certificate or key cannot be read, created or used. The message contains the name or
+ * the file of the certificate or key.
+ */
 public abstract sealed class KeyFileException extends IOException {
     private static final long serialVersionUID = 1;
 
@@ -15,38 +18,44 @@
         super(message, cause);
     }
 
-    /** The directory has an authority already; a new one would void its certificates. */
+    /**
+     * Thrown if the directory already has an authority, whose certificates a new one would
+     * invalidate.
+     */
     public static final class AuthorityExists extends KeyFileException {
         private static final long serialVersionUID = 1;
 
         AuthorityExists(Path authority) {
-            super(authority + ": there is an authority already; its certificates would be void");
+            super(
+                    authority
+                            + ": the authority already exists; a new one would invalidate its"
+                            + " certificates");
         }
     }
 
-    /** The name cannot be used for a certificate. */
+    /** Thrown if a name is not allowed for a certificate. */
     public static final class InvalidName extends KeyFileException {
         private static final long serialVersionUID = 1;
 
         InvalidName(String name) {
             super(
                     name
-                            + ": a name has 1 to 64 letters, digits, dots, hyphens or underscores,"
-                            + " and is not "
+                            + ": the name of a certificate must have 1 to 64 letters, digits, dots,"
+                            + " hyphens or underscores, and must not be "
                             + KeyFiles.AUTHORITY);
         }
     }
 
-    /** A file is missing or may not be read. */
+    /** Thrown if a file does not exist or cannot be read. */
     public static final class Unreadable extends KeyFileException {
         private static final long serialVersionUID = 1;
 
-        Unreadable(Path file, String advice) {
-            super(file + ": no such file, or it cannot be read" + advice);
+        Unreadable(Path file, String hint) {
+            super(file + ": the file does not exist or cannot be read" + hint);
         }
     }
 
-    /** A file does not contain what its name promises. */
+    /** Thrown if a file does not contain the expected certificate or private key. */
     public static final class InvalidContent extends KeyFileException {
         private static final long serialVersionUID = 1;
 
@@ -59,12 +68,12 @@
         }
     }
 
-    /** A key pair or certificate cannot be generated. */
+    /** Thrown if a key pair or certificate cannot be generated. */
     public static final class GenerationFailed extends KeyFileException {
         private static final long serialVersionUID = 1;
 
         GenerationFailed(String subject, Exception cause) {
-            super("no " + subject + " could be made: " + cause.getMessage(), cause);
+            super("the " + subject + " could not be generated: " + cause.getMessage(), cause);
         }
     }
 }
--- a/security/src/main/java/thornferry/security/Keys.java
+++ b/security/src/main/java/thornferry/security/Keys.java
@@ -14,12 +14,15 @@
 import java.util.Locale;
 
 /**
- * The certificate authority of a site and the certificates that it has signed, in one directory:
- * {@code ca.pem} and {@code ca.key} of the authority, and {@code NAME.pem} and {@code NAME.key} for
- * each server, agent, owner and operator. Keys are P-256 and readable by their user alone.
+ * The certificate authority of a site and the certificates that it has signed, in one directory.
+ * The directory contains {@code ca.pem} and {@code ca.key} of the authority, and {@code NAME.pem}
+ * and {@code NAME.key} of each server, agent, owner and operator. Keys use the curve P-256, and
+ * only the owner of a key file may read it.
  */
 public final class Keys {
-    /** What a certificate is for; peers are identified by the common name, which is their login. */
+    /**
+     * The purpose of a certificate. The common name of a peer's certificate is the peer's login.
+     */
     public enum Use {
         AUTHORITY,
         SERVER,
@@ -31,7 +34,7 @@
     private static final String UNKNOWN_USE = "unknown";
     private static final String ORGANIZATIONAL_UNIT = "OU=";
 
-    /** Index of the value in an entry of {@link X509Certificate#getSubjectAlternativeNames}. */
+    /** The index of the value in an entry of {@link X509Certificate#getSubjectAlternativeNames}. */
     private static final int ALTERNATIVE_NAME_VALUE = 1;
 
     private final KeyFiles files;
@@ -40,25 +43,26 @@
         files = new KeyFiles(directory);
     }
 
-    /** The file of a certificate. */
+    /** Returns the path of a certificate. */
     public Path certificate(String name) {
-        return files.certificate(name);
+        return files.certificateFile(name);
     }
 
-    /** The file of a private key. */
+    /** Returns the path of a private key. */
     public Path key(String name) {
-        return files.key(name);
+        return files.keyFile(name);
     }
 
-    /** The file of the authority's certificate. */
+    /** Returns the path of the authority's certificate. */
     public Path authority() {
         return certificate(KeyFiles.AUTHORITY);
     }
 
     /**
-     * Creates the site's authority.
+     * Creates the authority of a site.
      *
-     * @throws IOException if there is one already, or its files cannot be written
+     * @param site the name of the site, which becomes part of the authority's common name
+     * @throws IOException if the authority already exists, or its files cannot be written
      */
     public void init(String site, Duration validFor) throws IOException {
         if (files.hasAuthority()) {
@@ -78,7 +82,7 @@
     /**
      * Issues a certificate that is valid from now on.
      *
-     * @param hosts names and addresses of a server; unused for other uses
+     * @param hosts DNS names and IP addresses of a server; ignored for other uses
      * @throws IOException as {@link #issue(CertificateRequest)}
      */
     public void issue(String name, Use use, List<String> hosts, Duration validFor)
@@ -98,11 +102,11 @@
     }
 
     /**
-     * Issues a certificate signed by the site's authority, and replaces one of the same name, whose
-     * key is kept.
+     * Issues a certificate signed by the site's authority. An existing certificate of the same name
+     * is replaced, and its key is retained.
      *
-     * @throws IOException if the name is invalid, there is no authority, or a file cannot be read
-     *     or written
+     * @throws IOException if the name is invalid, the authority does not exist, or a file cannot be
+     *     read or written
      */
     public void issue(CertificateRequest request) throws IOException {
         request.checkName();
@@ -118,16 +122,18 @@
     }
 
     /**
-     * Issues a certificate again, with the same key, use, hosts and period of validity.
+     * Issues a certificate again, from now on, with the same key, use, hosts and period of
+     * validity.
      *
      * @throws IOException as {@link #issue(CertificateRequest)}
      */
     public void renew(String name) throws IOException {
-        X509Certificate old = files.readCertificate(name);
-        Instant validFrom = old.getNotBefore().toInstant().plus(CertificateSigner.MAX_CLOCK_SKEW);
-        Duration validFor = Duration.between(validFrom, old.getNotAfter().toInstant());
-        List<String> hosts = hosts(name, old);
-        Use use = Use.valueOf(use(old).toUpperCase(Locale.ROOT));
+        X509Certificate current = files.readCertificate(name);
+        Instant validFrom =
+                current.getNotBefore().toInstant().plus(CertificateSigner.MAX_CLOCK_SKEW);
+        Duration validFor = Duration.between(validFrom, current.getNotAfter().toInstant());
+        List<String> hosts = hosts(name, current);
+        Use use = Use.valueOf(use(current).toUpperCase(Locale.ROOT));
         issue(CertificateRequest.validNow(name, use, hosts, validFor));
     }
 
@@ -146,9 +152,9 @@
     }
 
     /**
-     * The state of all certificates of the directory, that of the authority first.
+     * Returns the states of all certificates in the directory, the authority's first.
      *
-     * @throws IOException if one of them cannot be read
+     * @throws IOException if a certificate cannot be read
      */
     public List<CertificateStatus> list() throws IOException {
         X509Certificate authority = files.readCertificate(KeyFiles.AUTHORITY);
--- a/security/src/main/java/thornferry/security/Passcodes.java
+++ b/security/src/main/java/thornferry/security/Passcodes.java
@@ -8,12 +8,17 @@
 import org.springframework.security.crypto.password.PasswordEncoder;
 
 /**
- * Salted hashes of passcodes: Argon2id (RFC 9106) in its usual text form, {@code $argon2id$...};
- * bcrypt ({@code $2...}) is supported too. Checking a passcode takes tens of milliseconds and 16
- * MiB by design, so it must never run on an event loop.
+ * Creates and checks salted hashes of passcodes. Hashes are created with Argon2id (RFC 9106) in its
+ * usual text form, {@code $argon2id$...}; bcrypt hashes ({@code $2...}) can be checked too.
+ *
+ * <p>Checking a passcode takes tens of milliseconds and 16 MiB by design, so it must never run on
+ * an event loop.
  */
 public final class Passcodes {
-    /** Longer passcodes match nothing: a stranger must not choose how much there is to hash. */
+    /**
+     * The maximum length of a passcode. A longer one never matches, so that unauthenticated peers
+     * cannot make this process hash large inputs.
+     */
     public static final int MOST_LENGTH = 256;
 
     private static final int SALT_BYTES = 16;
@@ -30,26 +35,29 @@
     private static final Pattern ARGON2_HASH = Pattern.compile("\\$argon2(id|i|d)\\$.+\\$.+\\$.+");
     private static final Pattern BCRYPT_HASH = Pattern.compile("\\$2[aby]\\$\\d\\d\\$.{53}");
 
-    /** Checked if there is no hash, so that the answer takes as long as if there were one. */
+    /**
+     * The hash that is checked if none is stored, so that the time of a check does not reveal
+     * whether one is.
+     */
     private static final String PLACEHOLDER_HASH = ARGON2.encode("nobody's");
 
     private Passcodes() {}
 
-    /** A new hash, with a random salt. */
+    /** Returns a new hash of a passcode, with a random salt. */
     public static String hash(String passcode) {
         return ARGON2.encode(passcode);
     }
 
-    /** Whether the text is a hash that {@link #matches} supports. */
+    /** Returns whether a text is a hash that {@link #matches} supports. */
     public static boolean isHash(String text) {
         return ARGON2_HASH.matcher(text).matches() || BCRYPT_HASH.matcher(text).matches();
     }
 
     /**
-     * Whether the passcode is that of the stored hash, or equal to a stored plain passcode.
+     * Returns whether a passcode matches a stored hash or equals a stored plain passcode.
      *
-     * @param passcode as presented; null matches nothing
-     * @param stored a hash or a plain passcode; null is matched by nothing
+     * @param passcode the passcode that a peer presented; null never matches
+     * @param stored a hash or a plain passcode; null if none is stored, which nothing matches
      */
     public static boolean matches(String passcode, String stored) {
         String candidate = passcode == null || passcode.length() > MOST_LENGTH ? "" : passcode;
@@ -60,7 +68,7 @@
         boolean matchesPlain =
                 stored != null && passcode != null && equalInConstantTime(candidate, stored);
         if (!matchesPlain) {
-            spendTimeOfOneCheck(candidate);
+            checkPlaceholder(candidate);
         }
         return matchesPlain;
     }
@@ -75,7 +83,8 @@
                 stored.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static void spendTimeOfOneCheck(String candidate) {
+    /** Takes as long as checking a hash; the result is not used. */
+    private static void checkPlaceholder(String candidate) {
         ARGON2.matches(candidate, PLACEHOLDER_HASH);
     }
 }
--- a/security/src/main/java/thornferry/security/PemCodec.java
+++ b/security/src/main/java/thornferry/security/PemCodec.java
@@ -16,7 +16,10 @@
 import org.bouncycastle.openssl.jcajce.JcaPEMWriter;
 import org.bouncycastle.openssl.jcajce.JcaPKCS8Generator;
 
-/** Certificates and private keys as PEM. Keys are written as unencrypted PKCS #8. */
+/**
+ * Encodes certificates and private keys as PEM, and reads PEM files. Keys are written as
+ * unencrypted PKCS #8.
+ */
 final class PemCodec {
     private PemCodec() {}
 
@@ -38,7 +41,8 @@
 
     static X509Certificate readCertificate(Path file) throws IOException {
         if (!(readObject(file) instanceof X509CertificateHolder holder)) {
-            throw new KeyFileException.InvalidContent(file, "not a certificate");
+            throw new KeyFileException.InvalidContent(
+                    file, "the file does not contain a certificate");
         }
         try {
             return new JcaX509CertificateConverter().getCertificate(holder);
@@ -47,7 +51,7 @@
         }
     }
 
-    /** Reads a private key in the form of PKCS #8 or of OpenSSL. */
+    /** Reads a private key in the format of PKCS #8 or the traditional format of OpenSSL. */
     static PrivateKey readPrivateKey(Path file) throws IOException {
         Object object = readObject(file);
         JcaPEMKeyConverter converter = new JcaPEMKeyConverter();
@@ -57,14 +61,14 @@
         if (object instanceof PrivateKeyInfo key) {
             return converter.getPrivateKey(key);
         }
-        throw new KeyFileException.InvalidContent(file, "not a private key");
+        throw new KeyFileException.InvalidContent(file, "the file does not contain a private key");
     }
 
     private static Object readObject(Path file) throws IOException {
         try (PEMParser parser = new PEMParser(Files.newBufferedReader(file))) {
             Object object = parser.readObject();
             if (object == null) {
-                throw new KeyFileException.InvalidContent(file, "not PEM");
+                throw new KeyFileException.InvalidContent(file, "the file is not in PEM format");
             }
             return object;
         }
--- a/security/src/main/java/thornferry/security/Tls.java
+++ b/security/src/main/java/thornferry/security/Tls.java
@@ -17,40 +17,48 @@
 import javax.net.ssl.SSLPeerUnverifiedException;
 import javax.net.ssl.SSLSession;
 
-/** TLS 1.3 contexts from PEM files, by the JDK's provider, and the identity of a peer. */
+/**
+ * Creates TLS 1.3 contexts of the JDK's provider from PEM files, and reads the identity of a peer
+ * from its certificate.
+ */
 public final class Tls {
     private static final String PROTOCOL = "TLSv1.3";
     private static final String COMMON_NAME = "CN";
 
-    /** Whether a server requests certificates from its clients. */
+    /** The ways in which a server authenticates its clients by certificate. */
     public enum Clients {
+        /** The server requests no certificate. */
         NONE,
+        /** The server requests a certificate, but accepts clients without one. */
         WANTED,
+        /** The server accepts only clients with a certificate. */
         NEEDED
     }
 
     /**
-     * The files of one side of a connection.
+     * The PEM files that one side of a connection uses.
      *
-     * @param certificate of this side; null for a client without one
-     * @param key of the certificate; null if that is
-     * @param authorities that sign the certificates of peers; null if peers need none, or if the
-     *     authorities of the system are meant
+     * @param certificate the certificate of this side; null for a client without one
+     * @param key the private key of the certificate; null without a certificate
+     * @param authorities the certificates of the authorities that are trusted to sign the
+     *     certificates of peers; null for the default authorities of the system, or if peers need
+     *     no certificate
      */
     public record Pem(Path certificate, Path key, Path authorities) {}
 
     private Tls() {}
 
     /**
-     * The context of a server.
+     * Returns the context of a server.
      *
-     * @throws IOException with a message that names the file that cannot be used
+     * @throws IOException if a file cannot be used; the message contains its path
      */
     public static SslContext server(Pem files, Clients clients) throws IOException {
         try {
             SslContextBuilder builder =
                     SslContextBuilder.forServer(
-                            readable(files.certificate()).toFile(), readable(files.key()).toFile());
+                            requireReadable(files.certificate()).toFile(),
+                            requireReadable(files.key()).toFile());
             return configure(builder, files).clientAuth(clientAuth(clients)).build();
         } catch (SSLException | IllegalArgumentException e) {
             throw new IOException(
@@ -59,17 +67,19 @@
     }
 
     /**
-     * The context of a client that trusts the authorities, with a certificate of its own if the
-     * files name one.
+     * Returns the context of a client that trusts the authorities, and that presents a certificate
+     * if the files include one.
      *
-     * @throws IOException with a message that names the file that cannot be used
+     * @throws IOException if a file cannot be used; the message contains the path of the file or of
+     *     the authorities
      */
     public static SslContext client(Pem files) throws IOException {
         try {
             SslContextBuilder builder = configure(SslContextBuilder.forClient(), files);
             if (files.certificate() != null) {
                 builder.keyManager(
-                        readable(files.certificate()).toFile(), readable(files.key()).toFile());
+                        requireReadable(files.certificate()).toFile(),
+                        requireReadable(files.key()).toFile());
             }
             return builder.build();
         } catch (SSLException | IllegalArgumentException e) {
@@ -81,7 +91,7 @@
             throws IOException {
         builder.sslProvider(SslProvider.JDK).protocols(PROTOCOL);
         if (files.authorities() != null) {
-            builder.trustManager(readable(files.authorities()).toFile());
+            builder.trustManager(requireReadable(files.authorities()).toFile());
         }
         return builder;
     }
@@ -94,9 +104,9 @@
         };
     }
 
-    private static Path readable(Path file) throws IOException {
+    private static Path requireReadable(Path file) throws IOException {
         if (file == null || !Files.isReadable(file)) {
-            throw new IOException("TLS: " + file + ": no such file, or it cannot be read");
+            throw new IOException("TLS: " + file + ": the file does not exist or cannot be read");
         }
         return file;
     }
@@ -110,8 +120,8 @@
     }
 
     /**
-     * The common name of the peer's certificate, which the handshake has verified against the
-     * authorities.
+     * Returns the common name of the peer's certificate, which the handshake has verified against
+     * the authorities.
      *
      * @return null if the peer has presented no certificate, or one without a common name
      */
--- a/security/src/main/java/thornferry/security/package-info.java
+++ b/security/src/main/java/thornferry/security/package-info.java
@@ -1,9 +1,10 @@
 /**
- * Passcodes, certificates and TLS.
+ * Passcode hashes, certificates and TLS.
  *
  * <p>{@link thornferry.security.Passcodes} hashes and checks passcodes. {@link
  * thornferry.security.Keys} is the certificate authority of a site: {@code CertificateSigner}
- * builds its certificates, {@code KeyFiles} keeps them in a directory, and {@code PemCodec} is
- * their format. {@link thornferry.security.Tls} makes the contexts of connections from such files.
+ * builds and signs its certificates, {@code KeyFiles} stores them in a directory, and {@code
+ * PemCodec} encodes and decodes the files. {@link thornferry.security.Tls} creates the TLS contexts
+ * of connections from such files.
  */
 package thornferry.security;
--- a/security/src/test/java/thornferry/security/KeysTest.java
+++ b/security/src/test/java/thornferry/security/KeysTest.java
@@ -33,11 +33,11 @@
     void createsAuthorityAndIssuesCertificates() throws IOException {
         assertThatThrownBy(() -> issueServer("placer", List.of("localhost"), Duration.ofDays(1)))
                 .isInstanceOf(KeyFileException.Unreadable.class)
-                .hasMessageContaining("make an authority first");
+                .hasMessageContaining("create an authority first");
         keys.init("site", AUTHORITY_VALIDITY);
         assertThatThrownBy(() -> keys.init("site", Duration.ofDays(1)))
                 .isInstanceOf(KeyFileException.AuthorityExists.class)
-                .hasMessageContaining("there is an authority");
+                .hasMessageContaining("the authority already exists");
         issueServer("placer", List.of("localhost", "127.0.0.1"), Duration.ofDays(90));
         keys.issue("depot1", Keys.Use.OWNER, List.of(), Duration.ofDays(30));
         assertThat(keys.list())
@@ -59,7 +59,7 @@
                 .isNotNull();
         assertThatThrownBy(() -> keys.issue("../x", Keys.Use.OWNER, List.of(), Duration.ofDays(1)))
                 .isInstanceOf(KeyFileException.InvalidName.class)
-                .hasMessageContaining("a name has");
+                .hasMessageContaining("the name of a certificate must have");
     }
 
     @Test
@@ -80,9 +80,9 @@
     }
 
     @Test
-    void namesInvalidFile() throws IOException {
+    void errorsNameInvalidFile() throws IOException {
         keys.init("site", Duration.ofDays(1));
-        Files.writeString(keys.certificate("odd"), "this is no certificate");
+        Files.writeString(keys.certificate("odd"), "this is not a certificate");
         assertThatThrownBy(keys::list)
                 .isInstanceOf(KeyFileException.InvalidContent.class)
                 .hasMessageContaining("odd.pem");
--- a/security/src/test/java/thornferry/security/PasscodesTest.java
+++ b/security/src/test/java/thornferry/security/PasscodesTest.java
@@ -22,7 +22,8 @@
     }
 
     @Test
-    void comparesPlainPasscodesAndMatchesNothingWithoutOne() {
+    void matchesPlainPasscodeAndNothingIfNoneIsStored() {
+        // the passcode of the placeholder hash, which is checked if none is stored
         assertThat(Passcodes.matches("nobody's", null)).isFalse();
         assertThat(Passcodes.matches(null, null)).isFalse();
         assertThat(Passcodes.matches("plain", "plain")).isTrue();
