--- a/bench-adapter/src/main/java/thornferry/bench/ActionEncoder.java
+++ b/bench-adapter/src/main/java/thornferry/bench/ActionEncoder.java
@@ -15,7 +15,7 @@
 import thornferry.decisions.placement.Placement.SetTimer;
 import thornferry.decisions.placement.Placement.Subscribe;
 
-/** Encodes the actions of placement modules to the simulator's messages, one JSON array a line. */
+/** Encodes actions of placement modules as the simulator's messages, one JSON array per line. */
 final class ActionEncoder {
     private static final String OFFER = "propose";
     private static final String SET_TIMER = "setTimer";
@@ -36,39 +36,45 @@
 
     static void writeAction(StringBuilder out, String instance, Action action) {
         if (action instanceof Offer offer) {
-            write(out, OFFER, instance, offer.requestId(), offer.machine(), offer.timeoutMicros());
+            writeMessage(
+                    out,
+                    OFFER,
+                    instance,
+                    offer.requestId(),
+                    offer.machine(),
+                    offer.timeoutMicros());
         } else if (action instanceof SetTimer timer) {
-            write(out, SET_TIMER, instance, timer.atMicros(), timer.ref());
+            writeMessage(out, SET_TIMER, instance, timer.atMicros(), timer.ref());
         } else if (action instanceof CheckHealth check) {
-            write(out, CHECK_HEALTH, instance, check.machine());
+            writeMessage(out, CHECK_HEALTH, instance, check.machine());
         } else if (action instanceof Reject reject) {
-            write(out, REJECT, instance, reject.requestId(), reject.retryAfterMicros());
+            writeMessage(out, REJECT, instance, reject.requestId(), reject.retryAfterMicros());
         } else if (action instanceof Fail fail) {
-            write(out, FAIL, instance, fail.requestId());
+            writeMessage(out, FAIL, instance, fail.requestId());
         } else if (action instanceof Cancel cancel) {
-            write(out, CANCEL, instance, cancel.requestId(), cancel.attempt());
+            writeMessage(out, CANCEL, instance, cancel.requestId(), cancel.attempt());
         } else if (action instanceof Migrate migrate) {
-            write(out, MIGRATE, instance, migrate.requestId());
+            writeMessage(out, MIGRATE, instance, migrate.requestId());
         } else if (action instanceof Subscribe subscribe) {
-            write(out, SUBSCRIBE, instance, subscribe.enabled());
+            writeMessage(out, SUBSCRIBE, instance, subscribe.enabled());
         } else if (action instanceof FetchList) {
-            write(out, FETCH_LIST, instance);
+            writeMessage(out, FETCH_LIST, instance);
         } else if (action instanceof Log log) {
-            write(out, LOG, instance, log.message());
-        } // Pending requires nothing of the simulator, and has no message
+            writeMessage(out, LOG, instance, log.message());
+        } // the simulator's protocol has no message for Pending
     }
 
-    /** A module has thrown an exception. */
+    /** Writes the message that a module has thrown an exception. */
     static void writeFailure(StringBuilder out, String instance, RuntimeException failure) {
-        write(out, MODULE_FAILED, instance, failure.toString());
+        writeMessage(out, MODULE_FAILED, instance, failure.toString());
     }
 
-    /** The end of the reply to a batch. */
+    /** Writes the message that ends the reply to a batch. */
     static void writeBatchDone(StringBuilder out, JsonNode batchNumber) {
-        write(out, BATCH_DONE, batchNumber);
+        writeMessage(out, BATCH_DONE, batchNumber);
     }
 
-    private static void write(StringBuilder out, Object... values) {
+    private static void writeMessage(StringBuilder out, Object... values) {
         String separator = "[";
         for (Object value : values) {
             out.append(separator);
--- a/bench-adapter/src/main/java/thornferry/bench/EventDecoder.java
+++ b/bench-adapter/src/main/java/thornferry/bench/EventDecoder.java
@@ -29,7 +29,7 @@
 import thornferry.decisions.placement.Placement.TimerFired;
 import thornferry.settings.LoadReportFields;
 
-/** Decodes the simulator's messages to events of the placement module. */
+/** Decodes the simulator's messages into events of placement modules. */
 final class EventDecoder {
     private static final String OK = "OK";
 
@@ -52,7 +52,7 @@
                     "TOO_LATE",
                     AttemptOutcome.NOT_SENT);
 
-    /** At the index of its code on the wire. */
+    /** The reasons, each at the index that is its code in the simulator's protocol. */
     private static final List<OutcomeReason> REASONS =
             List.of(
                     OutcomeReason.NONE,
@@ -64,7 +64,10 @@
                     OutcomeReason.PREEMPTED,
                     OutcomeReason.EVACUATED);
 
-    /** At the index of its code on the wire, less {@link #FIRST_OBSERVATION_CODE}. */
+    /**
+     * The kinds of observations, each at the index that is its code in the simulator's protocol
+     * minus {@link #FIRST_OBSERVATION_CODE}.
+     */
     private static final List<ObservationKind> OBSERVATION_KINDS =
             List.of(
                     ObservationKind.RUNNING,
@@ -75,23 +78,23 @@
 
     private static final int FIRST_OBSERVATION_CODE = 1;
 
-    /** Set in a request's options if its task was requested before. */
+    /** The bit of a request's options that is set if the task was requested before. */
     private static final long RETRY_OPTION = 16;
 
     private final MachineListDecoder machineLists;
 
     /**
-     * @param machineLists has the lists that updates refer to
+     * @param machineLists stores the lists that list updates refer to
      */
     EventDecoder(MachineListDecoder machineLists) {
         this.machineLists = machineLists;
     }
 
     /**
-     * Decodes a message to an instance.
+     * Decodes a message that the simulator sent to an instance.
      *
-     * @param reportFields of the instance's load reports
-     * @return empty for a message that the module has no use for
+     * @param reportFields the fields of the instance's load reports
+     * @return the event; empty if the message has no meaning for the module
      */
     Optional<Event> decode(MessageType type, WireRow row, LoadReportFields reportFields)
             throws WireException {
@@ -151,11 +154,11 @@
     }
 
     private static OutcomeReason reason(long code) {
-        boolean known = code >= 0 && code < REASONS.size();
-        return known ? REASONS.get((int) code) : OutcomeReason.NONE;
+        boolean isKnown = code >= 0 && code < REASONS.size();
+        return isKnown ? REASONS.get((int) code) : OutcomeReason.NONE;
     }
 
-    /** Empty for a kind of observation that came after this version. */
+    /** Returns the observation; empty if this version does not know its kind. */
     private static Optional<Event> observation(WireRow row) throws WireException {
         long index = row.integer(Observation.KIND) - FIRST_OBSERVATION_CODE;
         if (index < 0 || index >= OBSERVATION_KINDS.size()) {
@@ -179,7 +182,7 @@
                 loadReport(row, HealthCheck.LOAD_REPORT, reportFields));
     }
 
-    /** Null where the message has no report, as the events have it. */
+    /** Returns the load report, or null, as in the events, if the message has none. */
     private static LoadReport loadReport(WireRow row, Column column, LoadReportFields fields)
             throws WireException {
         JsonNode values = row.value(column);
--- a/bench-adapter/src/main/java/thornferry/bench/MachineListDecoder.java
+++ b/bench-adapter/src/main/java/thornferry/bench/MachineListDecoder.java
@@ -14,8 +14,8 @@
 import thornferry.decisions.placement.Placement.MachineState;
 
 /**
- * Decodes machine lists. The simulator sends the entries of a list once, under a number, and then
- * refers to them by that number in the updates to each instance.
+ * Decodes machine lists. The simulator sends the entries of a list once, together with a number,
+ * and the list updates of all instances refer to the list by that number.
  */
 final class MachineListDecoder {
     private static final Map<Long, ListUpdateKind> UPDATE_KINDS =
@@ -32,12 +32,12 @@
     private static final Map<Long, MachineState> STATES =
             Map.of(0L, MachineState.GONE, 1L, MachineState.READY, 2L, MachineState.DRAINING);
 
-    private final Map<Long, List<MachineEntry>> lists = new HashMap<>();
+    private final Map<Long, List<MachineEntry>> entriesByListNumber = new HashMap<>();
 
-    /** Stores the entries of a list; a number may be used again for another list. */
+    /** Stores the entries of a list, in place of an earlier list with the same number. */
     void store(WireRow row) throws WireException {
         long listNumber = row.integer(MachineList.LIST_NUMBER);
-        lists.put(listNumber, entries(row));
+        entriesByListNumber.put(listNumber, entries(row));
     }
 
     private static List<MachineEntry> entries(WireRow row) throws WireException {
@@ -84,7 +84,7 @@
             return new MachineListUpdated(version, kind, List.of());
         }
         long listNumber = row.integer(ListUpdate.LIST_NUMBER);
-        List<MachineEntry> entries = lists.get(listNumber);
+        List<MachineEntry> entries = entriesByListNumber.get(listNumber);
         if (entries == null) {
             throw row.error("unknown list number " + listNumber);
         }
--- a/bench-adapter/src/main/java/thornferry/bench/MessageType.java
+++ b/bench-adapter/src/main/java/thornferry/bench/MessageType.java
@@ -6,15 +6,15 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** The messages of the simulator, and their names on the wire. */
+/** The types of the simulator's messages, and their names in its protocol. */
 enum MessageType {
     BATCH_START("mark"),
     BATCH_END("eob"),
-    /** An instance starts, with its settings. */
+    /** An instance starts with the given settings. */
     CONFIGURE("configure"),
     /** An instance ends. */
     DESTROY("destroy"),
-    /** The entries of a machine list, to which list updates refer by number. */
+    /** The number and the entries of a machine list; list updates refer to it by the number. */
     MACHINE_LIST("manifest"),
     LIST_UPDATE("registry"),
     PLACEMENT_REQUESTED("pending"),
@@ -25,7 +25,7 @@
     HEALTH_CHECK_COMPLETED("pingResult"),
     CLIENT_DISCONNECTED("clientLeft"),
     TIMER_FIRED("fired"),
-    /** A message of another instance; the instances of this module share nothing. */
+    /** A message from another instance; ignored, because the modules do not exchange messages. */
     GOSSIP("whisper");
 
     private static final Map<String, MessageType> BY_WIRE_NAME =
@@ -42,7 +42,7 @@
         return wireName;
     }
 
-    /** The message of a name; empty for one that came after this version. */
+    /** Returns the type with a name; empty if this version does not know the name. */
     static Optional<MessageType> ofWireName(String name) {
         return Optional.ofNullable(BY_WIRE_NAME.get(name));
     }
--- a/bench-adapter/src/main/java/thornferry/bench/SimHost.java
+++ b/bench-adapter/src/main/java/thornferry/bench/SimHost.java
@@ -27,7 +27,7 @@
 
 /**
  * Hosts placement modules for the simulator: reads batches of messages, passes their events to the
- * modules, and writes the modules' actions as the reply to each batch. Decides nothing.
+ * modules, and writes the modules' actions as the reply to each batch.
  */
 public final class SimHost {
     private static final String COMMAND = "simhost";
@@ -44,7 +44,7 @@
     private final MachineListDecoder machineLists = new MachineListDecoder();
     private final EventDecoder eventDecoder = new EventDecoder(machineLists);
     private long nowMicros;
-    private Optional<JsonNode> openBatch = Optional.empty(); // its number, as it was sent
+    private Optional<JsonNode> openBatchNumber = Optional.empty(); // as it was sent, for the reply
     private StringBuilder reply = new StringBuilder();
 
     /**
@@ -63,12 +63,14 @@
         System.exit(serve(System.in, System.out, System.err));
     }
 
-    /** Serves the project's own module until the input ends; returns the exit code. */
+    /**
+     * Serves the simulator with the project's policy until the input ends; returns the exit code.
+     */
     public static int serve(InputStream in, OutputStream out, PrintStream err) {
         return new SimHost(Policy::new).run(in, out, err);
     }
 
-    /** Serves until the input ends; returns the exit code. */
+    /** Serves the simulator until the input ends; returns the exit code. */
     int run(InputStream in, OutputStream out, PrintStream err) {
         long lineNumber = 0;
         try (BufferedReader reader =
@@ -78,26 +80,27 @@
             for (String line = reader.readLine(); line != null; line = reader.readLine()) {
                 lineNumber++;
                 if (!line.isBlank()) {
-                    handle(line, writer);
+                    handleMessage(line, writer);
                 }
             }
-            if (openBatch.isPresent()) {
-                throw new WireException("the input ended inside batch " + openBatch.get());
+            if (openBatchNumber.isPresent()) {
+                throw new WireException("the input ended inside batch " + openBatchNumber.get());
             }
             return EXIT_OK;
         } catch (WireException e) {
             err.println("thornferry: line " + lineNumber + ": " + e.getMessage());
         } catch (IOException e) {
-            err.println("thornferry: cannot read or write the wire: " + e.getMessage());
+            err.println(
+                    "thornferry: cannot read from or write to the simulator: " + e.getMessage());
         }
         return EXIT_FAILED;
     }
 
-    private void handle(String line, Writer writer) throws WireException, IOException {
+    private void handleMessage(String line, Writer writer) throws WireException, IOException {
         WireRow row = parse(line);
         Optional<MessageType> type = MessageType.ofWireName(row.message());
         if (type.isEmpty()) {
-            return; // a message that came after this version
+            return; // this version does not know the message
         }
         switch (type.get()) {
             case BATCH_START -> startBatch(row);
@@ -114,32 +117,32 @@
             throw new WireException("not JSON: " + e.getOriginalMessage());
         }
         if (!values.isArray() || values.isEmpty() || !values.get(0).isTextual()) {
-            throw new WireException("a message must be an array that begins with its name");
+            throw new WireException("a message must be a JSON array that begins with its name");
         }
         return new WireRow(values.get(0).textValue(), values);
     }
 
     private void startBatch(WireRow row) throws WireException {
-        if (openBatch.isPresent()) {
-            throw row.error("batch " + openBatch.get() + " has not ended");
+        if (openBatchNumber.isPresent()) {
+            throw row.error("batch " + openBatchNumber.get() + " has not ended");
         }
         nowMicros = row.integer(BatchStart.CLOCK_MICROS);
         row.integer(BatchStart.BATCH_NUMBER);
-        openBatch = Optional.of(row.value(BatchStart.BATCH_NUMBER));
+        openBatchNumber = Optional.of(row.value(BatchStart.BATCH_NUMBER));
     }
 
     private void endBatch(WireRow row, Writer writer) throws WireException, IOException {
-        JsonNode batchNumber = openBatch.orElseThrow(() -> row.error("no batch is open"));
+        JsonNode batchNumber = openBatchNumber.orElseThrow(() -> row.error("no batch is open"));
         ActionEncoder.writeBatchDone(reply, batchNumber);
-        openBatch = Optional.empty();
+        openBatchNumber = Optional.empty();
         writer.append(reply);
         writer.flush();
         reply = new StringBuilder();
     }
 
     private void handleInBatch(MessageType type, WireRow row) throws WireException {
-        if (openBatch.isEmpty()) {
-            throw row.error("comes outside a batch");
+        if (openBatchNumber.isEmpty()) {
+            throw row.error("was sent outside a batch");
         }
         if (type == MessageType.MACHINE_LIST) {
             machineLists.store(row);
@@ -161,7 +164,7 @@
     }
 
     private void configure(String instance, WireRow row) throws WireException {
-        Settings settings = settings(row);
+        Settings settings = readSettings(row);
         LoadReportFields reportFields =
                 SettingsReader.loadReportFields(row.value(Configure.SETTINGS));
         Placement module;
@@ -173,7 +176,7 @@
         instances.put(instance, new Instance(module, reportFields));
     }
 
-    private static Settings settings(WireRow row) throws WireException {
+    private static Settings readSettings(WireRow row) throws WireException {
         long seed = row.integer(Configure.SEED);
         JsonNode settings = row.value(Configure.SETTINGS);
         if (!settings.isObject()) {
--- a/bench-adapter/src/main/java/thornferry/bench/WireColumns.java
+++ b/bench-adapter/src/main/java/thornferry/bench/WireColumns.java
@@ -3,8 +3,9 @@
 import thornferry.bench.WireRow.Column;
 
 /**
- * The columns of the simulator's messages. Each constant is named with the term that the code uses;
- * the name in quotes is that of the specification. Column 0 is the name of the message.
+ * The columns of the simulator's messages. The name of each constant is the term that the code
+ * uses; the string is the column's name in the simulator's specification. Column 0 of every message
+ * is the name of the message.
  */
 final class WireColumns {
     private WireColumns() {}
@@ -73,7 +74,7 @@
         static final Column MEMORY = new Column(10, "memory");
         static final Column OPTIONS = new Column(11, "opts");
 
-        /** Only in {@link MessageType#TASK_ADOPTED}. */
+        /** The machine that runs the task; only in {@link MessageType#TASK_ADOPTED}. */
         static final Column MACHINE = new Column(12, "machine");
 
         private Request() {}
--- a/bench-adapter/src/main/java/thornferry/bench/WireException.java
+++ b/bench-adapter/src/main/java/thornferry/bench/WireException.java
@@ -1,6 +1,6 @@
 package thornferry.bench;
 
-/** A message that the specification of the wire does not allow; says what was wrong with it. */
+/** Thrown if the simulator's input violates its protocol; the message says how. */
 final class WireException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/bench-adapter/src/main/java/thornferry/bench/WireRow.java
+++ b/bench-adapter/src/main/java/thornferry/bench/WireRow.java
@@ -7,8 +7,8 @@
 /**
  * A row of values: a message, or an entry of a machine list.
  *
- * @param message the message's name on the wire, for errors
- * @param values a JSON array
+ * @param message the name of the message that contains the row, for errors
+ * @param values the JSON array of the values
  */
 record WireRow(String message, JsonNode values) {
 
@@ -16,11 +16,11 @@
      * A column of a row.
      *
      * @param index from 0
-     * @param wireName the name in the specification, for errors
+     * @param wireName the column's name in the simulator's specification, for errors
      */
     record Column(int index, String wireName) {}
 
-    /** The value of a column; a missing node where the row is shorter. */
+    /** Returns the value of a column; a missing node if the row is too short to have it. */
     JsonNode value(Column column) {
         JsonNode value = values.get(column.index());
         return value == null ? MissingNode.getInstance() : value;
@@ -34,7 +34,7 @@
     long integer(Column column) throws WireException {
         JsonNode value = value(column);
         if (!value.isIntegralNumber()) {
-            throw error(column, "not a whole number");
+            throw error(column, "not an integer");
         }
         return value.longValue();
     }
@@ -57,7 +57,7 @@
     String text(Column column) throws WireException {
         JsonNode value = value(column);
         if (!value.isTextual()) {
-            throw error(column, "not a text");
+            throw error(column, "not a string");
         }
         return value.textValue();
     }
@@ -66,31 +66,35 @@
         return isAbsent(column) ? defaultValue : text(column);
     }
 
-    /** A truth value; false where it is absent. */
+    /** Returns the boolean value of a column; false if it is absent. */
     boolean flag(Column column) throws WireException {
         JsonNode value = value(column);
         if (!isAbsent(column) && !value.isBoolean()) {
-            throw error(column, "not true or false");
+            throw error(column, "not a boolean");
         }
         return value.asBoolean();
     }
 
-    /** One of some words. */
-    <T> T choice(Column column, Map<String, T> words) throws WireException {
-        String word = text(column);
-        T chosen = words.get(word);
-        if (chosen == null) {
-            throw error(column, "unknown word " + word);
+    /**
+     * Returns the constant that the value of a column names.
+     *
+     * @param constantsByName the allowed values of the column, and their constants
+     */
+    <T> T choice(Column column, Map<String, T> constantsByName) throws WireException {
+        String name = text(column);
+        T constant = constantsByName.get(name);
+        if (constant == null) {
+            throw error(column, "unknown value " + name);
         }
-        return chosen;
+        return constant;
     }
 
-    /** An error that names the message and the column. */
+    /** Returns an error that names the message and the column. */
     WireException error(Column column, String problem) {
         return new WireException(message + " " + column.wireName() + ": " + problem);
     }
 
-    /** An error that names the message. */
+    /** Returns an error that names the message. */
     WireException error(String problem) {
         return new WireException(message + ": " + problem);
     }
--- a/bench-adapter/src/main/java/thornferry/bench/package-info.java
+++ b/bench-adapter/src/main/java/thornferry/bench/package-info.java
@@ -1,9 +1,9 @@
 /**
- * Runs placement modules inside the simulator. {@link thornferry.bench.SimHost} reads batches of
- * messages, one JSON array a line, and writes the modules' actions as a reply to each batch.
+ * Runs placement modules for the simulator. {@link thornferry.bench.SimHost} reads batches of
+ * messages, one JSON array per line, and writes the modules' actions as the reply to each batch.
  *
- * <p>The words, columns and codes of the wire are fixed by the simulator's specification. {@code
- * MessageType}, {@code WireColumns}, {@code EventDecoder} and {@code ActionEncoder} translate them
- * to the terms of the code and back; they decide nothing.
+ * <p>The simulator's specification fixes the names, columns and codes of its protocol. {@code
+ * MessageType}, {@code WireColumns}, {@code EventDecoder} and {@code ActionEncoder} only translate
+ * between them and the terms of the code.
  */
 package thornferry.bench;
--- a/bench-adapter/src/test/java/thornferry/bench/SimHostTest.java
+++ b/bench-adapter/src/test/java/thornferry/bench/SimHostTest.java
@@ -16,7 +16,7 @@
 import thornferry.decisions.placement.Placement.Settings;
 import thornferry.decisions.placement.Policy;
 
-@SuppressWarnings("StringConcatToTextBlock") // rows of the protocol, one a line
+@SuppressWarnings("StringConcatToTextBlock") // messages of the protocol, one per line
 class SimHostTest {
     private static final String SETTINGS =
             "{\"instances\":2,\"myNumber\":0,\"zone\":\"z1\",\"later\":{\"x\":[1]},"
@@ -30,13 +30,13 @@
     private static final String REQUEST =
             "[\"pending\",\"%s\",\"%s\",\"c\",null,\"w\",5000000,null,\"s\",1,2,1]\n";
 
-    private record Run(int exitCode, String out, String err) {}
+    private record HostResult(int exitCode, String out, String err) {}
 
-    private static Run run(String input) {
+    private static HostResult run(String input) {
         return run(input, Policy::new);
     }
 
-    private static Run run(String input, Function<Settings, Placement> moduleFactory) {
+    private static HostResult run(String input, Function<Settings, Placement> moduleFactory) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         int exitCode =
@@ -45,13 +45,13 @@
                                 new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
                                 out,
                                 new PrintStream(err, true, StandardCharsets.UTF_8));
-        return new Run(
+        return new HostResult(
                 exitCode,
                 out.toString(StandardCharsets.UTF_8),
                 err.toString(StandardCharsets.UTF_8));
     }
 
-    private static String configured(String instance, int seed) {
+    private static String configureMessages(String instance, int seed) {
         return "[\"configure\",\""
                 + instance
                 + "\","
@@ -71,14 +71,14 @@
 
     @Test
     void repliesToEmptyBatchAndExitsNormallyAtEndOfInput() {
-        assertEquals(new Run(0, "[\"done\",1]\n", ""), run(batch(8_000_000, 1, "")));
+        assertEquals(new HostResult(0, "[\"done\",1]\n", ""), run(batch(8_000_000, 1, "")));
     }
 
     @Test
     void offersTaskAndHandlesItsAcceptanceAndEnd() {
-        Run run =
+        HostResult result =
                 run(
-                        batch(8_000_000, 1, configured("placer-0", 5))
+                        batch(8_000_000, 1, configureMessages("placer-0", 5))
                                 + batch(8_002_000, 2, REQUEST.formatted("placer-0", "r1"))
                                 + batch(
                                         8_012_000,
@@ -90,7 +90,7 @@
                                         "[\"heartbeat\",\"placer-0\",\"r1\",0,\"10.0.0.1:1\",2,0.5]\n"
                                             + "[\"reportBack\",\"placer-0\",\"r1\",0,\"10.0.0.1:1\",\"OK\",988000,true,null,null]\n"));
         assertEquals(
-                new Run(
+                new HostResult(
                         0,
                         "[\"setTimer\",\"placer-0\",8020000,0]\n"
                                 + "[\"done\",1]\n"
@@ -99,128 +99,133 @@
                                 + "[\"done\",3]\n"
                                 + "[\"done\",4]\n",
                         ""),
-                run);
+                result);
     }
 
     @Test
     void ignoresUnknownMessagesAndLateEvents() {
-        Run run =
+        HostResult result =
                 run(
                         batch(
                                 8_000_000,
                                 1,
-                                configured("placer-0", 5)
+                                configureMessages("placer-0", 5)
                                         + "[\"news\",\"placer-0\",{}]\n"
                                         + "[\"whisper\",\"placer-0\",1,\"68\"]\n"
                                         + "[\"heartbeat\",\"placer-0\",\"r9\",0,\"10.0.0.1:1\",77,1]\n"
                                         + "[\"clientLeft\",\"placer-0\",\"r9\"]\n"
                                         + "[\"fired\",\"placer-0\",99]\n"
                                         + "[\"reportBack\",\"placer-0\",\"r9\",0,\"10.0.0.1:1\",\"OK\",1,true,null,null]\n"));
-        assertEquals(0, run.exitCode);
-        assertEquals("", run.err);
+        assertEquals(0, result.exitCode);
+        assertEquals("", result.err);
     }
 
     @Test
-    void acceptsNewListUnderUsedNumberInSameBatch() {
+    void newListReplacesListOfSameNumberWithinBatch() {
         String otherList = "[\"manifest\",3,[[\"10.0.0.9:1\",\"z1\",\"k\",6,0,1,1,12,null]]]\n";
-        Run run =
+        HostResult result =
                 run(
                         batch(
                                 8_000_000,
                                 1,
-                                configured("placer-0", 5)
+                                configureMessages("placer-0", 5)
                                         + otherList
                                         + "[\"registry\",\"placer-0\",42,3,1]\n"
                                         + REQUEST.formatted("placer-0", "r1")));
-        assertTrue(run.out.contains("\"10.0.0.9:1\""), run.out);
+        assertTrue(result.out.contains("\"10.0.0.9:1\""), result.out);
     }
 
     @Test
-    void repliesOnceToBatchOfMegabytes() {
-        StringBuilder events = new StringBuilder(configured("placer-0", 5));
+    void repliesOnceToBatchOverOneMegabyte() {
+        StringBuilder events = new StringBuilder(configureMessages("placer-0", 5));
         for (int i = 0; i < 20_000; i++) {
             events.append(REQUEST.formatted("placer-0", "r" + i));
         }
         assertTrue(events.length() > 1_000_000);
-        Run run = run(batch(8_000_000, 1, events.toString()));
-        assertEquals(0, run.exitCode);
-        assertTrue(run.out.endsWith("[\"done\",1]\n"));
+        HostResult result = run(batch(8_000_000, 1, events.toString()));
+        assertEquals(0, result.exitCode);
+        assertTrue(result.out.endsWith("[\"done\",1]\n"));
     }
 
     @Test
     void reportsMalformedInputInOneLine() {
-        String openInstance = batch(8_000_000, 1, configured("placer-0", 5));
-        assertRejected(openInstance + "{\"a\"\n", "not JSON");
-        assertRejected(openInstance + "[\"mark\",8", "not JSON");
-        assertRejected(openInstance + "[5]\n", "begins with its name");
-        assertRejected(openInstance + "[\"mark\",8000000,2]\n", "ended inside batch 2");
+        String configuredInstance = batch(8_000_000, 1, configureMessages("placer-0", 5));
+        assertRejected(configuredInstance + "{\"a\"\n", "not JSON");
+        assertRejected(configuredInstance + "[\"mark\",8", "not JSON");
+        assertRejected(configuredInstance + "[5]\n", "begins with its name");
+        assertRejected(configuredInstance + "[\"mark\",8000000,2]\n", "ended inside batch 2");
         assertRejected(
-                openInstance + "[\"mark\",8000000,2]\n[\"mark\",8000000,3]\n",
+                configuredInstance + "[\"mark\",8000000,2]\n[\"mark\",8000000,3]\n",
                 "batch 2 has not ended");
         assertRejected("[\"eob\"]\n", "no batch is open");
         assertRejected("[\"fired\",\"placer-0\",1]\n", "outside a batch");
         assertRejected(
-                openInstance + batch(8_002_000, 2, "[\"registry\",\"placer-0\",1,9,1]\n"),
+                configuredInstance + batch(8_002_000, 2, "[\"registry\",\"placer-0\",1,9,1]\n"),
                 "unknown list number 9");
         assertRejected(
-                openInstance + batch(8_002_000, 2, "[\"fired\",\"placer-7\",1]\n"),
+                configuredInstance + batch(8_002_000, 2, "[\"fired\",\"placer-7\",1]\n"),
                 "unknown instance placer-7");
         assertRejected(
-                openInstance + batch(8_002_000, 2, "[\"pending\",\"placer-0\",\"r1\",\"c\"]\n"),
+                configuredInstance
+                        + batch(8_002_000, 2, "[\"pending\",\"placer-0\",\"r1\",\"c\"]\n"),
                 "pending grace");
         assertRejected(
-                openInstance
+                configuredInstance
                         + batch(
                                 8_002_000,
                                 2,
                                 "[\"pending\",\"placer-0\",\"r1\",\"c\",null,\"w\",1.5]\n"),
                 "pending grace");
         assertRejected(
-                openInstance
+                configuredInstance
                         + batch(
                                 8_002_000,
                                 2,
                                 "[\"reportBack\",\"placer-0\",\"r1\",0,\"m\",\"WELL\",1,true]\n"),
-                "unknown word WELL");
+                "unknown value WELL");
         assertRejected(
                 batch(
                         8_000_000,
                         1,
-                        configured("placer-0", 5).replace("\"instances\":2", "\"instances\":0")),
+                        configureMessages("placer-0", 5)
+                                .replace("\"instances\":2", "\"instances\":0")),
                 "instances");
         assertRejected(
-                batch(8_000_000, 1, configured("placer-0", 5).replace("read_like", "odd")),
+                batch(8_000_000, 1, configureMessages("placer-0", 5).replace("read_like", "odd")),
                 "effect");
         assertRejected(
-                batch(8_000_000, 1, configured("placer-0", 5).replace("\"mostTries\":3,", "")),
+                batch(
+                        8_000_000,
+                        1,
+                        configureMessages("placer-0", 5).replace("\"mostTries\":3,", "")),
                 "mostTries");
     }
 
-    private static void assertRejected(String input, String part) {
-        Run run = run(input);
-        assertFalse(run.exitCode == 0, part);
-        assertTrue(run.err.contains(part), run.err);
-        assertEquals(1, run.err.lines().count(), run.err);
+    private static void assertRejected(String input, String expectedError) {
+        HostResult result = run(input);
+        assertFalse(result.exitCode == 0, expectedError);
+        assertTrue(result.err.contains(expectedError), result.err);
+        assertEquals(1, result.err.lines().count(), result.err);
     }
 
     @Test
     void reportsExceptionOfModuleAsFailureOfItsInstance() {
-        Run run =
+        HostResult result =
                 run(
-                        batch(8_000_000, 1, configured("placer-0", 5)),
+                        batch(8_000_000, 1, configureMessages("placer-0", 5)),
                         settings ->
                                 (now, event, actions) -> {
                                     throw new IllegalStateException("broken");
                                 });
         assertTrue(
-                run.out.contains(
+                result.out.contains(
                         "[\"fatal\",\"placer-0\",\"java.lang.IllegalStateException: broken\"]"),
-                run.out);
+                result.out);
     }
 
     @Test
-    void instancesBehaveAlikeInOneProcessAndInSeveral() {
-        StringBuilder bothBatches = new StringBuilder();
+    void instancesInOneProcessBehaveAsInSeparateProcesses() {
+        StringBuilder batchesOfBoth = new StringBuilder();
         StringBuilder[] batchesOfEach = {new StringBuilder(), new StringBuilder()};
         for (int i = 0; i < 30; i++) {
             StringBuilder events = new StringBuilder();
@@ -228,7 +233,7 @@
                 String instance = "placer-" + p;
                 String eventsOfInstance =
                         i == 0
-                                ? configured(instance, 5 + p)
+                                ? configureMessages(instance, 5 + p)
                                 : REQUEST.formatted(instance, "r" + p + "-" + i)
                                         + "[\"fired\",\""
                                         + instance
@@ -236,18 +241,18 @@
                 events.append(eventsOfInstance);
                 batchesOfEach[p].append(batch(8_000_000 + i * 20_000, i, eventsOfInstance));
             }
-            bothBatches.append(batch(8_000_000 + i * 20_000, i, events.toString()));
+            batchesOfBoth.append(batch(8_000_000 + i * 20_000, i, events.toString()));
         }
-        String together = run(bothBatches.toString()).out;
+        String outputOfBoth = run(batchesOfBoth.toString()).out;
         for (int p = 0; p < 2; p++) {
             String instanceName = "\"placer-" + p + "\"";
             assertEquals(
-                    lines(run(batchesOfEach[p].toString()).out, instanceName),
-                    lines(together, instanceName));
+                    linesContaining(run(batchesOfEach[p].toString()).out, instanceName),
+                    linesContaining(outputOfBoth, instanceName));
         }
     }
 
-    private static List<String> lines(String out, String part) {
-        return out.lines().filter(line -> line.contains(part)).collect(Collectors.toList());
+    private static List<String> linesContaining(String out, String text) {
+        return out.lines().filter(line -> line.contains(text)).collect(Collectors.toList());
     }
 }
--- a/settings/src/main/java/thornferry/settings/CatalogReader.java
+++ b/settings/src/main/java/thornferry/settings/CatalogReader.java
@@ -13,11 +13,12 @@
 import thornferry.decisions.placement.Placement.TopologyScope;
 
 /**
- * Reads what the settings list: task classes, machine kinds and tenants. Some of their values are
- * in arrays of the family's section, at the index of the class, kind or tenant.
+ * Reads the lists of task classes, machine kinds and tenants from the settings. Some values of a
+ * class, kind or tenant are in arrays of the {@code FAMILY} section, at the same index as in its
+ * list.
  */
 final class CatalogReader {
-    /** The index that stands for no particular kind of machine. */
+    /** The index that means that a task class may run on any kind of machine. */
     private static final int ANY_KIND = -1;
 
     private final JsonNode settings;
@@ -51,20 +52,21 @@
                 required(taskClass, SettingsKeys.CLASS_DEADLINE).asLong(),
                 taskClass.path(SettingsKeys.CLASS_PRIORITY_WEIGHT).asDouble(1),
                 taskClass.path(SettingsKeys.CLASS_LATE_VALUE).asDouble(),
-                atIndex(SettingsKeys.CLASS_START_SECONDS, index).asDouble(),
-                atIndex(SettingsKeys.CLASS_CONTENTION_THRESHOLD, index).asDouble(1),
-                atIndex(SettingsKeys.CLASS_CONTENTION_RANGE, index).asDouble(1),
-                atIndex(SettingsKeys.CLASS_PRIORITY, index).asInt(),
-                atIndex(SettingsKeys.CLASS_REQUIRED_KIND, index).asInt(ANY_KIND),
+                familyValue(SettingsKeys.CLASS_START_SECONDS, index).asDouble(),
+                familyValue(SettingsKeys.CLASS_CONTENTION_THRESHOLD, index).asDouble(1),
+                familyValue(SettingsKeys.CLASS_CONTENTION_RANGE, index).asDouble(1),
+                familyValue(SettingsKeys.CLASS_PRIORITY, index).asInt(),
+                familyValue(SettingsKeys.CLASS_REQUIRED_KIND, index).asInt(ANY_KIND),
                 spreadScope(index),
-                atIndex(SettingsKeys.CLASS_MAX_TASKS_PER_SCOPE, index).asInt());
+                familyValue(SettingsKeys.CLASS_MAX_TASKS_PER_SCOPE, index).asInt());
     }
 
-    /** Unlike other words, one that is not known means no spreading. */
+    /** Returns the spread scope of a class; an unknown value is accepted and means no spreading. */
     private TopologyScope spreadScope(int classIndex) {
-        String word =
-                atIndex(SettingsKeys.CLASS_SPREAD_SCOPE, classIndex).asText(SettingsKeys.NO_SCOPE);
-        return SettingsKeys.SCOPES.getOrDefault(word, TopologyScope.NONE);
+        String scopeName =
+                familyValue(SettingsKeys.CLASS_SPREAD_SCOPE, classIndex)
+                        .asText(SettingsKeys.NO_SCOPE);
+        return SettingsKeys.SCOPES.getOrDefault(scopeName, TopologyScope.NONE);
     }
 
     List<MachineKind> machineKinds() {
@@ -74,8 +76,8 @@
             kinds.add(
                     new MachineKind(
                             name.asText(),
-                            atIndex(SettingsKeys.KIND_CORES, index).asDouble(),
-                            atIndex(SettingsKeys.KIND_MEMORY, index).asDouble()));
+                            familyValue(SettingsKeys.KIND_CORES, index).asDouble(),
+                            familyValue(SettingsKeys.KIND_MEMORY, index).asDouble()));
         }
         return kinds;
     }
@@ -88,12 +90,12 @@
                     new Tenant(
                             tenant.path(SettingsKeys.NAME).asText(),
                             tenant.path(SettingsKeys.TENANT_SHARE).asDouble(),
-                            atIndex(SettingsKeys.TENANT_QUOTA_CORES, index).asDouble()));
+                            familyValue(SettingsKeys.TENANT_QUOTA_CORES, index).asDouble()));
         }
         return tenants;
     }
 
-    private JsonNode atIndex(String key, int index) {
+    private JsonNode familyValue(String key, int index) {
         return family.path(key).path(index);
     }
 }
--- a/settings/src/main/java/thornferry/settings/JsonSettings.java
+++ b/settings/src/main/java/thornferry/settings/JsonSettings.java
@@ -3,14 +3,14 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Map;
 
-/** Access to single settings of a JSON object. */
+/** Reads single settings of a JSON object. */
 final class JsonSettings {
     private JsonSettings() {}
 
     /**
-     * A setting that must be there.
+     * Returns the value of a required setting.
      *
-     * @throws SettingsException if it is missing or null
+     * @throws SettingsException if the setting is missing or null
      */
     static JsonNode required(JsonNode object, String key) throws SettingsException {
         JsonNode value = object.path(key);
@@ -21,33 +21,36 @@
     }
 
     /**
-     * A setting whose value is one of some words.
+     * Returns the constant that the value of a required setting names.
      *
-     * @throws SettingsException if it is missing or has another value
+     * @param constantsByName the allowed values of the setting, and their constants
+     * @throws SettingsException if the setting is missing or has another value
      */
-    static <T> T requiredChoice(Map<String, T> words, JsonNode object, String key)
+    static <T> T requiredChoice(Map<String, T> constantsByName, JsonNode object, String key)
             throws SettingsException {
-        return chosen(words, object.path(key), key);
+        return constantNamed(constantsByName, object.path(key), key);
     }
 
     /**
-     * A setting whose value is one of some words, or which is missing.
+     * Returns the constant that the value of an optional setting names, or the default value if the
+     * setting is missing or null.
      *
-     * @throws SettingsException if it has another value
+     * @param constantsByName the allowed values of the setting, and their constants
+     * @throws SettingsException if the setting has another value
      */
-    static <T> T choice(Map<String, T> words, JsonNode object, String key, T defaultValue)
+    static <T> T choice(Map<String, T> constantsByName, JsonNode object, String key, T defaultValue)
             throws SettingsException {
         JsonNode value = object.path(key);
-        return isAbsent(value) ? defaultValue : chosen(words, value, key);
+        return isAbsent(value) ? defaultValue : constantNamed(constantsByName, value, key);
     }
 
-    private static <T> T chosen(Map<String, T> words, JsonNode value, String key)
+    private static <T> T constantNamed(Map<String, T> constantsByName, JsonNode value, String key)
             throws SettingsException {
-        T chosen = isAbsent(value) ? null : words.get(value.asText());
-        if (chosen == null) {
+        T constant = isAbsent(value) ? null : constantsByName.get(value.asText());
+        if (constant == null) {
             throw new SettingsException("setting " + key + " has unknown value " + value.asText());
         }
-        return chosen;
+        return constant;
     }
 
     private static boolean isAbsent(JsonNode value) {
--- a/settings/src/main/java/thornferry/settings/LoadReportFields.java
+++ b/settings/src/main/java/thornferry/settings/LoadReportFields.java
@@ -5,8 +5,8 @@
 import thornferry.decisions.placement.LoadReport;
 
 /**
- * The fields of load reports, by their names and positions in the settings. Fields whose names are
- * not known are ignored.
+ * The fields of load reports, as the settings name and order them. Fields with unknown names are
+ * ignored.
  */
 public final class LoadReportFields {
     private static final String FREE_CORES = "x0";
@@ -17,7 +17,7 @@
     private final List<String> names;
 
     /**
-     * @param names the fields of every report, in order
+     * @param names the names of the fields of every report, in order
      */
     public LoadReportFields(List<String> names) {
         this.names = List.copyOf(names);
@@ -26,7 +26,7 @@
     /**
      * Reads a report whose values are in the order of the names.
      *
-     * @param values the values; those of the last names may be missing and are then unknown
+     * @param values the values; values missing at the end are unknown
      */
     public LoadReport fromArray(double[] values) {
         return from(
@@ -37,10 +37,10 @@
     }
 
     /**
-     * Reads a report whose values are found by name.
+     * Reads a report whose values are looked up by name.
      *
-     * @param values called only with names of the settings; returns {@link LoadReport#UNKNOWN} for
-     *     a value that the report lacks
+     * @param values returns the value of a field, or {@link LoadReport#UNKNOWN} if the report does
+     *     not have it; called only with names that occur in the settings
      */
     public LoadReport from(ToDoubleFunction<String> values) {
         return new LoadReport(
--- a/settings/src/main/java/thornferry/settings/SettingsKeys.java
+++ b/settings/src/main/java/thornferry/settings/SettingsKeys.java
@@ -6,8 +6,9 @@
 import thornferry.decisions.placement.Placement.TopologyScope;
 
 /**
- * The keys and words of the settings object, as its specification has them; each constant is named
- * with the term that the code uses. Times are in microseconds unless the constant says otherwise.
+ * The keys and named values of the settings object, as its specification defines them. The name of
+ * each constant is the term that the code uses. Times are in microseconds unless the name of the
+ * constant has another unit.
  */
 final class SettingsKeys {
     // sections
@@ -56,7 +57,7 @@
     static final String MAX_ATTEMPTS = "mostTries";
     static final String MAX_RETRY_AFTER = "maxRetryAfter";
 
-    // CLASSES and TENANTS, one object each
+    // CLASSES and TENANTS, arrays with one object for each class or tenant
     static final String NAME = "name";
     static final String CLASS_IDEMPOTENCY = "effect";
     static final String CLASS_KEY_SCOPE = "keyScope";
@@ -97,7 +98,7 @@
     static final String KIND_MEMORY = "memOfKind";
     static final String TENANT_QUOTA_CORES = "shareCores";
 
-    // words
+    // values
     static final String MEASURED_USAGE = "used";
     static final String DISCOVERY_BY_SUBSCRIPTION = "ask";
     static final String CONFIRMED_WHEN_RUNNING = "running";
--- a/settings/src/main/java/thornferry/settings/SettingsReader.java
+++ b/settings/src/main/java/thornferry/settings/SettingsReader.java
@@ -25,23 +25,25 @@
     /**
      * Reads the settings object.
      *
-     * @param settings the object, as an instance gets it at its start; keys that are not known are
+     * @param settings the JSON object that an instance receives at its start; unknown keys are
      *     ignored
-     * @param seed of the module's random numbers
-     * @throws SettingsException naming the setting that is missing or invalid
+     * @param seed the seed of the module's random numbers
+     * @throws SettingsException if a setting is missing or invalid
      */
     public static Settings read(JsonNode settings, long seed) throws SettingsException {
         if (!settings.isObject()) {
-            throw new SettingsException("the settings are not an object");
+            throw new SettingsException("the settings must be a JSON object");
         }
         try {
             return new SettingsReader(settings).read(seed);
-        } catch (IllegalArgumentException e) { // from the records, which check their values
+        } catch (
+                IllegalArgumentException
+                        e) { // from the constructors of the records, which validate values
             throw new SettingsException(e.getMessage());
         }
     }
 
-    /** Reads which fields load reports have; none if the settings name none. */
+    /** Returns the fields of load reports that the settings name, which may be none. */
     public static LoadReportFields loadReportFields(JsonNode settings) {
         List<String> names = new ArrayList<>();
         settings.path(SettingsKeys.LOAD_REPORTS)
@@ -61,13 +63,13 @@
                 catalog.machineKinds(),
                 catalog.tenants(),
                 loadReportMode(),
-                isWord(family, SettingsKeys.REPORTED_QUANTITY, SettingsKeys.MEASURED_USAGE),
+                hasValue(family, SettingsKeys.REPORTED_QUANTITY, SettingsKeys.MEASURED_USAGE),
                 family.path(SettingsKeys.LIST_SHOWS_FREE_CAPACITY).asBoolean(),
-                isWord(
+                hasValue(
                         settings,
                         SettingsKeys.LIST_DISCOVERY,
                         SettingsKeys.DISCOVERY_BY_SUBSCRIPTION),
-                isWord(
+                hasValue(
                         family,
                         SettingsKeys.ACCEPTANCE_CONFIRMATION,
                         SettingsKeys.CONFIRMED_WHEN_RUNNING),
@@ -93,8 +95,8 @@
                 LoadReportMode.NONE);
     }
 
-    private static boolean isWord(JsonNode object, String key, String word) {
-        return object.path(key).asText().equals(word);
+    private static boolean hasValue(JsonNode object, String key, String value) {
+        return object.path(key).asText().equals(value);
     }
 
     private CostWeights costWeights() {
--- a/settings/src/main/java/thornferry/settings/package-info.java
+++ b/settings/src/main/java/thornferry/settings/package-info.java
@@ -1,9 +1,9 @@
 /**
- * Reads the settings of a placement module from JSON. The same object is sent by the simulator and
- * stands in the configuration of a placer on the platform.
+ * Reads the settings of a placement module from JSON. The simulator sends the settings object, and
+ * the configuration of a placer on the platform contains it.
  *
- * <p>The keys and words of that object are fixed by its specification. They occur in this package
- * alone, as constants and tables whose names are the terms of the code. Nothing is decided here:
- * values are checked by the records of {@link thornferry.decisions.placement.Placement}.
+ * <p>The specification of that object fixes its keys and named values. Only this package contains
+ * them, as constants and maps that are named with the terms of the code. The records of {@link
+ * thornferry.decisions.placement.Placement} validate the values.
  */
 package thornferry.settings;
