--- a/security/src/main/java/thornferry/security/Passcodes.java
+++ b/security/src/main/java/thornferry/security/Passcodes.java
@@ -36,8 +36,8 @@
     private static final Pattern BCRYPT_HASH = Pattern.compile("\\$2[aby]\\$\\d\\d\\$.{53}");
 
     /**
-     * The hash that is checked if none is stored, so that the time of a check does not reveal
-     * whether one is.
+     * The hash that is checked if none is stored, so that a mismatch takes as long as with a stored
+     * hash.
      */
     private static final String PLACEHOLDER_HASH = ARGON2.encode("nobody's");
 
--- a/settings/src/main/java/thornferry/settings/SettingsReader.java
+++ b/settings/src/main/java/thornferry/settings/SettingsReader.java
@@ -36,9 +36,7 @@
         }
         try {
             return new SettingsReader(settings).read(seed);
-        } catch (
-                IllegalArgumentException
-                        e) { // from the constructors of the records, which validate values
+        } catch (IllegalArgumentException e) { // from the records, which validate values
             throw new SettingsException(e.getMessage());
         }
     }
--- a/state/src/main/java/thornferry/state/ActiveFile.java
+++ b/state/src/main/java/thornferry/state/ActiveFile.java
@@ -17,8 +17,7 @@
 import thornferry.state.SnapshotWriter.PendingSnapshot;
 
 /**
- * The journal file that entries are appended to. Compaction replaces it with a smaller one, which
- * is called a rewrite here.
+ * The journal file that entries are appended to. A rewrite replaces it with a compacted file.
  *
  * <p>Instances are safe for use by several threads: appends and the beginning and end of a rewrite
  * are mutually exclusive.
@@ -144,8 +143,8 @@
     }
 
     /**
-     * Begins a rewrite if the file has hasGrown enough. Until {@link #endRewrite}, appended frames
-     * are also collected, because the snapshot does not contain them.
+     * Begins a rewrite if the file has grown enough. Until {@link #endRewrite}, appended frames are
+     * also collected, because the snapshot does not contain them.
      *
      * @param snapshotSupplier called while the lock of this file is held, so that every frame is
      *     either in the snapshot or collected
@@ -177,8 +176,8 @@
      * appended since {@link #beginRewrite}.
      *
      * <p>The steps are ordered so that a crash between any two of them loses no record: the
-     * contents are on the disk before the compacted file is renamedPath, and its final name is on
-     * the disk before the previous file is deleted.
+     * contents are on the disk before the compacted file is renamed, and its final name is on the
+     * disk before the previous file is deleted.
      *
      * @throws IOException if the replacement failed; the active file is then unchanged and the
      *     snapshot's file is closed
@@ -197,9 +196,8 @@
             snapshot.output().close();
             throw e;
         }
-        // The renamedPath file is now the newest generation, which the next incarnation reads.
-        // Entries
-        // must therefore go into it even if the previous file cannot be removed.
+        // The renamed file is now the newest generation, which the next incarnation reads. Entries
+        // must therefore be written to it even if the previous file cannot be removed.
         Optional<Path> previousPath = Optional.ofNullable(path);
         Optional<Storage.WritableFile> previousOutput = Optional.ofNullable(output);
         path = renamedPath;
--- a/state/src/main/java/thornferry/state/JournalReader.java
+++ b/state/src/main/java/thornferry/state/JournalReader.java
@@ -107,8 +107,9 @@
 
     /**
      * Returns whether the rest of the file, after a frame that is not intact, consists of zeros and
-     * is shorter than a frame. Killing the process leaves at most one unfinished frame, and a power
-     * loss may leave a run of zeros. Anything else is damage, and entries after it may be lost.
+     * is no longer than the body of a frame. Killing the process leaves at most one unfinished
+     * frame, and a power loss may leave a run of zeros. Anything else is damage, and entries after
+     * it may be lost.
      */
     private boolean onlyZerosFollow() throws IOException {
         byte[] rest = input.readNBytes(FrameFormat.MAX_BODY_BYTES + 1);
--- a/state/src/main/java/thornferry/state/SystemStorage.java
+++ b/state/src/main/java/thornferry/state/SystemStorage.java
@@ -35,9 +35,7 @@
 
         @Override
         public void force() throws IOException {
-            // Without other metadata, this forces the data and what is needed to read it, such as
-            // the
-            // length of the file.
+            // false: of the metadata, only what is needed to read the data, such as the length
             channel.force(false);
         }
 
--- a/state/src/test/java/thornferry/state/JournalFileTest.java
+++ b/state/src/test/java/thornferry/state/JournalFileTest.java
@@ -75,8 +75,7 @@
         private final CrashingStorage storage;
         private final Set<String> acknowledged = new LinkedHashSet<>();
         private final List<JournalRecord> appended = new ArrayList<>();
-        private int lastNumber =
-                1_000; // four digits, so that the order of the names is that of the numbers
+        private int lastNumber = 1_000; // four digits, so that attempts sort like their numbers
 
         CrashTrial(long seed, Durability durability) {
             this.seed = seed;
@@ -97,8 +96,8 @@
                 } catch (CrashingStorage.PowerLoss e) {
                     // as scheduled
                 } catch (IOException e) {
-                    storage.clearDiskFull(); // the incarnation could not start; the operator frees
-                    // disk space
+                    // the incarnation could not start; the operator frees disk space
+                    storage.clearDiskFull();
                 }
                 storage.crash(crash);
                 storage.clearDiskFull();
