--- a/placer/src/main/java/thornferry/placer/Account.java
+++ b/placer/src/main/java/thornferry/placer/Account.java
@@ -1,7 +1,7 @@
 package thornferry.placer;
 
 /**
- * A login that may connect, and what it may do.
+ * A login that may connect, with its role and its tenant.
  *
  * @param secret a hash of the passcode, or the passcode itself in test setups; null if only a
  *     certificate is accepted
@@ -9,7 +9,7 @@
  *     tenants
  */
 public record Account(String login, String secret, Role role, String tenant) {
-    /** What an account may do. */
+    /** The role of an account, which determines the destinations that it may use. */
     public enum Role {
         /** A client, which submits tasks and owns them. */
         OWNER,
@@ -19,7 +19,7 @@
         OPERATOR
     }
 
-    /** Login and role; never the secret. */
+    /** Returns the login and the role, without the secret. */
     @Override
     public String toString() {
         return login + " (" + role + ")";
--- a/placer/src/main/java/thornferry/placer/AdmissionActions.java
+++ b/placer/src/main/java/thornferry/placer/AdmissionActions.java
@@ -8,12 +8,14 @@
 import thornferry.decisions.placement.Placement;
 import thornferry.decisions.requests.RequestTracker;
 
-/** Carries out what the {@link AdmissionQueue} decides: dispatch, recall or shed a request. */
+/**
+ * Carries out the actions of the {@link AdmissionQueue}, which dispatch, recall or shed requests.
+ */
 final class AdmissionActions implements Consumer<AdmissionQueue.Action> {
     private final PlacerComponents components;
 
-    /** By request id, until the request is placed or has its result. */
-    private final Map<String, Placement.PlacementRequest> placementRequests = new HashMap<>();
+    /** The requests that are neither placed nor completed, by request id. */
+    private final Map<String, Placement.PlacementRequest> placementRequestsById = new HashMap<>();
 
     AdmissionActions(PlacerComponents components) {
         this.components = components;
@@ -28,14 +30,14 @@
                         dispatch.owner(),
                         dispatch.deadlineMicros(),
                         dispatch.rejectedBy());
-        placementRequests.put(request.id(), request);
+        placementRequestsById.put(request.id(), request);
         components.reasons.queued(dispatch.spec().id(), queued);
         components.admissionQueue.arrived(nowMicros, queued, this);
     }
 
-    /** Forgets a request that needs no dispatch any more. */
+    /** Removes a request that will not be dispatched any more. */
     void forget(String requestId) {
-        placementRequests.remove(requestId);
+        placementRequestsById.remove(requestId);
     }
 
     @Override
@@ -56,7 +58,7 @@
     }
 
     private void dispatch(AdmissionQueue.Dispatch dispatch) {
-        Placement.PlacementRequest request = placementRequests.get(dispatch.requestId());
+        Placement.PlacementRequest request = placementRequestsById.get(dispatch.requestId());
         components.reasons.stageChanged(dispatch.requestId());
         if (request != null) {
             components.policy.accept(
--- a/placer/src/main/java/thornferry/placer/AttemptActions.java
+++ b/placer/src/main/java/thornferry/placer/AttemptActions.java
@@ -10,7 +10,7 @@
 import thornferry.decisions.recovery.JournalRecord;
 import thornferry.decisions.requests.RequestTracker;
 
-/** Carries out what the {@link AttemptTracker} concludes, and passes reports of machines to it. */
+/** Carries out the actions of the {@link AttemptTracker} and passes it the reports of machines. */
 final class AttemptActions implements Consumer<AttemptTracker.Action> {
     private static final Logger LOG = LoggerFactory.getLogger(AttemptActions.class);
     private static final long NO_DEADLINE_MICROS = 0;
@@ -22,7 +22,7 @@
         this.components = components;
     }
 
-    /** A machine reports the status of an attempt. */
+    /** Processes the report of a machine about the status of an attempt. */
     void report(String machine, AttemptReport report) {
         if (report.load() != null) {
             components.cluster.loadReported(
@@ -37,7 +37,7 @@
                         outcomeReason(report.rejectionReason()),
                         report.ran(),
                         report.load()),
-                action -> accept(action, report.rejectionReason()));
+                action -> acceptFromReport(action, report.rejectionReason()));
     }
 
     /** Compares the inventory of an admitted machine with the attempts known to run there. */
@@ -50,7 +50,7 @@
                 heldAttempts.keySet(),
                 registration.runningAttempts(),
                 registration.completeSinceMicros(),
-                action -> accept(action, heldAttempts));
+                action -> acceptFromRegistration(action, heldAttempts));
     }
 
     @Override
@@ -77,14 +77,17 @@
                     components.membership.connectionOf(violation.machine()),
                     violation.description());
         } else {
-            throw new IllegalStateException("outside a report or registration: " + action);
+            throw new IllegalStateException(
+                    "action that only a report or a registration may cause: " + action);
         }
     }
 
     /**
-     * @param reason that the report which led to this action gave
+     * Carries out an action that results from the report of a machine.
+     *
+     * @param reason the rejection reason in the report
      */
-    private void accept(AttemptTracker.Action action, RejectionReason reason) {
+    private void acceptFromReport(AttemptTracker.Action action, RejectionReason reason) {
         if (action instanceof AttemptTracker.OfferRejected rejected) {
             components.requests.offerRejected(
                     rejected.requestId(), rejected.machine(), rejected.reason());
@@ -96,9 +99,12 @@
     }
 
     /**
-     * @param heldAttempts of the registration which led to this action, by id
+     * Carries out an action that results from the registration of a machine.
+     *
+     * @param heldAttempts the held attempts in the registration, by attempt id
      */
-    private void accept(AttemptTracker.Action action, Map<String, HeldAttempt> heldAttempts) {
+    private void acceptFromRegistration(
+            AttemptTracker.Action action, Map<String, HeldAttempt> heldAttempts) {
         if (action instanceof AttemptTracker.AdoptTask adopt) {
             adopt(adopt, heldAttempts.get(adopt.attempt()));
         } else {
@@ -106,7 +112,10 @@
         }
     }
 
-    /** Notifies the policy, after the modules that must know before it offers the task again. */
+    /**
+     * Passes an event to the policy. The other modules process the event first, since the policy
+     * may offer the task again within the call.
+     */
     private void notifyPolicy(long now, Placement.Event event) {
         if (event instanceof Placement.AttemptEnded ended) {
             if (isUnresponsive(ended)) {
@@ -141,8 +150,8 @@
 
     private void cancel(long now, AttemptTracker.CancelAttempt cancel) {
         if (components.journal.cancelPendingOffer(cancel.attempt())) {
-            // Without this, the offer could leave after its own cancellation, and the task would
-            // run without anybody tracking it.
+            // Otherwise the offer could be sent after its cancellation, and the task would run
+            // untracked.
             components.attempts.notWritten(now, cancel.attempt(), this);
         } else {
             components.output.cancelAttempt(cancel.machine(), cancel.attempt());
@@ -181,7 +190,7 @@
                 .addKeyValue("instance", components.instance.name())
                 .addKeyValue("node", machine)
                 .addKeyValue("task", held.spec().id())
-                .log("adopted from an earlier incarnation of this placer");
+                .log("adopted a task that an earlier incarnation of this placer started");
     }
 
     private static Placement.OutcomeReason outcomeReason(RejectionReason reason) {
--- a/placer/src/main/java/thornferry/placer/ClientHandler.java
+++ b/placer/src/main/java/thornferry/placer/ClientHandler.java
@@ -24,15 +24,19 @@
  * quotas.
  */
 final class ClientHandler {
-    /** The ids of results begin with this; the rest is the sequence number. */
+    /** The prefix of the message id of a result; the sequence number follows. */
     private static final String RESULT_ID_PREFIX = "n";
 
+    /** The prefix of the message id of a pending reason; a unique number follows. */
     private static final String REASON_ID_PREFIX = "y";
 
-    /** Reasons sent to one session in a tick; the others follow in the next, as they are then. */
+    /**
+     * The maximum number of reasons sent to one session in a tick. The next tick sends the others,
+     * with the reasons that apply by then.
+     */
     private static final int MAX_REASONS_PER_TICK = 256;
 
-    /** Waiting tasks whose reasons are sent after a client subscribes to them. */
+    /** The maximum number of waiting tasks whose reasons are sent after a client subscribes. */
     private static final int MAX_INITIAL_REASONS = 10_000;
 
     private final PlacerInstance instance;
@@ -57,7 +61,7 @@
         this.reloader = reloader;
     }
 
-    /** Requests received, valid or not. */
+    /** Returns the number of requests received, valid or not. */
     long requestCount() {
         return requestCount;
     }
@@ -85,18 +89,21 @@
 
     void explain(ServerSession session, Frame frame) throws ProtocolException {
         WhyQuery query = Bodies.read(frame, WhyQuery.getDefaultInstance());
-        PendingReasons.Explanation explanation = explain(session.login(), query.getTask());
+        PendingReasons.Explanation explanation = explanation(session.login(), query.getTask());
         replies.reply(session, frame, ProtocolMapper.why(explanation, true));
     }
 
-    /** Counts the waiting tasks: those of all owners for an operator, else the client's own. */
+    /**
+     * Replies with the counts of waiting tasks: those of all owners to an operator, else those of
+     * the client alone.
+     */
     void countWaiting(ServerSession session, Frame frame) throws ProtocolException {
         Bodies.read(frame, WaitingQuery.getDefaultInstance());
-        boolean operator = connections.stateOf(session).account.role() == Account.Role.OPERATOR;
+        boolean isOperator = connections.stateOf(session).account.role() == Account.Role.OPERATOR;
         replies.reply(
                 session,
                 frame,
-                operator
+                isOperator
                         ? ProtocolMapper.siteWaitingTable(core)
                         : ProtocolMapper.ownWaitingTable(core, session.login()));
     }
@@ -110,7 +117,7 @@
                 ProtocolMapper.limits(core.admissionQueue(), account, reloader.lastReload()));
     }
 
-    /** A client acknowledged a message, or rejected it. */
+    /** Processes the ACK or NACK frame of a client for a message. */
     void acknowledged(ServerSession session, String messageId, boolean accepted) {
         if (accepted && messageId.startsWith(RESULT_ID_PREFIX)) {
             String sequence = messageId.substring(RESULT_ID_PREFIX.length());
@@ -147,9 +154,12 @@
 
     // ---- what clients receive ----
 
-    /** Sends a result to its owner; if the owner is not subscribed, it stays undelivered. */
+    /**
+     * Sends a result to the subscribed sessions of its owner. The result stays undelivered if there
+     * are none.
+     */
     void notifyResult(ResultNotification notification) {
-        List<ServerSession> sessions = resultSubscribers.of(notification.owner());
+        List<ServerSession> sessions = resultSubscribers.sessionsOf(notification.owner());
         if (sessions.isEmpty()) {
             return;
         }
@@ -168,16 +178,17 @@
         }
     }
 
-    /** Marks a task whose state or reason changed, for the sessions of its owner. */
+    /** Records for the sessions of its owner that the state or reason of a task changed. */
     void reasonChanged(PendingReasons.ReasonChanged changed) {
         reasonSubscribers
-                .of(changed.owner())
+                .sessionsOf(changed.owner())
                 .forEach(session -> connections.stateOf(session).changedTasks.add(changed.task()));
     }
 
     /**
      * Sends each subscriber the current reasons of its tasks that changed. A client that reads more
-     * slowly than its reasons change misses the states in between, so nothing piles up for it.
+     * slowly than its reasons change misses the states in between, so at most one update per task
+     * is pending for it.
      */
     void sendChangedReasons() {
         reasonSubscribers.forEach(this::sendChangedReasons);
@@ -195,21 +206,21 @@
     }
 
     private void sendReason(ServerSession session, String task) {
-        PendingReasons.Explanation explanation = explain(session.login(), task);
+        PendingReasons.Explanation explanation = explanation(session.login(), task);
         Frame headers =
                 Frame.of(
                         StompCommand.MESSAGE,
                         "task",
                         task,
                         "state",
-                        WireWords.state(explanation.state()));
+                        WireNames.state(explanation.state()));
         session.message(
                 Destinations.WAITING,
                 REASON_ID_PREFIX + replies.nextNumber(),
                 Bodies.write(headers, ProtocolMapper.why(explanation, false), false));
     }
 
-    private PendingReasons.Explanation explain(String owner, String task) {
+    private PendingReasons.Explanation explanation(String owner, String task) {
         return core.reasons().explain(instance.clock().now(), owner, task);
     }
 }
--- a/placer/src/main/java/thornferry/placer/ConfigurationReloader.java
+++ b/placer/src/main/java/thornferry/placer/ConfigurationReloader.java
@@ -7,10 +7,11 @@
     /**
      * Reloads the configuration.
      *
-     * @return empty on success, or the error; the previous configuration then stays in effect
+     * @return empty on success; otherwise the error, in which case the previous configuration stays
+     *     in effect
      */
     Optional<String> reload();
 
-    /** When and with what result the configuration was last reloaded; empty if never. */
+    /** Returns the time and the outcome of the last reload; empty if there was none. */
     String lastReload();
 }
--- a/placer/src/main/java/thornferry/placer/ConnectionState.java
+++ b/placer/src/main/java/thornferry/placer/ConnectionState.java
@@ -3,17 +3,18 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** What the server tracks for one connection. */
+/** The state that the server keeps for one connection. */
 final class ConnectionState {
+    /** The number of the connection, unique in the instance. */
     final long connection;
 
     /** The account of the login, as configured when the connection was opened; may be null. */
     final Account account;
 
-    /** Whether messages to this peer are encoded as protobuf; JSON otherwise. */
-    boolean binary;
+    /** True if messages to this peer are encoded as protobuf, false if as JSON. */
+    boolean usesProtobuf;
 
-    /** Tasks whose pending reason changed and has not been sent to this client yet. */
+    /** The tasks whose pending reason changed and has not been sent to this client yet. */
     final Set<String> changedTasks = new LinkedHashSet<>();
 
     ConnectionState(long connection, Account account) {
--- a/placer/src/main/java/thornferry/placer/Connections.java
+++ b/placer/src/main/java/thornferry/placer/Connections.java
@@ -8,14 +8,14 @@
 /** The open connections of one instance, numbered from 1. */
 final class Connections {
     private final LoginAuthenticator authenticator;
-    private final Map<Long, ServerSession> nodeSessions = new HashMap<>();
+    private final Map<Long, ServerSession> nodeSessionsByConnection = new HashMap<>();
     private long lastConnection;
 
     Connections(LoginAuthenticator authenticator) {
         this.authenticator = authenticator;
     }
 
-    /** The state of a session, which is attached to it at the first call. */
+    /** Returns the state of a session; the first call creates the state and attaches it. */
     ConnectionState stateOf(ServerSession session) {
         if (session.attachment() == null) {
             session.attach(
@@ -24,18 +24,18 @@
         return (ConnectionState) session.attachment();
     }
 
-    /** Makes the session of a node known by its connection number. */
+    /** Registers the session of a node under its connection number. */
     void addNodeSession(ServerSession session) {
-        nodeSessions.put(stateOf(session).connection, session);
+        nodeSessionsByConnection.put(stateOf(session).connection, session);
     }
 
-    /** The session of a node, if its connection is open. */
+    /** Returns the session of a node, if its connection is open. */
     Optional<ServerSession> nodeSession(long connection) {
-        return Optional.ofNullable(nodeSessions.get(connection));
+        return Optional.ofNullable(nodeSessionsByConnection.get(connection));
     }
 
-    /** Forgets a closed connection. */
+    /** Removes a closed connection. */
     void remove(long connection) {
-        nodeSessions.remove(connection);
+        nodeSessionsByConnection.remove(connection);
     }
 }
--- a/placer/src/main/java/thornferry/placer/DestinationPermissions.java
+++ b/placer/src/main/java/thornferry/placer/DestinationPermissions.java
@@ -7,9 +7,9 @@
 import thornferry.placer.Account.Role;
 import thornferry.protocol.Destinations;
 
-/** Which role may use which destination. */
+/** The destinations of the server and the roles that may use them. */
 final class DestinationPermissions {
-    /** What a destination is for. */
+    /** A destination of the server, or a group of destinations with a common prefix. */
     enum Endpoint {
         TASKS,
         STOP,
@@ -32,7 +32,7 @@
     private static final Set<Role> OPERATORS = EnumSet.of(Role.OPERATOR);
     private static final Set<Role> AGENTS_AND_OPERATORS = EnumSet.of(Role.AGENT, Role.OPERATOR);
 
-    private static final Map<String, Endpoint> SEND =
+    private static final Map<String, Endpoint> SEND_ENDPOINTS =
             Map.ofEntries(
                     Map.entry(Destinations.TASKS, Endpoint.TASKS),
                     Map.entry(Destinations.STOP, Endpoint.STOP),
@@ -45,7 +45,7 @@
                     Map.entry(Destinations.PROBES, Endpoint.PROBES),
                     Map.entry(Destinations.DRAIN, Endpoint.DRAIN));
 
-    private static final Map<String, Endpoint> SUBSCRIBE =
+    private static final Map<String, Endpoint> SUBSCRIBE_ENDPOINTS =
             Map.ofEntries(
                     Map.entry(Destinations.RESULTS, Endpoint.RESULTS),
                     Map.entry(Destinations.WAITING, Endpoint.WAITING),
@@ -53,33 +53,34 @@
 
     private DestinationPermissions() {}
 
-    /** The endpoint of a SEND; empty if there is no such destination. */
-    static Optional<Endpoint> send(String destination) {
-        return Optional.ofNullable(SEND.get(destination));
+    /** Returns the endpoint of a SEND frame; empty if there is no such destination. */
+    static Optional<Endpoint> sendEndpoint(String destination) {
+        return Optional.ofNullable(SEND_ENDPOINTS.get(destination));
     }
 
     /**
-     * The endpoint of a SUBSCRIBE; empty if there is no such destination. There are no wildcards.
+     * Returns the endpoint of a SUBSCRIBE frame; empty if there is no such destination. Wildcards
+     * are not supported.
      */
-    static Optional<Endpoint> subscribe(String destination) {
+    static Optional<Endpoint> subscribeEndpoint(String destination) {
         if (Destinations.nodeOfOffers(destination) != null) {
             return Optional.of(Endpoint.OFFERS);
         }
         if (destination.startsWith(Destinations.REPLIES)) {
             return Optional.of(Endpoint.REPLIES);
         }
-        return Optional.ofNullable(SUBSCRIBE.get(destination));
+        return Optional.ofNullable(SUBSCRIBE_ENDPOINTS.get(destination));
     }
 
-    /** Whether a role may use an endpoint. */
+    /** Returns whether a role may use an endpoint. */
     static boolean allows(Role role, Endpoint endpoint) {
         return switch (endpoint) {
             case TASKS, STOP, RESULTS, WAITING, WHY, LIMITS -> CLIENTS.contains(role);
             case REGISTER, ANSWERS, PROBES, OFFERS -> AGENTS.contains(role);
             case RELOAD, NODES -> OPERATORS.contains(role);
-            // the handler lets an agent drain only itself
+            // OperatorHandler lets an agent drain only itself
             case DRAIN -> AGENTS_AND_OPERATORS.contains(role);
-            case REPLIES -> true; // each connection has its own
+            case REPLIES -> true; // each connection has its own reply destinations
         };
     }
 }
--- a/placer/src/main/java/thornferry/placer/HealthChecks.java
+++ b/placer/src/main/java/thornferry/placer/HealthChecks.java
@@ -7,8 +7,9 @@
 import thornferry.decisions.placement.Placement;
 
 /**
- * The health checks that machines have not answered yet, at most one per machine. Each check of the
- * policy ends with one {@link Placement.HealthCheckCompleted}, unless a newer check replaces it.
+ * The health checks that machines have not answered yet, at most one per machine. Each check that
+ * the policy requests ends with one {@link Placement.HealthCheckCompleted}, unless a newer check
+ * replaces it.
  */
 final class HealthChecks {
     private static final long TIMEOUT_MICROS = 2_000_000;
@@ -23,7 +24,7 @@
         this.components = components;
     }
 
-    /** Sends a check to a machine. */
+    /** Sends a health check to a machine. */
     void send(String machine) {
         long number = ++lastNumber;
         pendingByMachine.put(machine, new PendingHealthCheck(number, components.clock().now()));
@@ -33,7 +34,7 @@
         }
     }
 
-    /** A machine answered the check of this number; answers to other checks are ignored. */
+    /** Completes the pending check of a machine; ignores an answer with another number. */
     void answered(String machine, long number, LoadReport load) {
         PendingHealthCheck check = pendingByMachine.get(machine);
         if (check == null || check.number() != number) {
@@ -44,7 +45,9 @@
         complete(machine, check, components.clock().now(), load);
     }
 
-    /** The pending check of a machine failed, if there is one: nothing can answer it any more. */
+    /**
+     * Fails the pending check of a machine, if there is one, since no answer can arrive any more.
+     */
     void fail(String machine) {
         PendingHealthCheck check = pendingByMachine.remove(machine);
         if (check != null) {
@@ -52,7 +55,7 @@
         }
     }
 
-    /** Fails the checks that have not been answered in time. */
+    /** Fails the checks that have not been answered within the timeout. */
     void expire(long nowMicros) {
         Iterator<Map.Entry<String, PendingHealthCheck>> entries =
                 pendingByMachine.entrySet().iterator();
@@ -66,7 +69,9 @@
     }
 
     /**
-     * @param load null if the check failed
+     * Reports the result of a check to the policy.
+     *
+     * @param load the load of the machine, or null if the check failed
      */
     private void complete(
             String machine, PendingHealthCheck check, long nowMicros, LoadReport load) {
--- a/placer/src/main/java/thornferry/placer/InstanceListener.java
+++ b/placer/src/main/java/thornferry/placer/InstanceListener.java
@@ -24,9 +24,9 @@
     private static final Logger LOG = LoggerFactory.getLogger(InstanceListener.class);
 
     /**
-     * Bytes read from one connection before other connections and the ticks are served. Without
-     * this limit (Netty's default is a megabyte), a burst of requests on a few connections, as
-     * after a restart, would delay all responses that are due meanwhile.
+     * The maximum number of bytes read from one connection before other connections and the ticks
+     * are served. Without this limit (Netty's default is a megabyte), a burst of requests on a few
+     * connections, as after a restart, would delay all responses that are due meanwhile.
      */
     private static final int MAX_READ_BYTES = 8 << 10;
 
@@ -37,30 +37,30 @@
     private final PlacerServer server;
     private final EventLoop loop;
     private final Site site;
-    private final Supplier<Optional<SslContext>> tls;
-    private final ChannelGroup accepted;
+    private final Supplier<Optional<SslContext>> tlsContext;
+    private final ChannelGroup acceptedChannels;
     private final Channel listener;
 
     /**
-     * Starts to listen.
+     * Binds the address and starts to listen.
      *
      * @param site the configuration at the start of the placer
-     * @param tls the context for new connections; empty for plain text
+     * @param tlsContext the TLS context for new connections; empty for plain text
      * @throws IOException if the address cannot be bound
      */
     InstanceListener(
             PlacerServer server,
             EventLoop loop,
             Site site,
-            Supplier<Optional<SslContext>> tls,
+            Supplier<Optional<SslContext>> tlsContext,
             String host,
             int port)
             throws IOException {
         this.server = server;
         this.loop = loop;
         this.site = site;
-        this.tls = tls;
-        accepted = new DefaultChannelGroup(loop);
+        this.tlsContext = tlsContext;
+        acceptedChannels = new DefaultChannelGroup(loop);
         listener = bind(host, port);
         LOG.atInfo()
                 .addKeyValue("instance", server.name())
@@ -92,7 +92,7 @@
                     .channel();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted while starting", e);
+            throw new IOException("interrupted while binding the listening address", e);
         } catch (Exception e) { // Netty throws the bind's IOException unchecked
             throw new IOException(
                     "cannot listen on " + host + ":" + port + ": " + e.getMessage(), e);
@@ -100,13 +100,14 @@
     }
 
     private void accept(Channel channel) {
-        // Bounds the memory that unauthenticated peers can take up.
-        if (accepted.size() >= site.connections()) {
+        // Bounds the memory that unauthenticated peers can occupy.
+        if (acceptedChannels.size() >= site.connections()) {
             channel.close();
             return;
         }
-        accepted.add(channel);
-        tls.get()
+        acceptedChannels.add(channel);
+        tlsContext
+                .get()
                 .ifPresent(
                         context ->
                                 channel.pipeline()
@@ -130,24 +131,24 @@
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** The counters of the instance; waits for its event loop. */
+    /** Returns the counters of the instance; blocks until its event loop has read them. */
     Placer.Totals totals() {
         Callable<Placer.Totals> totals = server::totals;
         return loop.submit(totals).syncUninterruptibly().getNow();
     }
 
-    /** Applies a new configuration, soon. */
+    /** Applies a new configuration asynchronously, on the event loop. */
     void reload(Site next) {
         loop.execute(() -> server.reload(next));
     }
 
-    /** Stops to listen; accepted connections stay. */
+    /** Stops listening; accepted connections stay open. */
     void stopListening() {
         listener.close().syncUninterruptibly();
     }
 
-    /** Closes the accepted connections without notice to their peers. */
+    /** Closes the accepted connections without an ERROR frame to their peers. */
     void closeConnections() {
-        accepted.close().syncUninterruptibly();
+        acceptedChannels.close().syncUninterruptibly();
     }
 }
--- a/placer/src/main/java/thornferry/placer/JournalOpener.java
+++ b/placer/src/main/java/thornferry/placer/JournalOpener.java
@@ -10,21 +10,22 @@
 import thornferry.state.Journal;
 import thornferry.state.JournalFile;
 
-/** Opens the journals of the instances of a placer, and closes them with it. */
+/** Opens the journals of the instances of a placer and closes them when the placer is closed. */
 final class JournalOpener implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(JournalOpener.class);
 
     private final List<JournalFile> journals = new ArrayList<>();
 
     /**
-     * Reads what earlier incarnations of an instance left. If the folder cannot be used, the
-     * instance starts nevertheless and rejects only the tasks that need the journal.
+     * Opens the journal of an instance and reads the records of its earlier incarnations. If the
+     * folder cannot be used, the instance starts nevertheless and rejects only the requests that
+     * need the journal.
      *
      * @throws JournalFile.JournalInUseException if another process uses the journal
      */
     RecoveredState open(Site site, String instance) throws IOException {
         if (site.state().durability() == Durability.NONE) {
-            return RecoveredState.NOTHING;
+            return RecoveredState.NO_JOURNAL;
         }
         Path folder = site.state().folder().resolve(instance);
         try {
@@ -53,7 +54,7 @@
     }
 
     /**
-     * Writes the records that still count as the beginning of the new incarnation's journal; does
+     * Starts the journal of the new incarnation with the records that are still needed; does
      * nothing without a journal file.
      */
     static void startIncarnation(RecoveredState recovered, PlacerServer server) throws IOException {
--- a/placer/src/main/java/thornferry/placer/LoginAuthenticator.java
+++ b/placer/src/main/java/thornferry/placer/LoginAuthenticator.java
@@ -22,12 +22,15 @@
 
 /**
  * Checks logins for all instances of a placer. Passcodes are hashed off the event loops, by two
- * threads with a bounded queue, and a {@link LoginRateLimiter} delays or rejects those who guess. A
- * passcode that was found correct is cached as a keyed digest until the accounts change, so that a
- * thousand nodes that reconnect do not cost a thousand hashes. Safe for use by several threads.
+ * threads with a bounded queue, and a {@link LoginRateLimiter} delays or rejects peers that guess.
+ * A passcode that was found correct is cached as a keyed digest until the accounts change, so that
+ * a thousand nodes that reconnect do not require a thousand passcode hashes. Safe for use by
+ * several threads.
  */
 final class LoginAuthenticator implements AutoCloseable {
-    /** The rejection of a wrong login or passcode; it does not say which of the two is wrong. */
+    /**
+     * The rejection of a wrong login or passcode; the text does not say which of the two is wrong.
+     */
     static final String NOT_ACCEPTED = "login or passcode not accepted";
 
     private static final String TOO_MANY_ATTEMPTS =
@@ -41,11 +44,11 @@
     private static final String DIGEST_ALGORITHM = "HmacSHA256";
 
     /**
-     * What a peer presents.
+     * The credentials that a peer presents.
      *
-     * @param address of the peer
-     * @param login may be null
-     * @param passcode may be null
+     * @param address the address of the peer
+     * @param login the login, or null if the peer gave none
+     * @param passcode the passcode, or null if the peer gave none
      */
     record Credentials(String address, String login, String passcode) {}
 
@@ -57,9 +60,9 @@
     /**
      * One check of credentials.
      *
-     * @param login as given, or empty if none was given or it is too long
-     * @param account null if there is none of this login
-     * @param digest the key of the cache; null if there is nothing that could be cached
+     * @param login the login as given, or empty if none was given or it is too long
+     * @param account the account of the login, or null if there is none
+     * @param digest the key in the cache of accepted digests; null if the check cannot be cached
      * @param callback receives empty if the credentials are correct, or the reason of the rejection
      */
     private record LoginCheck(
@@ -80,7 +83,7 @@
 
     private final Clock clock = Clock.system();
 
-    /** Not safe for use by several threads: guarded by itself. */
+    /** Not safe for use by several threads; each access synchronizes on the limiter itself. */
     private final LoginRateLimiter rateLimiter =
             new LoginRateLimiter(LoginRateLimiter.Settings.DEFAULTS);
 
@@ -110,15 +113,15 @@
         return thread;
     }
 
-    /** Replaces the accounts; open connections stay. */
-    void setAccounts(List<Account> list) {
+    /** Replaces the accounts; open connections stay open. */
+    void setAccounts(List<Account> newAccounts) {
         Map<String, Account> byLogin = new HashMap<>();
-        list.forEach(account -> byLogin.put(account.login(), account));
+        newAccounts.forEach(account -> byLogin.put(account.login(), account));
         accounts = Map.copyOf(byLogin);
         acceptedDigests.clear();
     }
 
-    /** The account of a login, or null. */
+    /** Returns the account of a login, or null if there is none. */
     Account account(String login) {
         return login == null ? null : accounts.get(login);
     }
@@ -136,8 +139,8 @@
             Consumer<Optional<String>> callback) {
         LoginCheck check = loginCheck(credentials, callback);
         if (isCached(check)) {
-            // A passcode known to be correct is no guess, so it is not delayed by the guesses of
-            // others.
+            // A passcode known to be correct is not a guess, so it is not delayed by the guesses
+            // of other peers.
             synchronized (rateLimiter) {
                 rateLimiter.attemptStarted(clock.now(), check.address(), check.login());
                 rateLimiter.attemptEnded(clock.now(), check.address(), check.login(), true);
@@ -191,8 +194,8 @@
     }
 
     private void run(LoginCheck check) {
-        String stored = check.account() == null ? null : check.account().secret();
-        boolean correct = isCached(check) || Passcodes.matches(check.passcode(), stored);
+        String storedSecret = check.account() == null ? null : check.account().secret();
+        boolean correct = isCached(check) || Passcodes.matches(check.passcode(), storedSecret);
         if (correct && check.digest() != null && acceptedDigests.size() < MAX_CACHED_DIGESTS) {
             acceptedDigests.put(check.digest(), check.login());
         }
@@ -206,13 +209,13 @@
         }
     }
 
-    private String digest(String login, String passcode, String stored) {
+    private String digest(String login, String passcode, String storedSecret) {
         try {
             Mac mac = Mac.getInstance(DIGEST_ALGORITHM);
             mac.init(new SecretKeySpec(digestKey, DIGEST_ALGORITHM));
-            for (String part : List.of(login, passcode, stored)) {
+            for (String part : List.of(login, passcode, storedSecret)) {
                 byte[] bytes = part.getBytes(StandardCharsets.UTF_8);
-                // with its length, so that no two lists of parts give the same input
+                // the length prefix makes the input differ for any two lists of parts
                 mac.update((bytes.length + ":").getBytes(StandardCharsets.UTF_8));
                 mac.update(bytes);
             }
@@ -222,13 +225,15 @@
         }
     }
 
-    /** Whether the login that a peer gave, if any, is the one that its certificate names. */
-    static boolean isConsistent(String login, String certified) {
+    /**
+     * Returns whether the login that a peer gave, if any, is the one that its certificate names.
+     */
+    static boolean matchesCertificate(String login, String certifiedLogin) {
         return login == null
                 || login.isEmpty()
                 || MessageDigest.isEqual(
                         login.getBytes(StandardCharsets.UTF_8),
-                        certified.getBytes(StandardCharsets.UTF_8));
+                        certifiedLogin.getBytes(StandardCharsets.UTF_8));
     }
 
     @Override
--- a/placer/src/main/java/thornferry/placer/MembershipActions.java
+++ b/placer/src/main/java/thornferry/placer/MembershipActions.java
@@ -8,11 +8,13 @@
 import thornferry.decisions.placement.Placement;
 import thornferry.decisions.recovery.MachineInventory;
 
-/** Carries out what {@link Membership} decides, and passes registrations to it. */
+/** Carries out the actions of {@link Membership} and passes it the registrations of nodes. */
 final class MembershipActions implements Consumer<Membership.Action> {
     private static final Logger LOG = LoggerFactory.getLogger(MembershipActions.class);
 
-    /** The sequence number of a list update; membership has only one list, so it is not used. */
+    /**
+     * The version of each update of the machine list; constant, since membership has only one list.
+     */
     private static final int LIST_VERSION = 0;
 
     private final PlacerComponents components;
@@ -21,7 +23,7 @@
         this.components = components;
     }
 
-    /** A node registers. */
+    /** Processes the registration of a node. */
     void register(NodeRegistration registration) {
         components.membership.registered(
                 components.clock().now(),
@@ -52,7 +54,7 @@
         } else if (action instanceof Membership.NotifyDrain drain) {
             components.output.notifyDrain(drain.machine(), drain.draining());
         } else {
-            throw new IllegalStateException("outside a registration: " + action);
+            throw new IllegalStateException("action that only a registration may cause: " + action);
         }
     }
 
@@ -61,15 +63,15 @@
         LOG.atWarn()
                 .addKeyValue("instance", components.instance.name())
                 .addKeyValue("node", ended.machine())
-                .log("incarnation {} is over: {}", ended.incarnation(), ended.reason());
+                .log("incarnation {} ended: {}", ended.incarnation(), ended.reason());
         components.attempts.incarnationEnded(
                 now, ended.machine(), ended.incarnation(), components.attemptActions);
     }
 
     /**
      * Processes the inventory of an admitted machine. The order matters: reports that an earlier
-     * connection may have lost come first, then what the machine holds, and only then does recovery
-     * judge what the machine no longer has.
+     * connection may have lost come first, then the attempts that the machine holds, and only then
+     * does recovery decide about attempts that the machine no longer has.
      */
     private void admit(Membership.MachineAdmitted admitted, NodeRegistration registration) {
         long now = components.clock().now();
--- a/placer/src/main/java/thornferry/placer/NodeHandler.java
+++ b/placer/src/main/java/thornferry/placer/NodeHandler.java
@@ -38,7 +38,7 @@
 
     void register(ServerSession session, Frame frame) throws ProtocolException {
         ConnectionState state = connections.stateOf(session);
-        state.binary = Bodies.PROTOBUF.equals(frame.header("content-type"));
+        state.usesProtobuf = Bodies.PROTOBUF.equals(frame.header("content-type"));
         Register register = Bodies.read(frame, Register.getDefaultInstance());
         String offers = Destinations.offers(register.getNode());
         if (!session.subscribedTo(offers)) {
@@ -119,7 +119,7 @@
     /**
      * Sends an order to a machine.
      *
-     * @return the write, or empty if nothing was written
+     * @return the future of the write, or empty if nothing was written
      */
     private Optional<ChannelFuture> send(String machine, Order order, String messageId) {
         return connections
@@ -129,8 +129,8 @@
 
     private ChannelFuture send(
             ServerSession session, String machine, Order order, String messageId) {
-        boolean binary = connections.stateOf(session).binary;
-        Frame frame = Bodies.write(Frame.of(StompCommand.MESSAGE), order, binary);
+        boolean usesProtobuf = connections.stateOf(session).usesProtobuf;
+        Frame frame = Bodies.write(Frame.of(StompCommand.MESSAGE), order, usesProtobuf);
         return session.message(Destinations.offers(machine), messageId, frame);
     }
 }
--- a/placer/src/main/java/thornferry/placer/NodeRegistration.java
+++ b/placer/src/main/java/thornferry/placer/NodeRegistration.java
@@ -14,10 +14,11 @@
  * The registration of a node on a connection, with its inventory.
  *
  * @param connection the number of the connection
- * @param machine the machine as {@link Membership} sees it
- * @param heldAttempts accepted and unfinished attempts
- * @param recentReports the last final reports, which may have been lost with an earlier connection
- * @param retainedAttempts finished attempts of tasks that must not run twice
+ * @param machine the part of the registration that {@link Membership} processes
+ * @param heldAttempts the accepted and unfinished attempts
+ * @param recentReports the latest reports of the end of an attempt, which may have been lost with
+ *     an earlier connection
+ * @param retainedAttempts the finished attempts of tasks that must not run twice
  * @param completeSinceMicros see {@link MachineInventory}
  */
 record NodeRegistration(
@@ -28,14 +29,14 @@
         List<RetainedAttempt> retainedAttempts,
         Map<Placement.Idempotency, Long> completeSinceMicros) {
 
-    /** The held attempts by id; if an id is listed twice, the later entry counts. */
+    /** Returns the held attempts by id; if an id is listed twice, the later entry is used. */
     Map<String, HeldAttempt> heldAttemptsById() {
         Map<String, HeldAttempt> byId = new HashMap<>();
         heldAttempts.forEach(held -> byId.put(held.attempt(), held));
         return byId;
     }
 
-    /** The ids of the held attempts whose task has started. */
+    /** Returns the ids of the held attempts whose task has started. */
     Set<String> runningAttempts() {
         return heldAttemptsById().values().stream()
                 .filter(HeldAttempt::running)
--- a/placer/src/main/java/thornferry/placer/OperatorHandler.java
+++ b/placer/src/main/java/thornferry/placer/OperatorHandler.java
@@ -52,8 +52,8 @@
     void drain(ServerSession session, Frame frame) throws ProtocolException {
         Drain drain = Bodies.read(frame, Drain.getDefaultInstance());
         ConnectionState state = connections.stateOf(session);
-        boolean itself = drain.getNode().equals(core.membership().machineOf(state.connection));
-        if (state.account.role() != Account.Role.OPERATOR && !itself) {
+        boolean isOwnNode = drain.getNode().equals(core.membership().machineOf(state.connection));
+        if (state.account.role() != Account.Role.OPERATOR && !isOwnNode) {
             throw new ProtocolException(
                     "login " + session.login() + " may not drain " + drain.getNode());
         }
@@ -63,7 +63,7 @@
         LOG.atInfo()
                 .addKeyValue("instance", instance.name())
                 .addKeyValue("node", drain.getNode())
-                .log(drain.getOn() ? "drains" : "no longer drains");
+                .log(drain.getOn() ? "drain started" : "drain ended");
     }
 
     void subscribeToNodes(ServerSession session) {
@@ -77,7 +77,9 @@
         nodeListSubscribers.remove(session);
     }
 
-    /** Sends the node list to its subscribers if it changed since it was last sent to all. */
+    /**
+     * Sends the node list to its subscribers if it changed since it was last sent to all of them.
+     */
     void sendChangedNodes() {
         if (nodeListSubscribers.isEmpty()) {
             return;
@@ -85,7 +87,7 @@
         Nodes nodes = nodes();
         if (!nodes.equals(lastSentNodes)) {
             lastSentNodes = nodes;
-            // copied, since sending to a session may close it and so remove it here
+            // a copy, since sending to a session may close it and so remove it from the set
             List.copyOf(nodeListSubscribers).forEach(session -> send(session, nodes));
         }
     }
--- a/placer/src/main/java/thornferry/placer/Placer.java
+++ b/placer/src/main/java/thornferry/placer/Placer.java
@@ -12,18 +12,20 @@
 import thornferry.decisions.placement.Policy;
 
 /**
- * A running placer: one or more instances, each listening on a port of its own and sharing nothing
- * with the others. Each instance has one event loop; with many instances a loop serves several.
+ * A running placer, with one or more instances. Each instance listens on a port of its own and
+ * shares no scheduling state with the others. Each instance runs on one event loop; if there are
+ * more instances than processors, an event loop serves several.
  */
 public final class Placer implements AutoCloseable {
     private static final int SHUTDOWN_TIMEOUT_SECONDS = 2;
 
-    /** Reads a new configuration. */
+    /** A source from which a new configuration is read. */
     public interface Source {
         /**
          * Reads the configuration.
          *
-         * @throws Exception if that fails; the previous configuration then stays in effect
+         * @throws Exception if the configuration cannot be read; the previous one then stays in
+         *     effect
          */
         Site read() throws Exception;
     }
@@ -31,12 +33,12 @@
     /**
      * Counters of a placer.
      *
-     * @param requests received since the start
-     * @param results first results of requests since the start
-     * @param offers made since the start
-     * @param policyFailures exceptions of the placement policy since the start
-     * @param pending requests without a result now
-     * @param attempts unfinished attempts now
+     * @param requests the number of requests received since the start
+     * @param results the number of first results of requests since the start
+     * @param offers the number of offers made since the start
+     * @param policyFailures the number of exceptions thrown by the placement policy since the start
+     * @param pending the number of requests that have no result now
+     * @param attempts the number of attempts that are unfinished now
      */
     public record Totals(
             long requests,
@@ -61,7 +63,7 @@
     private final Site site;
     private final LoginAuthenticator authenticator;
     private final ReloadableConfiguration configuration;
-    private final MultiThreadIoEventLoopGroup loops;
+    private final MultiThreadIoEventLoopGroup eventLoops;
     private final JournalOpener journals = new JournalOpener();
     private final List<InstanceListener> listeners = new ArrayList<>();
 
@@ -69,12 +71,12 @@
         this.site = site;
         authenticator = new LoginAuthenticator(site.accounts());
         configuration = new ReloadableConfiguration(site, authenticator, this::reloadInstances);
-        loops = new MultiThreadIoEventLoopGroup(threads, NioIoHandler.newFactory());
+        eventLoops = new MultiThreadIoEventLoopGroup(threads, NioIoHandler.newFactory());
     }
 
     /**
-     * Starts instances that listen on {@code port}, {@code port + 1} and so on; port 0 takes any
-     * free ports.
+     * Starts instances that listen on {@code port}, {@code port + 1} and so on; with port 0, each
+     * instance listens on a free port.
      *
      * @throws IOException if a port cannot be bound, or a certificate or journal cannot be used;
      *     nothing is left running
@@ -95,7 +97,7 @@
     }
 
     private void startInstance(int number, String host, int port) throws IOException {
-        EventLoop loop = loops.next();
+        EventLoop loop = eventLoops.next();
         PlacerInstance instance = new PlacerInstance(site, number, loop, Clock.system());
         RecoveredState recovered = journals.open(site, instance.name());
         PlacerServer server =
@@ -108,28 +110,28 @@
         listeners.forEach(listener -> listener.reload(next));
     }
 
-    /** Sets where {@link #reload} reads the configuration from. */
+    /** Sets the source from which {@link #reload} reads the configuration. */
     public void reloadFrom(Source source) {
         configuration.setSource(source);
     }
 
     /**
      * Reloads the configuration. Admission limits, accounts and certificates take effect at once
-     * for new connections and requests; open connections, pending requests and running tasks stay.
-     * Everything else needs a restart.
+     * for new connections and requests; open connections, pending requests and running tasks are
+     * kept. Everything else needs a restart.
      *
-     * @return null on success, or the error; nothing has changed then
+     * @return null on success; otherwise the error, in which case nothing has changed
      */
     public String reload() {
         return configuration.reload().orElse(null);
     }
 
-    /** The address of each instance. */
+    /** Returns the address of each instance. */
     public List<InetSocketAddress> addresses() {
         return listeners.stream().map(InstanceListener::address).toList();
     }
 
-    /** The sum of the counters of all instances. */
+    /** Returns the sum of the counters of all instances. */
     public Totals totals() {
         return listeners.stream().map(InstanceListener::totals).reduce(Totals.ZERO, Totals::plus);
     }
@@ -147,13 +149,17 @@
                                                         TimeUnit.MILLISECONDS.toNanos(millis))));
     }
 
-    /** Stops at once, as a kill would: connections are closed without notice to their peers. */
+    /**
+     * Stops at once, as a killed process would: connections are closed without an ERROR frame to
+     * their peers.
+     */
     @Override
     public void close() {
         listeners.forEach(InstanceListener::stopListening);
         listeners.forEach(InstanceListener::closeConnections);
         authenticator.close();
-        loops.shutdownGracefully(0, SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS)
+        eventLoops
+                .shutdownGracefully(0, SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS)
                 .syncUninterruptibly();
         journals.close();
     }
--- a/placer/src/main/java/thornferry/placer/PlacerComponents.java
+++ b/placer/src/main/java/thornferry/placer/PlacerComponents.java
@@ -47,20 +47,22 @@
     final AttemptActions attemptActions = new AttemptActions(this);
     final RecoveryActions recoveryActions = new RecoveryActions(this);
 
-    private final Function<String, String> tenants;
+    private final Function<String, String> tenantByOwner;
 
     /**
-     * @param tenants maps an owner to its tenant, or to the empty string
+     * Creates the modules of an instance.
+     *
+     * @param tenantByOwner maps an owner to its tenant, or to the empty string
      */
     PlacerComponents(
             PlacerInstance instance,
             Function<Placement.Settings, Placement> policyFactory,
-            Function<String, String> tenants,
+            Function<String, String> tenantByOwner,
             RecoveredState recovered,
             PlacerOutput output) {
         this.instance = instance;
         this.output = output;
-        this.tenants = tenants;
+        this.tenantByOwner = tenantByOwner;
         Site site = instance.site();
         Placement.Settings settings = site.placementOf(instance.number());
         long now = clock().now();
@@ -92,9 +94,9 @@
         return instance.clock();
     }
 
-    /** The tenant of an owner; empty if it has none. */
+    /** Returns the tenant of an owner; empty if the owner has none. */
     String tenantOf(String owner) {
-        return tenants.apply(owner);
+        return tenantByOwner.apply(owner);
     }
 
     private static RequestTracker requestTracker(
@@ -130,7 +132,7 @@
                 membership::connectionOf);
     }
 
-    /** The machine kind that a task class requires, by class; classes that require none lack. */
+    /** Returns the required machine kind by task class; classes that require none are absent. */
     private static Map<String, String> requiredKinds(
             List<Placement.TaskClass> classes, List<Placement.MachineKind> kinds) {
         Map<String, String> requiredKinds = new HashMap<>();
--- a/placer/src/main/java/thornferry/placer/PlacerCore.java
+++ b/placer/src/main/java/thornferry/placer/PlacerCore.java
@@ -15,11 +15,12 @@
 
 /**
  * The decision modules of one placer instance behind one interface: calls come in from clients,
- * operators, nodes and the clock, and effects leave through the {@link PlacerOutput}. It knows
- * neither frames nor sockets and takes no decision itself. Everything runs on one event loop.
+ * operators, nodes and the clock, and effects leave through the {@link PlacerOutput}. The class
+ * handles neither frames nor sockets and makes no scheduling decision. Everything runs on one event
+ * loop.
  */
 final class PlacerCore {
-    /** Membership, recovery, journal and health checks are processed once in so many ticks. */
+    /** The number of ticks between two runs of membership, recovery, journal and health checks. */
     private static final int TICKS_PER_SLOW_TICK = 5;
 
     private final PlacerComponents components;
@@ -27,15 +28,16 @@
 
     /**
      * @param policyFactory creates the placement policy
-     * @param tenants maps an owner to its tenant, or to the empty string
+     * @param tenantByOwner maps an owner to its tenant, or to the empty string
      */
     PlacerCore(
             PlacerInstance instance,
             Function<Placement.Settings, Placement> policyFactory,
-            Function<String, String> tenants,
+            Function<String, String> tenantByOwner,
             RecoveredState recovered,
             PlacerOutput output) {
-        components = new PlacerComponents(instance, policyFactory, tenants, recovered, output);
+        components =
+                new PlacerComponents(instance, policyFactory, tenantByOwner, recovered, output);
         recovered.records().forEach(components.recovery::apply);
         components.recovery.begin(now(), components.recoveryActions);
         updateAvailability();
@@ -47,12 +49,12 @@
                                                 0, Placement.ListUpdateKind.FULL, List.of())));
     }
 
-    /** The records that still count: what a new journal begins with. */
+    /** Returns the records that are still needed, with which a new journal begins. */
     List<JournalRecord> recordsToKeep() {
         return components.recovery.snapshot();
     }
 
-    // ---- views; on the event loop ----
+    // ---- state of the modules ----
 
     Membership membership() {
         return components.membership;
@@ -66,13 +68,15 @@
         return components.admissionQueue;
     }
 
-    /** The number of unfinished attempts at a machine. */
+    /** Returns the number of unfinished attempts at a machine. */
     int attemptsAt(String machine) {
         return components.attempts.attemptCountOnMachine(machine);
     }
 
     /**
-     * @param requestCount requests received by the server, valid or not
+     * Returns the counters of the instance.
+     *
+     * @param requestCount the number of requests received by the server, valid or not
      */
     Placer.Totals totals(long requestCount) {
         return new Placer.Totals(
@@ -86,7 +90,7 @@
 
     // ---- time and configuration ----
 
-    /** Processes everything that is due; to be called every few milliseconds. */
+    /** Processes everything that is due. Must be called every few milliseconds. */
     void tick() {
         long now = now();
         components.attempts.tick(now, components.attemptActions);
@@ -107,7 +111,10 @@
         components.admissionQueue.reload(now(), settings, components.admissionActions);
     }
 
-    /** Requests that need the journal are rejected while it cannot be written. */
+    /**
+     * Tells the request tracker whether the journal can be written. While it cannot, requests that
+     * need it are rejected.
+     */
     private void updateAvailability() {
         components.requests.setUnavailable(components.journal.writeFailure());
     }
@@ -115,9 +122,9 @@
     // ---- clients and operators ----
 
     /**
-     * A client requests that a task be placed.
+     * Submits the request of a client to have a task placed.
      *
-     * @throws InvalidRequestException if the request is invalid; nothing has changed then
+     * @throws InvalidRequestException if the request is invalid, in which case nothing has changed
      */
     void submit(String owner, TaskSpec spec) throws InvalidRequestException {
         components.requests.submit(
@@ -130,7 +137,7 @@
     }
 
     /**
-     * A client stops a task, pending or running.
+     * Stops a pending or running task of a client.
      *
      * @throws InvalidRequestException if there is no such task
      */
@@ -139,8 +146,8 @@
     }
 
     /**
-     * The notifications that a client has not confirmed. Those that wait for the journal are left
-     * out, since they are sent once their record is durable.
+     * Returns the notifications that a client has not confirmed. Those that wait for the journal
+     * are left out, since they are sent once their record is durable.
      */
     List<ResultNotification> undelivered(String owner) {
         return components.requests.undelivered(owner).stream()
@@ -151,24 +158,24 @@
                 .toList();
     }
 
-    /** A client confirmed a notification. */
+    /** Marks a notification as confirmed by its client. */
     void delivered(String owner, long sequence) {
         components.requests.delivered(owner, sequence);
     }
 
-    /** Starts or ends the draining of a machine; false if there is no such machine. */
+    /** Starts or ends the drain of a machine; returns false if there is no such machine. */
     boolean drain(String machine, boolean draining) {
         return components.membership.drain(now(), machine, draining, components.membershipActions);
     }
 
     // ---- nodes ----
 
-    /** A node registers, for the first time or after a reconnect. */
+    /** Processes the registration of a node, which is its first or follows a reconnect. */
     void registered(NodeRegistration registration) {
         components.membershipActions.register(registration);
     }
 
-    /** A connection was closed, by either side. */
+    /** Processes the end of a connection that either side closed. */
     void connectionClosed(long connection) {
         String machine = components.membership.machineOf(connection);
         if (machine != null) {
@@ -179,23 +186,23 @@
         }
     }
 
-    /** A node reports the status of an attempt. */
+    /** Processes the report of a node about the status of an attempt. */
     void attemptReported(String machine, AttemptReport report) {
         components.attemptActions.report(machine, report);
     }
 
-    /** A node reports the resources that an attempt uses. */
+    /** Processes the report of a node about the resources that an attempt uses. */
     void usageReported(String machine, String attempt, double cores, double memory) {
         components.attempts.usageReported(
                 machine, attempt, cores, memory, components.attemptActions);
     }
 
-    /** An offer could not be written, so its attempt cannot have run. */
+    /** Ends an attempt whose offer could not be written; the attempt cannot have run. */
     void notWritten(String attempt) {
         components.attempts.notWritten(now(), attempt, components.attemptActions);
     }
 
-    /** A node answered a health check. */
+    /** Processes the answer of a node to a health check. */
     void healthCheckAnswered(String machine, long number, LoadReport load) {
         components.healthChecks.answered(machine, number, load);
     }
--- a/placer/src/main/java/thornferry/placer/PlacerInstance.java
+++ b/placer/src/main/java/thornferry/placer/PlacerInstance.java
@@ -5,11 +5,12 @@
 /**
  * One instance of a placer.
  *
- * @param number its index among the instances of the site, from 0
+ * @param site the configuration of the placer
+ * @param number the index of the instance among those of the placer, from 0
  * @param loop the event loop on which everything of the instance runs
  */
 record PlacerInstance(Site site, int number, EventLoop loop, Clock clock) {
-    /** The name of an instance: the site's name and the number. */
+    /** Returns the name of an instance: the name of the placer and the number. */
     static String name(Site site, int number) {
         return site.name() + "-" + number;
     }
--- a/placer/src/main/java/thornferry/placer/PlacerOutput.java
+++ b/placer/src/main/java/thornferry/placer/PlacerOutput.java
@@ -4,7 +4,10 @@
 import thornferry.decisions.requests.RequestTracker;
 import thornferry.decisions.requests.ResultNotification;
 
-/** What a {@link PlacerCore} sends to nodes and clients. Called on the event loop. */
+/**
+ * The output of a {@link PlacerCore} to nodes and clients. All methods are called on the event
+ * loop.
+ */
 interface PlacerOutput {
     /**
      * Sends an offer to a machine. A write that fails later is reported by {@link
@@ -14,7 +17,7 @@
      */
     boolean offer(String machine, String attempt, RequestTracker.OfferDetails details);
 
-    /** Asks a machine to drop an attempt, whatever its state there. */
+    /** Orders a machine to cancel an attempt, whatever the state of the attempt there. */
     void cancelAttempt(String machine, String attempt);
 
     /**
@@ -30,7 +33,7 @@
     /**
      * Notifies a machine that its registration was accepted.
      *
-     * @param retentionMicros how long the machine must remember attempts that ended there
+     * @param retentionMicros the time for which the machine must remember finished attempts
      */
     void welcome(String machine, long retentionMicros);
 
@@ -40,6 +43,6 @@
     /** Closes a connection with an ERROR frame that carries {@code reason}. */
     void closeConnection(long connection, String reason);
 
-    /** Called when the state of a task or its pending reason changed. */
+    /** Notifies the owner of a task that its state or its pending reason changed. */
     void reasonChanged(PendingReasons.ReasonChanged changed);
 }
--- a/placer/src/main/java/thornferry/placer/PlacerServer.java
+++ b/placer/src/main/java/thornferry/placer/PlacerServer.java
@@ -29,7 +29,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(PlacerServer.class);
     private static final long TICK_MILLIS = 20;
 
-    /** The node list is compared and sent once in so many ticks. */
+    /** The number of ticks between two comparisons of the node list with the one sent last. */
     private static final int TICKS_PER_NODE_LIST = 5;
 
     private final PlacerInstance instance;
@@ -42,6 +42,8 @@
     private int tickCount;
 
     /**
+     * Creates the server of an instance and starts its ticks.
+     *
      * @param policyFactory creates the placement policy
      */
     PlacerServer(
@@ -71,12 +73,12 @@
         return core.recordsToKeep();
     }
 
-    /** The counters of this instance; on the event loop. */
+    /** Returns the counters of this instance. Must be called on the event loop. */
     Placer.Totals totals() {
         return core.totals(clientHandler.requestCount());
     }
 
-    /** Applies a new configuration; on the event loop. */
+    /** Applies a new configuration. Must be called on the event loop. */
     void reload(Site site) {
         core.reload(site.admission());
     }
@@ -94,8 +96,11 @@
                 operatorHandler.sendChangedNodes();
             }
         } catch (RuntimeException e) {
-            // caught, since an exception would cancel all further ticks
-            LOG.atError().addKeyValue("instance", instance.name()).setCause(e).log("a tick failed");
+            // an uncaught exception would cancel all further ticks
+            LOG.atError()
+                    .addKeyValue("instance", instance.name())
+                    .setCause(e)
+                    .log("exception in a tick; later ticks still run");
         }
     }
 
@@ -104,12 +109,12 @@
     @Override
     public void connecting(ServerSession session, String login, String passcode) {
         SslHandler tls = session.channel().pipeline().get(SslHandler.class);
-        String certified = tls == null ? null : Tls.peer(tls.engine().getSession());
-        if (certified != null && passcode == null) {
-            authenticateByCertificate(session, login, certified);
+        String certifiedLogin = tls == null ? null : Tls.peer(tls.engine().getSession());
+        if (certifiedLogin != null && passcode == null) {
+            authenticateByCertificate(session, login, certifiedLogin);
         } else if (tls != null && login == null && passcode == null) {
-            // JDK clients do not send a certificate that was signed by none of the authorities that
-            // the server names
+            // A JDK client sends no certificate unless one of the authorities that the server
+            // names has signed it.
             session.fail(
                     "no login, and no certificate that this site's authority has signed", null);
         } else {
@@ -117,13 +122,14 @@
         }
     }
 
-    private void authenticateByCertificate(ServerSession session, String login, String certified) {
-        if (!LoginAuthenticator.isConsistent(login, certified)) {
+    private void authenticateByCertificate(
+            ServerSession session, String login, String certifiedLogin) {
+        if (!LoginAuthenticator.matchesCertificate(login, certifiedLogin)) {
             session.fail("the certificate is not that of the login", null);
-        } else if (authenticator.account(certified) == null) {
+        } else if (authenticator.account(certifiedLogin) == null) {
             session.fail(LoginAuthenticator.NOT_ACCEPTED, null);
         } else {
-            session.admit(certified);
+            session.admit(certifiedLogin);
         }
     }
 
@@ -158,7 +164,8 @@
     public void sent(ServerSession session, String destination, Frame frame)
             throws ProtocolException {
         Endpoint endpoint =
-                requirePermission(session, DestinationPermissions.send(destination), destination);
+                requirePermission(
+                        session, DestinationPermissions.sendEndpoint(destination), destination);
         switch (endpoint) {
             case TASKS -> clientHandler.submit(session, frame);
             case STOP -> clientHandler.stop(session, frame);
@@ -179,13 +186,15 @@
             throws ProtocolException {
         Endpoint endpoint =
                 requirePermission(
-                        session, DestinationPermissions.subscribe(destination), destination);
+                        session,
+                        DestinationPermissions.subscribeEndpoint(destination),
+                        destination);
         switch (endpoint) {
             case RESULTS -> clientHandler.subscribeToResults(session);
             case WAITING -> clientHandler.subscribeToReasons(session);
             case NODES -> operatorHandler.subscribeToNodes(session);
             default -> {
-                // Offers and replies need nothing: messages are sent as they arise.
+                // Offers and replies need no action: their messages are sent as they occur.
             }
         }
     }
@@ -206,25 +215,25 @@
     @Override
     public void unsubscribed(ServerSession session, String destination) {
         if (session.subscribedTo(destination)) {
-            return; // by another subscription
+            return; // another subscription of the session remains
         }
         switch (destination) {
             case Destinations.RESULTS -> clientHandler.unsubscribeFromResults(session);
             case Destinations.WAITING -> clientHandler.unsubscribeFromReasons(session);
             case Destinations.NODES -> operatorHandler.unsubscribeFromNodes(session);
             default -> {
-                // Nothing is tracked for other destinations.
+                // The server keeps no list of subscribers for other destinations.
             }
         }
     }
 
     @Override
-    public void acknowledged(ServerSession session, String messageId, boolean good) {
-        clientHandler.acknowledged(session, messageId, good);
+    public void acknowledged(ServerSession session, String messageId, boolean accepted) {
+        clientHandler.acknowledged(session, messageId, accepted);
     }
 
     @Override
-    public void closed(ServerSession session, String why) {
+    public void closed(ServerSession session, String reason) {
         long connection = connections.stateOf(session).connection;
         clientHandler.unsubscribeFromResults(session);
         clientHandler.unsubscribeFromReasons(session);
@@ -235,7 +244,7 @@
             LOG.atWarn()
                     .addKeyValue("instance", instance.name())
                     .addKeyValue("node", machine)
-                    .log("connection over: {}", why);
+                    .log("connection closed: {}", reason);
             core.connectionClosed(connection);
         }
     }
--- a/placer/src/main/java/thornferry/placer/PolicyActions.java
+++ b/placer/src/main/java/thornferry/placer/PolicyActions.java
@@ -10,7 +10,7 @@
 import thornferry.decisions.recovery.JournalRecord;
 import thornferry.decisions.requests.RequestTracker;
 
-/** Carries out what the placement policy decides. */
+/** Carries out the actions of the placement policy. */
 final class PolicyActions implements Consumer<Placement.Action> {
     private static final Logger LOG = LoggerFactory.getLogger(PolicyActions.class);
     private static final String MAY_HAVE_RUN = "an earlier attempt may have run";
@@ -24,7 +24,7 @@
         this.components = components;
     }
 
-    /** Offers that the policy has made so far. */
+    /** Returns the number of offers that the policy has made. */
     long offerCount() {
         return offerCount;
     }
@@ -52,10 +52,10 @@
         } else if (action instanceof Placement.Log message) {
             LOG.atInfo().addKeyValue("instance", components.instance.name()).log(message.message());
         }
-        // Subscribe and FetchList need nothing: membership reports each change by itself.
+        // Subscribe and FetchList need no action: membership reports each change unasked.
     }
 
-    /** The policy threw an exception on an event of this request: the request fails. */
+    /** Fails a request after the policy threw an exception on an event of it. */
     void policyFailed(String requestId) {
         long now = components.clock().now();
         components.requests.failed(now, requestId, INTERNAL_ERROR, components.requestActions);
@@ -70,7 +70,7 @@
     private void reject(Placement.Reject reject) {
         long now = components.clock().now();
         PendingReasons.Reason reason = components.reasons.reasonOf(now, reject.requestId());
-        String sentence = explainsRejection(reason) ? reason.sentence() : NO_REASON;
+        String reasonText = explainsRejection(reason) ? reason.sentence() : NO_REASON;
         long overloadRetryMicros =
                 components.admissionQueue.isOverloaded()
                         ? components.admissionQueue.retryAfter(now)
@@ -79,11 +79,15 @@
                 now,
                 reject.requestId(),
                 Math.max(reject.retryAfterMicros(), overloadRetryMicros),
-                sentence,
+                reasonText,
                 components.requestActions);
     }
 
-    /** Whether the reason for waiting also explains the rejection; null means none is known. */
+    /**
+     * Returns whether a pending reason also explains the rejection.
+     *
+     * @param reason the pending reason, or null if none is known
+     */
     private static boolean explainsRejection(PendingReasons.Reason reason) {
         return reason != null
                 && reason.kind() != PendingReasons.Kind.QUEUED
@@ -96,7 +100,7 @@
             LOG.atError()
                     .addKeyValue("instance", components.instance.name())
                     .addKeyValue("task", offer.requestId())
-                    .log("the policy offered a request that is not pending; nothing was sent");
+                    .log("the policy offered a request that is not pending; the offer is not sent");
             return;
         }
         offerCount++;
@@ -119,7 +123,7 @@
                 failure -> offerPersisted(offer.machine(), attempt, details, failure));
     }
 
-    /** Registers a new attempt with the modules and returns its id. */
+    /** Begins a new attempt in all modules that track it and returns its id. */
     private String beginAttempt(
             long now, Placement.Offer offer, RequestTracker.OfferDetails details) {
         String machine = offer.machine();
@@ -140,36 +144,39 @@
                 .addKeyValue("task", details.spec().id())
                 .addKeyValue("node", machine)
                 .addKeyValue("attempt", attempt)
-                .log("offered, attempt {} of this request", details.attempt());
+                .log("offered as attempt {} of the request", details.attempt());
         return attempt;
     }
 
     private void send(String machine, String attempt, RequestTracker.OfferDetails details) {
         if (!components.output.offer(machine, attempt, details)) {
-            notSent(attempt);
+            offerNotSent(attempt);
         }
     }
 
-    private void notSent(String attempt) {
+    private void offerNotSent(String attempt) {
         components.attempts.notWritten(
                 components.clock().now(), attempt, components.attemptActions);
     }
 
-    /** The record of an offer is durable, or could not be written. */
+    /**
+     * Sends an offer whose record is durable. Ends the attempt instead if the record could not be
+     * written or the offer must not be sent any more.
+     */
     private void offerPersisted(
             String machine,
             String attempt,
             RequestTracker.OfferDetails details,
             Optional<String> failure) {
-        // Things may have changed while the record was written: a machine that drains now must not
-        // receive anything new.
+        // The attempt may have ended, or the machine may have begun to drain, while the record was
+        // written.
         if (failure.isEmpty()
                 && components.attempts.isOpen(attempt)
                 && components.membership.isReady(machine)) {
             send(machine, attempt, details);
         } else {
             components.requests.setUnavailable(components.journal.writeFailure());
-            notSent(attempt);
+            offerNotSent(attempt);
         }
     }
 }
--- a/placer/src/main/java/thornferry/placer/PolicyExecutor.java
+++ b/placer/src/main/java/thornferry/placer/PolicyExecutor.java
@@ -9,15 +9,15 @@
 import thornferry.decisions.placement.Placement;
 
 /**
- * Passes events to a placement policy, one at a time and in order, and fires the timers that it
- * sets, never early. Events that arise while the policy processes another one are queued, so that
- * the policy is never entered twice. An exception of the policy affects only the request of the
+ * Passes events to a placement policy, one at a time and in order, and fires the timers that the
+ * policy sets, never early. Events that arise while the policy processes another one are queued, so
+ * that the policy is never re-entered. An exception of the policy affects only the request of the
  * event that caused it. Everything runs on the event loop.
  */
 public final class PolicyExecutor {
-    /** Called after the policy threw an exception on an event that is about a request. */
+    /** Handles exceptions that the policy throws on an event that is about a request. */
     public interface FailureHandler {
-        /** The request must be failed, since the policy may have lost track of it. */
+        /** Fails the request, which the policy may no longer track. */
         void policyFailed(String requestId);
     }
 
@@ -30,7 +30,7 @@
     private final FailureHandler failureHandler;
     private final Logger log;
     private final String instance;
-    private final Queue<Placement.Event> queue = new ArrayDeque<>();
+    private final Queue<Placement.Event> queuedEvents = new ArrayDeque<>();
     private boolean processing;
     private long failures;
 
@@ -57,27 +57,27 @@
     }
 
     /**
-     * Passes an event to the policy: before this returns, or if the policy is processing another
-     * event, once it is done with that.
+     * Passes an event to the policy. The policy processes the event before this method returns or,
+     * if it is processing another event, after that one.
      */
     public void accept(Placement.Event event) {
-        queue.add(event);
+        queuedEvents.add(event);
         if (processing) {
             return;
         }
         processing = true;
         try {
-            Placement.Event next = queue.poll();
+            Placement.Event next = queuedEvents.poll();
             while (next != null) {
                 process(next);
-                next = queue.poll();
+                next = queuedEvents.poll();
             }
         } finally {
             processing = false;
         }
     }
 
-    /** How often the policy threw an exception. */
+    /** Returns the number of exceptions that the policy has thrown. */
     public long failures() {
         return failures;
     }
@@ -114,13 +114,13 @@
 
     private void fire(Placement.SetTimer timer) {
         if (clock.now() < timer.atMicros()) {
-            schedule(timer); // the clock of the event loop is ahead of ours
+            schedule(timer); // the event loop's clock is ahead of this clock
         } else {
             accept(new Placement.TimerFired(timer.ref()));
         }
     }
 
-    /** The request that an event is about, or null. */
+    /** Returns the id of the request that an event is about, or null if there is none. */
     private static String requestId(Placement.Event event) {
         if (event instanceof Placement.PlacementRequested requested) {
             return requested.request().id();
--- a/placer/src/main/java/thornferry/placer/ProtocolMapper.java
+++ b/placer/src/main/java/thornferry/placer/ProtocolMapper.java
@@ -42,12 +42,14 @@
 
 /**
  * Maps the messages of the protocol to and from the types of the decision modules. Enumerated
- * values are mapped by {@link WireWords}. On the wire, times are milliseconds.
+ * values are mapped by {@link WireNames}. Times on the wire are in milliseconds.
  */
 final class ProtocolMapper {
     private static final long MICROS_PER_MILLI = 1_000;
 
-    /** Longer durations than this are cut, so that adding one to a time cannot overflow. */
+    /**
+     * The maximum duration; longer ones are clamped, so that adding one to a time cannot overflow.
+     */
     private static final long MAX_DURATION_MICROS = Long.MAX_VALUE / 2;
 
     private ProtocolMapper() {}
@@ -68,7 +70,7 @@
                 toMicros(task.getRunsForMs()));
     }
 
-    /** The task as a machine receives it: without the time that its client is willing to wait. */
+    /** Returns the task as a machine receives it, which is without the maximum wait time. */
     private static Task task(TaskSpec spec) {
         return Task.newBuilder()
                 .setId(spec.id())
@@ -81,14 +83,17 @@
                 .build();
     }
 
-    /** The frame that notifies a client; its headers repeat the body for clients without JSON. */
+    /**
+     * Returns the frame that notifies a client. The headers repeat the body for clients that do not
+     * parse JSON.
+     */
     static Frame resultFrame(ResultNotification notification) {
         String result =
-                notification.result() == null ? null : WireWords.result(notification.result());
+                notification.result() == null ? null : WireNames.result(notification.result());
         String event =
                 notification.terminationCause() == null
                         ? null
-                        : WireWords.event(notification.terminationCause());
+                        : WireNames.event(notification.terminationCause());
         long retryAfterMillis =
                 (notification.retryAfterMicros() + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI;
         TaskNews.Builder body =
@@ -131,7 +136,7 @@
     static Reason reason(PendingReasons.Reason reason) {
         Reason.Builder builder =
                 Reason.newBuilder()
-                        .setKind(WireWords.kind(reason.kind()))
+                        .setKind(WireNames.kind(reason.kind()))
                         .setSinceMs(reason.sinceMicros() / MICROS_PER_MILLI)
                         .setEnds(reason.endsWhen())
                         .setSentence(reason.sentence());
@@ -152,13 +157,15 @@
     }
 
     /**
+     * Returns the explanation of the state of a task.
+     *
      * @param withHistory whether earlier states and reasons are included
      */
     static Why why(PendingReasons.Explanation explanation, boolean withHistory) {
         Why.Builder builder =
                 Why.newBuilder()
                         .setTask(explanation.task())
-                        .setState(WireWords.state(explanation.state()))
+                        .setState(WireNames.state(explanation.state()))
                         .setTaskClass(explanation.taskClass())
                         .setWaitingSinceMs(explanation.waitingSinceMicros() / MICROS_PER_MILLI)
                         .setAsks(explanation.submissions())
@@ -171,7 +178,7 @@
                 Why.Change.Builder changeBuilder =
                         builder.addHistoryBuilder()
                                 .setAtMs(change.atMicros() / MICROS_PER_MILLI)
-                                .setState(WireWords.state(change.state()));
+                                .setState(WireNames.state(change.state()));
                 if (change.reason() != null) {
                     changeBuilder.setReason(reason(change.reason()));
                 }
@@ -180,12 +187,14 @@
         return builder.build();
     }
 
-    /** The counts of waiting tasks of one owner. */
+    /** Returns the counts of waiting tasks of one owner. */
     static WaitingTable ownWaitingTable(PlacerCore core, String owner) {
         return waitingTable(core.reasons().countByReason(owner)).build();
     }
 
-    /** The counts of waiting tasks of all owners, with the state of the overload controller. */
+    /**
+     * Returns the counts of waiting tasks of all owners, with the state of the overload controller.
+     */
     static WaitingTable siteWaitingTable(PlacerCore core) {
         AdmissionQueue.QueueCounts counts = core.admissionQueue().counts();
         return waitingTable(core.reasons().countByReason(null))
@@ -203,16 +212,16 @@
                                 (kind, tasks) ->
                                         builder.addRowsBuilder()
                                                 .setTenant(tenant)
-                                                .setKind(WireWords.kind(kind))
+                                                .setKind(WireNames.kind(kind))
                                                 .setTasks(tasks)));
         int waiting = builder.getRowsList().stream().mapToInt(WaitingTable.Row::getTasks).sum();
         return builder.setWaiting(waiting);
     }
 
     /**
-     * The quotas that an account may see.
+     * Returns the quotas that an account may see.
      *
-     * @param lastReload when and with what result the configuration was last reloaded
+     * @param lastReload the time and the outcome of the last reload of the configuration
      */
     static Limits limits(AdmissionQueue queue, Account account, String lastReload) {
         Limits.Builder builder = Limits.newBuilder();
@@ -285,15 +294,15 @@
         }
         return new NodeRegistration(
                 connection,
-                machine(register),
+                machineRegistration(register),
                 register.getHeldList().stream().map(ProtocolMapper::heldAttempt).toList(),
                 recentReports,
                 retainedAttempts,
                 completeSince(register, clock));
     }
 
-    private static Membership.Registration machine(Register register) {
-        Load load = register.hasLoad() ? register.getLoad() : idle(register);
+    private static Membership.Registration machineRegistration(Register register) {
+        Load load = register.hasLoad() ? register.getLoad() : idleLoad(register);
         return new Membership.Registration(
                 register.getNode(),
                 register.getIncarnation(),
@@ -307,7 +316,7 @@
                 load.getMemoryFree());
     }
 
-    private static Load idle(Register register) {
+    private static Load idleLoad(Register register) {
         return Load.newBuilder()
                 .setCoresFree(register.getCores())
                 .setMemoryFree(register.getMemory())
@@ -325,8 +334,8 @@
                 answer.getAttempt(),
                 answer.getOwner(),
                 taskSpec(answer.getTask()),
-                WireWords.idempotency(answer.getEffect()),
-                WireWords.attemptStatus(answer.getKind()),
+                WireNames.idempotency(answer.getEffect()),
+                WireNames.attemptStatus(answer.getKind()),
                 answer.getRan(),
                 clock.now() - toMicros(Math.max(0, answer.getEndedMsAgo())));
     }
@@ -353,13 +362,15 @@
     }
 
     /**
+     * Returns the report of the status of an attempt.
+     *
      * @throws ProtocolException if the answer is not about the status of an attempt
      */
     static AttemptReport attemptReport(Answer answer) throws ProtocolException {
         return new AttemptReport(
                 answer.getAttempt(),
-                WireWords.attemptStatus(answer.getKind()),
-                WireWords.rejectionReason(answer.getReason()),
+                WireNames.attemptStatus(answer.getKind()),
+                WireNames.rejectionReason(answer.getReason()),
                 answer.getRan(),
                 answer.hasLoad() ? loadReport(answer.getLoad()) : null);
     }
@@ -379,7 +390,7 @@
                                 .setTask(task(details.spec()))
                                 .setOwner(details.owner())
                                 .setPlacer(placer)
-                                .setEffect(WireWords.effect(details.idempotency())))
+                                .setEffect(WireNames.effect(details.idempotency())))
                 .build();
     }
 
--- a/placer/src/main/java/thornferry/placer/RecoveredState.java
+++ b/placer/src/main/java/thornferry/placer/RecoveredState.java
@@ -5,14 +5,17 @@
 import thornferry.state.Journal;
 
 /**
- * What earlier incarnations of a placer instance left on disk.
+ * The state that earlier incarnations of a placer instance left on disk.
  *
- * @param journal where this incarnation writes
- * @param records what the journal contained at the start
+ * @param journal the journal to which this incarnation writes
+ * @param records the records that the journal contained at the start
  * @param complete whether the journal contains every offer of the earlier incarnations; false
  *     without a journal
  */
 record RecoveredState(Journal journal, List<JournalRecord> records, boolean complete) {
-    /** No journal: nothing is known of earlier incarnations, and nothing is written. */
-    static final RecoveredState NOTHING = new RecoveredState(Journal.NONE, List.of(), false);
+    /**
+     * The state without a journal: nothing is known of earlier incarnations, and nothing is
+     * written.
+     */
+    static final RecoveredState NO_JOURNAL = new RecoveredState(Journal.NONE, List.of(), false);
 }
--- a/placer/src/main/java/thornferry/placer/RecoveryActions.java
+++ b/placer/src/main/java/thornferry/placer/RecoveryActions.java
@@ -6,7 +6,7 @@
 import thornferry.decisions.recovery.Recovery;
 import thornferry.decisions.requests.OwnedTask;
 
-/** Carries out what {@link Recovery} concludes about tasks of earlier incarnations. */
+/** Carries out the actions of {@link Recovery} on tasks of earlier incarnations. */
 final class RecoveryActions implements Consumer<Recovery.Action> {
     private static final Logger LOG = LoggerFactory.getLogger(RecoveryActions.class);
 
@@ -55,7 +55,7 @@
                 .addKeyValue("node", finished.machine())
                 .addKeyValue("task", finished.spec().id())
                 .log(
-                        "placed by an earlier incarnation of this placer: {}",
+                        "task that an earlier incarnation of this placer placed has ended: {}",
                         finished.terminationCause());
         components.requests.finishedEarlier(
                 now,
@@ -73,8 +73,8 @@
                 .addKeyValue("node", indeterminate.machine())
                 .addKeyValue("task", indeterminate.task())
                 .log(
-                        "offered by an earlier incarnation of this placer; whether it ran cannot"
-                                + " be proven any more");
+                        "offered by an earlier incarnation of this placer; whether the task ran"
+                                + " can no longer be determined");
         components.requests.becameIndeterminate(
                 now,
                 indeterminate.owner(),
--- a/placer/src/main/java/thornferry/placer/ReloadableConfiguration.java
+++ b/placer/src/main/java/thornferry/placer/ReloadableConfiguration.java
@@ -39,12 +39,12 @@
         tls = tlsContext(site);
     }
 
-    /** The TLS context for new connections; empty if the port is plain text. */
+    /** Returns the TLS context for new connections; empty if they are plain text. */
     Optional<SslContext> tls() {
         return tls;
     }
 
-    /** Sets where {@link #reload} reads from. */
+    /** Sets the source from which {@link #reload} reads. */
     void setSource(Placer.Source newSource) {
         source = newSource;
     }
@@ -59,19 +59,22 @@
         try {
             String restartNote = apply(source.read());
             lastReload = Instant.now() + ": good" + restartNote;
-            LOG.info("reloaded{}", restartNote);
+            LOG.info("configuration reloaded{}", restartNote);
             return Optional.empty();
         } catch (Exception e) {
             lastReload = Instant.now() + ": not reloaded, the former stays: " + e.getMessage();
-            LOG.error("not reloaded, the former configuration stays: {}", e.getMessage());
+            LOG.error(
+                    "configuration not reloaded, the previous one stays in effect: {}",
+                    e.getMessage());
             return Optional.of(String.valueOf(e.getMessage()));
         }
     }
 
     /**
-     * Applies a new configuration, or nothing of it if an exception is thrown.
+     * Applies a new configuration. If an exception is thrown, nothing of it has been applied.
      *
-     * @return what needs a restart, to be appended to a message; empty if nothing does
+     * @return a note on the changes that need a restart, to be appended to a message; empty if
+     *     there are none
      */
     private String apply(Site next) throws IOException {
         if ((next.tls() == null) != (site.tls() == null)) {
--- a/placer/src/main/java/thornferry/placer/ReplySender.java
+++ b/placer/src/main/java/thornferry/placer/ReplySender.java
@@ -8,11 +8,14 @@
 import thornferry.protocol.ProtocolException;
 import thornferry.protocol.ServerSession;
 
-/** Sends replies to queries, and numbers the messages that are not acknowledged. */
+/** Sends replies to queries, and assigns numbers to messages that clients do not acknowledge. */
 final class ReplySender {
+    /** The prefix of the message id of a reply; a unique number follows. */
+    private static final String REPLY_ID_PREFIX = "a";
+
     private long lastNumber;
 
-    /** A number for the id of a message, unique in this instance. */
+    /** Returns a number for the id of a message, unique in this instance. */
     long nextNumber() {
         return ++lastNumber;
     }
@@ -32,6 +35,7 @@
         }
         Frame frame =
                 Frame.of(StompCommand.MESSAGE, "correlation-id", query.header("correlation-id"));
-        session.message(destination, "a" + nextNumber(), Bodies.write(frame, reply, false));
+        session.message(
+                destination, REPLY_ID_PREFIX + nextNumber(), Bodies.write(frame, reply, false));
     }
 }
--- a/placer/src/main/java/thornferry/placer/RequestActions.java
+++ b/placer/src/main/java/thornferry/placer/RequestActions.java
@@ -12,7 +12,7 @@
 import thornferry.decisions.requests.RequestTracker;
 import thornferry.decisions.requests.ResultNotification;
 
-/** Carries out what the {@link RequestTracker} decides about the requests of clients. */
+/** Carries out the actions of the {@link RequestTracker} on the requests of clients. */
 final class RequestActions implements Consumer<RequestTracker.Action> {
     private static final Logger LOG = LoggerFactory.getLogger(RequestActions.class);
     private static final String NO_MACHINE = "";
@@ -24,7 +24,7 @@
         this.components = components;
     }
 
-    /** First results so far; repeated notifications of a result are not counted. */
+    /** Returns the number of first results; repeated notifications of a result are not counted. */
     long resultCount() {
         return resultCount;
     }
--- a/placer/src/main/java/thornferry/placer/Site.java
+++ b/placer/src/main/java/thornferry/placer/Site.java
@@ -12,21 +12,21 @@
 import thornferry.state.Durability;
 
 /**
- * The configuration of a placer. Checked when it is read, by module {@code config}.
+ * The configuration of a placer. Module {@code config} validates it when reading the file.
  *
- * @param name of the placer; instance i of it is called NAME-i
- * @param placement settings of the placement policy; seed and number are set for each instance
- * @param seed from which the seeds of the instances are derived
- * @param accounts who may connect
- * @param membershipLimits limits of the membership of nodes
- * @param requestLimits limits of the tracking of requests
- * @param admission settings of the admission queue
- * @param tls certificate, key and authorities; null for plain text
- * @param frames limits of STOMP frames
+ * @param name the name of the placer; instance i is named NAME-i
+ * @param placement the settings of the placement policy; seed and number are set for each instance
+ * @param seed the seed from which the seeds of the instances are derived
+ * @param accounts the accounts that may connect
+ * @param membershipLimits the limits of the membership of nodes
+ * @param requestLimits the limits of the tracking of requests
+ * @param admission the settings of the admission queue
+ * @param tls the certificate, key and authorities; null for plain text
+ * @param frames the limits of STOMP frames
  * @param heartbeat the heartbeat interval that the placer offers
- * @param handshakeMs milliseconds within which a peer must send CONNECT
+ * @param handshakeMs the time in milliseconds within which a peer must send CONNECT
  * @param connections the maximum number of open connections per instance
- * @param state what is persisted
+ * @param state the settings of the persistent state
  */
 public record Site(
         String name,
@@ -45,9 +45,10 @@
     private static final long INSTANCE_SEED_FACTOR = 1_000_003;
 
     /**
-     * What is persisted over restarts.
+     * The settings of the state that is kept across restarts.
      *
-     * @param folder contains a folder for each instance; not used if nothing is persisted
+     * @param durability the durability of each record; nothing is persisted with NONE
+     * @param folder the parent of the folders of the instances; not used if nothing is persisted
      */
     public record State(Durability durability, Path folder) {
         /** Nothing is persisted. */
@@ -57,20 +58,20 @@
     /**
      * The TLS files of a placer.
      *
-     * @param files its certificate and key, and the authorities of its peers
+     * @param files the placer's certificate and key, and the authorities of its peers
      * @param clients whether clients need a certificate
      */
     public record TlsFiles(Tls.Pem files, Tls.Clients clients) {}
 
-    /** The placement settings of one instance, with its own seed and number. */
+    /** Returns the placement settings of one instance, with its own seed and number. */
     Placement.Settings placementOf(int instance) {
         return placementSettings(
                 seed * INSTANCE_SEED_FACTOR + instance, instance, placement.instanceCount());
     }
 
     /**
-     * This site as one of several placers sees it: with its own name, seed and number, and with
-     * other accounts.
+     * Returns the configuration of one of several placers at this site, which differs in name,
+     * number, seed and accounts.
      *
      * @param placers the number of placers
      */
@@ -84,33 +85,33 @@
         return builder.build();
     }
 
-    /** This site with other settings of the admission queue. */
+    /** Returns this site with other settings of the admission queue. */
     public Site withAdmission(AdmissionSettings newAdmission) {
         Builder builder = new Builder(this);
         builder.admission = newAdmission;
         return builder.build();
     }
 
-    /** This site without admission control and pending reasons, to measure what they cost. */
+    /** Returns this site without admission control and pending reasons, to measure their cost. */
     public Site withoutAdmissionQueue() {
         return withAdmission(admission.disabled());
     }
 
-    /** This site over TLS. */
+    /** Returns this site with TLS. */
     public Site withTls(TlsFiles newTls) {
         Builder builder = new Builder(this);
         builder.tls = newTls;
         return builder.build();
     }
 
-    /** This site with other settings of its persistent state. */
+    /** Returns this site with other settings of its persistent state. */
     public Site withState(State newState) {
         Builder builder = new Builder(this);
         builder.state = newState;
         return builder.build();
     }
 
-    /** A copy of a site in which single components can be replaced. */
+    /** A builder of copies of a site in which some components are replaced. */
     private static final class Builder {
         private String name;
         private Placement.Settings placement;
--- a/placer/src/main/java/thornferry/placer/Subscribers.java
+++ b/placer/src/main/java/thornferry/placer/Subscribers.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import thornferry.protocol.ServerSession;
 
-/** The sessions that subscribe to a destination, by login. */
+/** The sessions that are subscribed to a destination, by login. */
 final class Subscribers {
     private final Map<String, Set<ServerSession>> sessionsByLogin = new LinkedHashMap<>();
 
@@ -25,8 +25,10 @@
         }
     }
 
-    /** A copy of the sessions of a login: sending to one may close it and so remove it here. */
-    List<ServerSession> of(String login) {
+    /**
+     * Returns a copy of the sessions of a login, since sending may close one and so remove it here.
+     */
+    List<ServerSession> sessionsOf(String login) {
         return List.copyOf(sessionsByLogin.getOrDefault(login, Set.of()));
     }
 
--- a/placer/src/main/java/thornferry/placer/TaskClasses.java
+++ b/placer/src/main/java/thornferry/placer/TaskClasses.java
@@ -6,23 +6,23 @@
 import thornferry.decisions.admission.QueuedRequest;
 import thornferry.decisions.placement.Placement;
 
-/** The configured task classes by name, as far as the admission queue and adoption need them. */
+/** The configured task classes, with the properties that admission and adoption need. */
 final class TaskClasses {
     private static final double DEFAULT_PRIORITY_WEIGHT = 0;
 
-    private final Map<String, Placement.TaskClass> byName = new HashMap<>();
+    private final Map<String, Placement.TaskClass> classesByName = new HashMap<>();
 
     TaskClasses(List<Placement.TaskClass> classes) {
-        classes.forEach(taskClass -> byName.put(taskClass.name(), taskClass));
+        classes.forEach(taskClass -> classesByName.put(taskClass.name(), taskClass));
     }
 
-    /** The idempotency of a class; the strictest one for a class that is not configured. */
+    /** Returns the idempotency of a class; the strictest one for a class that is not configured. */
     Placement.Idempotency idempotency(String name) {
-        Placement.TaskClass taskClass = byName.get(name);
+        Placement.TaskClass taskClass = classesByName.get(name);
         return taskClass == null ? Placement.Idempotency.NON_IDEMPOTENT : taskClass.idempotency();
     }
 
-    /** The entry of the admission queue for a request. */
+    /** Returns the entry of the admission queue for a request. */
     QueuedRequest queuedRequest(
             Placement.PlacementRequest request,
             String owner,
@@ -43,7 +43,7 @@
     }
 
     private double priorityWeight(String name) {
-        Placement.TaskClass taskClass = byName.get(name);
+        Placement.TaskClass taskClass = classesByName.get(name);
         return taskClass == null ? DEFAULT_PRIORITY_WEIGHT : taskClass.priorityWeight();
     }
 }
--- a/placer/src/main/java/thornferry/placer/WireWords.java
+++ b/placer/src/main/java/thornferry/placer/WireNames.java
@@ -12,11 +12,11 @@
 import thornferry.protocol.v1.Reason;
 
 /**
- * Maps enumerated values to and from their names in the STOMP protocol. The names on the wire never
- * change; those of the constants may.
+ * Maps enumerated values to and from their names in the STOMP protocol. The names on the wire must
+ * never change, while the constants may be renamed.
  */
-final class WireWords {
-    private WireWords() {}
+final class WireNames {
+    private WireNames() {}
 
     static Effect effect(Idempotency idempotency) {
         return switch (idempotency) {
@@ -35,6 +35,8 @@
     }
 
     /**
+     * Returns the attempt status of an answer.
+     *
      * @throws ProtocolException if the kind is not the status of an attempt
      */
     static AttemptStatus attemptStatus(Answer.Kind kind) throws ProtocolException {
--- a/placer/src/main/java/thornferry/placer/WriteAheadJournal.java
+++ b/placer/src/main/java/thornferry/placer/WriteAheadJournal.java
@@ -15,48 +15,49 @@
 import thornferry.state.Journal;
 
 /**
- * The write-ahead rule: a record is durable before the effect that depends on it leaves this
- * process. It has two duties:
+ * Enforces that a record is durable before the effect that depends on it leaves this process. There
+ * are two rules:
  *
  * <ul>
- *   <li><b>Persist before offer.</b> No byte of an offer of a task that must not run twice is
- *       written before its {@link JournalRecord.Offered} is durable. Without this, a placer that
- *       restarts would not know of the attempt and could start the task a second time. An offer
- *       that is cancelled while its record is being written is never sent.
+ *   <li><b>Persist before offer.</b> No byte of an offer of a task that must not run twice is sent
+ *       before the {@link JournalRecord.Offered} of that offer is durable. Without this, a placer
+ *       that restarts would not know of the attempt and could start the task a second time. An
+ *       offer that is cancelled while its record is being written is never sent.
  *   <li><b>Persist before notify.</b> A client is not notified of a result or an end before the
  *       record of it is durable. Without this, a placer that restarts could contradict what the
  *       client was notified of. Later notifications of the same task queue behind the first, so
- *       that the client sees them in order. A notification is sent even if the record could not be
- *       written, because each request must have a result.
+ *       that the client receives them in order. A notification is sent even if the record could not
+ *       be written, because each request must have a result.
  * </ul>
  *
- * <p>Records become durable in the order in which they are passed here. Callbacks run on the event
- * loop; for a journal that completes at once, before the call returns.
+ * <p>Records become durable in the order in which they are appended. Callbacks run on the event
+ * loop; if the journal completes a record at once, the callback runs before the call returns.
  */
 final class WriteAheadJournal {
     private final Journal journal;
     private final Recovery recovery;
     private final EventLoop loop;
-    private final Consumer<ResultNotification> sender;
+    private final Consumer<ResultNotification> notificationSender;
 
-    /** Attempts whose offer waits for its record. */
+    /** The attempts whose offer waits until its record is durable. */
     private final Set<String> pendingOffers = new HashSet<>();
 
-    /** Notifications that wait for a record, by owner and task. */
-    private final Map<String, List<ResultNotification>> pendingNotifications = new HashMap<>();
+    /** The notifications that wait for a record, by owner and task. */
+    private final Map<String, List<ResultNotification>> pendingNotificationsByTask =
+            new HashMap<>();
 
     /**
-     * @param sender sends a notification to its client
+     * @param notificationSender sends a notification to its client
      */
     WriteAheadJournal(
             Journal journal,
             Recovery recovery,
             EventLoop loop,
-            Consumer<ResultNotification> sender) {
+            Consumer<ResultNotification> notificationSender) {
         this.journal = journal;
         this.recovery = recovery;
         this.loop = loop;
-        this.sender = sender;
+        this.notificationSender = notificationSender;
     }
 
     /**
@@ -66,7 +67,7 @@
      */
     void persist(JournalRecord record, Consumer<Optional<String>> completed) {
         if (journal != Journal.NONE) {
-            recovery.apply(record); // without a journal, no snapshot would ever read it
+            recovery.apply(record); // without a journal, no snapshot is ever taken
         }
         journal.append(
                 record,
@@ -83,7 +84,7 @@
     /**
      * Appends the record of an offer.
      *
-     * @param completed as in {@link #persist}; not called if the offer was cancelled meanwhile
+     * @param completed called as by {@link #persist}, unless the offer is cancelled before
      */
     void persistBeforeOffer(JournalRecord.Offered record, Consumer<Optional<String>> completed) {
         pendingOffers.add(record.attempt());
@@ -96,21 +97,23 @@
                 });
     }
 
-    /** Cancels an offer that waits for its record; false if there is none for this attempt. */
+    /** Cancels an offer that waits for its record; returns false if none waits for this attempt. */
     boolean cancelPendingOffer(String attempt) {
         return pendingOffers.remove(attempt);
     }
 
-    /** Appends a record; notifications of this task wait until it is durable or has failed. */
+    /**
+     * Appends a record. Notifications of the task wait until the record is durable or has failed.
+     */
     void persistBeforeNotifying(String owner, String task, JournalRecord record) {
         String key = key(owner, task);
-        pendingNotifications.putIfAbsent(key, new ArrayList<>());
+        pendingNotificationsByTask.putIfAbsent(key, new ArrayList<>());
         persist(
                 record,
                 failure -> {
-                    List<ResultNotification> pending = pendingNotifications.remove(key);
+                    List<ResultNotification> pending = pendingNotificationsByTask.remove(key);
                     if (pending != null) {
-                        pending.forEach(sender);
+                        pending.forEach(notificationSender);
                     }
                 });
     }
@@ -118,25 +121,25 @@
     /** Sends a notification, now or once the record that it waits for is durable. */
     void notifyResult(ResultNotification notification) {
         List<ResultNotification> pending =
-                pendingNotifications.get(key(notification.owner(), notification.task()));
+                pendingNotificationsByTask.get(key(notification.owner(), notification.task()));
         if (pending == null) {
-            sender.accept(notification);
+            notificationSender.accept(notification);
         } else {
             pending.add(notification);
         }
     }
 
-    /** Whether notifications of this task wait for a record. */
+    /** Returns whether notifications of this task wait for a record. */
     boolean isNotificationPending(String owner, String task) {
-        return pendingNotifications.containsKey(key(owner, task));
+        return pendingNotificationsByTask.containsKey(key(owner, task));
     }
 
-    /** Rewrites the journal with the records that still count, if it has grown enough. */
+    /** Compacts the journal to the records that are still needed, if it has grown enough. */
     void compact() {
         journal.compact(recovery::snapshot);
     }
 
-    /** What prevents the journal from writing now; empty if it writes. */
+    /** Returns the reason why the journal cannot be written now; empty if it can. */
     String writeFailure() {
         return journal.writeFailure();
     }
--- a/placer/src/main/java/thornferry/placer/package-info.java
+++ b/placer/src/main/java/thornferry/placer/package-info.java
@@ -9,7 +9,7 @@
  * module decides by calling the next module, the journal or the {@code PlacerOutput}. {@code
  * WriteAheadJournal} enforces that records are durable before the effects that depend on them.
  *
- * <p>No class here takes a scheduling decision. Except where a class says otherwise, everything of
+ * <p>No class here makes a scheduling decision. Except where a class says otherwise, everything of
  * an instance runs on its event loop. Times are microseconds unless a name ends in another unit.
  */
 package thornferry.placer;
--- a/placer/src/test/java/thornferry/placer/PendingReasonsSimulation.java
+++ b/placer/src/test/java/thornferry/placer/PendingReasonsSimulation.java
@@ -73,7 +73,7 @@
                         new PlacerInstance(site(seed), 0, channel.eventLoop(), () -> nowMicros),
                         Policy::new,
                         owner -> "t" + owner.charAt(1),
-                        RecoveredState.NOTHING,
+                        RecoveredState.NO_JOURNAL,
                         this);
         for (int i = 0; i < NODES; i++) {
             nodes.add(new RandomizedNode("n" + i));
--- a/placer/src/test/java/thornferry/placer/SimulatedPlacer.java
+++ b/placer/src/test/java/thornferry/placer/SimulatedPlacer.java
@@ -36,7 +36,7 @@
         RecoveredState recovered =
                 journaled
                         ? new RecoveredState(disk, disk.durableRecords(), true)
-                        : RecoveredState.NOTHING;
+                        : RecoveredState.NO_JOURNAL;
         core =
                 new PlacerCore(
                         new PlacerInstance(site, 0, channel.eventLoop(), time::now),
