--- a/placer/src/test/java/thornferry/placer/IncarnationSimulation.java
+++ b/placer/src/test/java/thornferry/placer/IncarnationSimulation.java
@@ -17,7 +17,10 @@
  * random, connections break, and frames are late or lost. A simulation depends only on its seed.
  */
 final class IncarnationSimulation implements PlacerOutput {
-    /** Incarnations of the placer in one simulation, before the last, which is not killed. */
+    /**
+     * The number of killed incarnations of the placer in one simulation; the last one, which
+     * follows them, is not killed.
+     */
     static final int INCARNATIONS = 20;
 
     private static final int NODES = 3;
@@ -25,10 +28,13 @@
     private static final long MAX_NOTIFICATION_MICROS = 20 * MILLISECOND;
     private static final long MAX_FIRST_CONNECT_MICROS = SECOND;
 
-    /** How long the last incarnation runs undisturbed, so that each request can be answered. */
+    /**
+     * The time for which the last incarnation runs without faults, so that each request can be
+     * answered.
+     */
     private static final long LAST_INCARNATION_MICROS = 40 * SECOND;
 
-    /** A request must be answered if the last incarnation had at least this long for it. */
+    /** A request must be answered if the last incarnation had at least this much time for it. */
     private static final long MIN_ANSWER_MICROS = 2 * SECOND;
 
     private final boolean journaled;
@@ -40,9 +46,11 @@
     private final List<SimulatedNode> nodes = new ArrayList<>();
 
     /**
+     * Creates a simulation.
+     *
      * @param journaled whether the placer has a journal; without one, no node is killed
      */
-    IncarnationSimulation(long seed, boolean journaled, PlantedFault fault) {
+    IncarnationSimulation(long seed, boolean journaled, InjectedFault fault) {
         this.journaled = journaled;
         time = new VirtualTime(seed);
         placer = new SimulatedPlacer(time, site(seed), journaled, fault, this);
@@ -67,19 +75,19 @@
                 AdmissionSettings.defaults());
     }
 
-    /** Runs all incarnations, or until a property is violated; returns the violations. */
+    /** Runs all incarnations, or stops when a property is violated, and returns the violations. */
     List<String> run() {
         for (int i = 0; i < INCARNATIONS && monitor.violations().isEmpty(); i++) {
             startPlacer();
-            runWithFaults(time.between(50 * MILLISECOND, 4_000 * MILLISECOND));
+            runWithFaults(time.randomBetween(50 * MILLISECOND, 4_000 * MILLISECOND));
             killPlacer();
             if (journaled && time.oneIn(3)) {
                 randomNode().kill();
             }
             advance(
                     time.randomBoolean()
-                            ? time.between(10 * MILLISECOND, 300 * MILLISECOND)
-                            : time.between(300 * MILLISECOND, 4_000 * MILLISECOND));
+                            ? time.randomBetween(10 * MILLISECOND, 300 * MILLISECOND)
+                            : time.randomBetween(300 * MILLISECOND, 4_000 * MILLISECOND));
         }
         startPlacer();
         advance(LAST_INCARNATION_MICROS);
@@ -90,7 +98,7 @@
     private void runWithFaults(long durationMicros) {
         long endMicros = time.now() + durationMicros;
         while (time.now() < endMicros) {
-            advance(time.between(20 * MILLISECOND, 200 * MILLISECOND));
+            advance(time.randomBetween(20 * MILLISECOND, 200 * MILLISECOND));
             int newTasks = time.randomInt(4);
             for (int i = 0; i < newTasks; i++) {
                 client.submitNewTask();
@@ -112,7 +120,7 @@
     private void startPlacer() {
         placer.start();
         for (SimulatedNode node : nodes) {
-            time.scheduleIn(time.between(0, MAX_FIRST_CONNECT_MICROS), node::connect);
+            time.scheduleIn(time.randomBetween(0, MAX_FIRST_CONNECT_MICROS), node::connect);
         }
         client.resubmitAll();
     }
@@ -122,7 +130,7 @@
         nodes.forEach(node -> node.breakConnection(false));
     }
 
-    /** Lets time pass, with all events that are due and the ticks of the placer. */
+    /** Advances the time, and runs all events and ticks of the placer that are due. */
     private void advance(long durationMicros) {
         long endMicros = time.now() + durationMicros;
         while (time.now() < endMicros) {
@@ -153,7 +161,7 @@
     @Override
     public void notifyResult(ResultNotification notification) {
         time.scheduleIn(
-                time.between(0, MAX_NOTIFICATION_MICROS),
+                time.randomBetween(0, MAX_NOTIFICATION_MICROS),
                 placer.unlessKilled(() -> client.notified(notification)));
     }
 
@@ -167,7 +175,7 @@
                         current ->
                                 network.sendToNode(
                                         node, current, () -> node.offered(attempt, details)));
-        // true also if the connection is broken and the placer does not know it yet
+        // also true if the connection is broken and the placer has not detected it yet
         return connection.isPresent();
     }
 
@@ -200,12 +208,12 @@
 
     @Override
     public void notifyDrain(String machine, boolean draining) {
-        // no node drains here
+        // no node drains in this simulation
     }
 
     @Override
     public void welcome(String machine, long retentionMicros) {
-        // the nodes forget attempts at random instead
+        // the nodes ignore the retention time and forget attempts at random
     }
 
     @Override
@@ -218,6 +226,6 @@
 
     @Override
     public void reasonChanged(PendingReasons.ReasonChanged changed) {
-        // nobody subscribes to reasons here
+        // no client subscribes to reasons in this simulation
     }
 }
--- a/placer/src/test/java/thornferry/placer/IncarnationTest.java
+++ b/placer/src/test/java/thornferry/placer/IncarnationTest.java
@@ -6,52 +6,56 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Many incarnations of a placer in virtual time, see {@link IncarnationSimulation}. No
+ * Runs many incarnations of a placer in virtual time, see {@link IncarnationSimulation}. No
  * non-idempotent task may start twice, no result may contradict an earlier one, and in the end each
- * request must have its result. {@code -Dlives=N} runs about N incarnations; {@code -Dseed=S}
- * begins with that seed.
+ * request must have its result. The tests with an injected fault prove that the simulation detects
+ * a task that starts twice. {@code -Dlives=N} runs about N incarnations; {@code -Dseed=S} begins
+ * with that seed.
  */
 class IncarnationTest {
     private static final int DEFAULT_INCARNATIONS = 400;
     private static final long DEFAULT_SEED = 1;
 
-    /** A planted fault must be found within so many incarnations. */
+    /** The number of incarnations within which an injected fault must be detected. */
     private static final int MAX_INCARNATIONS_TO_FIND = 20_000;
 
     @Test
     void startsNoNonIdempotentTaskTwiceWithJournalWhicheverProcessIsKilled() {
-        assertThat(run(incarnations(), true, PlantedFault.NONE, firstSeed())).isEmpty();
+        assertThat(run(incarnations(), true, InjectedFault.NONE, firstSeed())).isEmpty();
     }
 
     @Test
     void startsNoNonIdempotentTaskTwiceWithoutJournalWhileNodesStayUp() {
-        assertThat(run(incarnations(), false, PlantedFault.NONE, firstSeed())).isEmpty();
+        assertThat(run(incarnations(), false, InjectedFault.NONE, firstSeed())).isEmpty();
     }
 
     @Test
-    void findsJournalThatAcknowledgesBeforeRecordsAreDurable() {
-        assertThat(findFault(true, PlantedFault.JOURNAL_ACKNOWLEDGES_BEFORE_DURABLE))
+    void detectsJournalThatAcknowledgesBeforeRecordsAreDurable() {
+        assertThat(violationsWith(true, InjectedFault.JOURNAL_ACKNOWLEDGES_BEFORE_DURABLE))
                 .contains("started twice");
     }
 
     @Test
-    void findsNodesThatClaimToRememberForgottenAttempts() {
-        assertThat(findFault(true, PlantedFault.NODES_CLAIM_COMPLETE_HISTORY))
+    void detectsNodesThatClaimToRememberForgottenAttempts() {
+        assertThat(violationsWith(true, InjectedFault.NODES_CLAIM_COMPLETE_HISTORY))
                 .contains("started twice");
     }
 
     @Test
-    void findsNodesWithoutHistoryIfThereIsNoJournal() {
-        assertThat(findFault(false, PlantedFault.NODES_HAVE_NO_HISTORY)).contains("started twice");
+    void detectsNodesWithoutHistoryIfThereIsNoJournal() {
+        assertThat(violationsWith(false, InjectedFault.NODES_HAVE_NO_HISTORY))
+                .contains("started twice");
     }
 
-    private static String findFault(boolean journaled, PlantedFault fault) {
+    private static String violationsWith(boolean journaled, InjectedFault fault) {
         return run(MAX_INCARNATIONS_TO_FIND, journaled, fault, DEFAULT_SEED);
     }
 
-    /** Runs simulations until one violates a property; returns its violations, or nothing. */
+    /**
+     * Runs simulations until one violates a property, and returns its violations or an empty text.
+     */
     private static String run(
-            int incarnations, boolean journaled, PlantedFault fault, long firstSeed) {
+            int incarnations, boolean journaled, InjectedFault fault, long firstSeed) {
         long endSeed = firstSeed + incarnations / IncarnationSimulation.INCARNATIONS;
         for (long seed = firstSeed; seed < endSeed; seed++) {
             List<String> violations = new IncarnationSimulation(seed, journaled, fault).run();
--- a/placer/src/test/java/thornferry/placer/PendingReasonsOracle.java
+++ b/placer/src/test/java/thornferry/placer/PendingReasonsOracle.java
@@ -12,19 +12,19 @@
 import thornferry.decisions.requests.TaskSpec;
 import thornferry.placer.PendingReasonsSimulation.Request;
 
-/** Checks each pending reason against the true state of the nodes. */
+/** A test oracle that checks each pending reason against the true state of the nodes. */
 final class PendingReasonsOracle {
     private static final long MAX_EJECTION_MICROS = 30 * SECOND;
     private static final long MAX_WARM_UP_MICROS = 10 * SECOND;
 
-    private final Map<Kind, Integer> seenKinds = new EnumMap<>(Kind.class);
+    private final Map<Kind, Integer> checksByKind = new EnumMap<>(Kind.class);
 
-    /** The kinds of reasons that were checked so far. */
-    Set<Kind> seenKinds() {
-        return seenKinds.keySet();
+    /** Returns the kinds of reasons that were checked so far. */
+    Set<Kind> checkedKinds() {
+        return checksByKind.keySet();
     }
 
-    /** Each request without a result must have a reason, and it must be true. */
+    /** Asserts that each request without a result has a reason and that the reason is true. */
     void check(PendingReasonsSimulation simulation) {
         simulation.requests().values().forEach(request -> check(simulation, request));
     }
@@ -46,26 +46,31 @@
                         + simulation.now();
         if (simulation.lastResults().containsKey(request.key())) {
             assertThat(explanation.reason())
-                    .as("has a result, but shows a reason: " + context)
+                    .as("the request has a result, but still a pending reason: " + context)
                     .isNull();
             return;
         }
         assertThat(explanation.state()).as(context).isEqualTo(PendingReasons.State.WAITING);
-        assertThat(explanation.reason()).as("waits without a reason: " + context).isNotNull();
+        assertThat(explanation.reason())
+                .as("the request waits without a pending reason: " + context)
+                .isNotNull();
         Kind kind = explanation.reason().kind();
-        seenKinds.merge(kind, 1, Integer::sum);
-        assertThat(isTrue(simulation, request, kind)).as("not true: " + context).isTrue();
+        checksByKind.merge(kind, 1, Integer::sum);
+        assertThat(isReasonTrue(simulation, request, kind))
+                .as("the pending reason is not true: " + context)
+                .isTrue();
     }
 
-    private static boolean isTrue(PendingReasonsSimulation simulation, Request request, Kind kind) {
+    private static boolean isReasonTrue(
+            PendingReasonsSimulation simulation, Request request, Kind kind) {
         TaskSpec spec = request.spec();
         long now = simulation.now();
         boolean fits = spec.cores() <= RandomizedNode.CORES;
         Predicate<Predicate<RandomizedNode>> anyNode =
                 condition -> simulation.nodes().stream().anyMatch(condition);
         return switch (kind) {
-            case NO_MACHINES -> !anyNode.test(node -> node.known);
-            case UNSATISFIABLE -> !fits && anyNode.test(node -> node.known);
+            case NO_MACHINES -> !anyNode.test(node -> node.knownToPlacer);
+            case UNSATISFIABLE -> !fits && anyNode.test(node -> node.knownToPlacer);
             case NO_CAPACITY ->
                     fits
                             && anyNode.test(
@@ -79,13 +84,13 @@
                     fits
                             && anyNode.test(
                                     node ->
-                                            node.known
+                                            node.knownToPlacer
                                                     && node.faultAtMicros
                                                             > now - MAX_EJECTION_MICROS);
             case KEY_HELD ->
                     spec.taskClass().equals(PendingReasonsSimulation.KEYED)
                             && simulation.wasRejectedForKey(request);
-            case DRAINING -> fits && anyNode.test(node -> node.known && node.draining);
+            case DRAINING -> fits && anyNode.test(node -> node.knownToPlacer && node.draining);
             case SPREAD_LIMIT ->
                     spec.taskClass().equals(PendingReasonsSimulation.SPREAD)
                             && anyNode.test(node -> node.hasService(spec.service(), now));
@@ -102,13 +107,15 @@
                             && anyNode.test(
                                     node ->
                                             !node.isConnected()
-                                                    && node.hasOpenAttempt(request.owner(), spec));
+                                                    && node.hasUnansweredAttempt(
+                                                            request.owner(), spec));
             case AWAITING_RESPONSE ->
                     anyNode.test(
                             node ->
                                     node.isConnected()
-                                            && node.hasOpenAttempt(request.owner(), spec));
-            // the dispatch window never fills here, so nothing waits for it or for its tenant
+                                            && node.hasUnansweredAttempt(request.owner(), spec));
+            // the dispatch window never fills in the simulation, so no request waits for its turn
+            // in the queue or for the share of its tenant
             default -> false;
         };
     }
--- a/placer/src/test/java/thornferry/placer/PendingReasonsSimulation.java
+++ b/placer/src/test/java/thornferry/placer/PendingReasonsSimulation.java
@@ -26,7 +26,7 @@
 import thornferry.decisions.requests.ResultNotification;
 import thornferry.decisions.requests.TaskSpec;
 
-/** A placer in virtual time, with nodes and clients that do things at random. */
+/** A placer in virtual time, with nodes and clients whose actions are random. */
 final class PendingReasonsSimulation implements PlacerOutput {
     static final String SAFE = "safe";
     static final String KEYED = "keyed";
@@ -58,9 +58,9 @@
     private final List<RandomizedNode> nodes = new ArrayList<>();
     private final Map<String, Request> requests = new LinkedHashMap<>();
     private final Map<String, String> lastResults = new HashMap<>();
-    private final Set<String> rejectedForKey = new HashSet<>();
-    private final Set<String> rejected = new HashSet<>();
-    private final List<Runnable> deferred = new ArrayList<>();
+    private final Set<String> requestsRejectedForKey = new HashSet<>();
+    private final Set<String> rejectedRequests = new HashSet<>();
+    private final List<Runnable> deferredActions = new ArrayList<>();
     private long nowMicros = 1_000 * SECOND;
     private long lastConnection;
     private int taskCount;
@@ -104,7 +104,7 @@
                         .withQuotas(ownerQuota, null, null, Map.of("t0", 0.5, "t1", 0.5)));
     }
 
-    // ---- the truth, for the oracle ----
+    // ---- the true state, for the oracle ----
 
     long now() {
         return nowMicros;
@@ -122,25 +122,25 @@
         return requests;
     }
 
-    /** The last result of each request that has one, by key. */
+    /** Returns the last result of each request that has one, by key of the request. */
     Map<String, String> lastResults() {
         return lastResults;
     }
 
     boolean wasRejected(Request request) {
-        return rejected.contains(request.key());
+        return rejectedRequests.contains(request.key());
     }
 
     boolean wasRejectedForKey(Request request) {
-        return rejectedForKey.contains(request.key());
+        return requestsRejectedForKey.contains(request.key());
     }
 
     // ---- time ----
 
-    /** Runs what is due now. */
+    /** Runs the deferred actions and the tasks of the event loop that are due. */
     void runPendingTasks() {
-        List<Runnable> due = List.copyOf(deferred);
-        deferred.clear();
+        List<Runnable> due = List.copyOf(deferredActions);
+        deferredActions.clear();
         due.forEach(Runnable::run);
         channel.runPendingTasks();
     }
@@ -156,15 +156,15 @@
         }
     }
 
-    /** Lets a random number of ticks pass. */
+    /** Advances the time by a random number of ticks. */
     void advanceRandomly() {
         advance(TICK_MILLIS * MILLISECOND * (1 + random.nextInt(12)));
     }
 
-    // ---- what clients and nodes do ----
+    // ---- actions of clients and nodes ----
 
-    /** Does something at random. */
-    void act() throws InvalidRequestException {
+    /** Performs a random action of a client, a node or an operator. */
+    void performRandomAction() throws InvalidRequestException {
         RandomizedNode node = nodes.get(random.nextInt(nodes.size()));
         switch (random.nextInt(14)) {
             case 0, 1, 2, 3, 4 -> submit();
@@ -176,12 +176,12 @@
                 }
             }
             case 9 -> {
-                node.draining = node.known && random.nextBoolean();
+                node.draining = node.knownToPlacer && random.nextBoolean();
                 core.drain(node.name, node.draining);
             }
-            case 10 -> node.answersLate = random.nextInt(3) == 0;
+            case 10 -> node.withholdsAnswers = random.nextInt(3) == 0;
             case 11 ->
-                    List.copyOf(node.openAttempts.values())
+                    List.copyOf(node.unansweredAttempts.values())
                             .forEach(attempt -> answer(node, attempt));
             case 12 -> {
                 if (random.nextInt(10) == 0 && !node.isConnected()) {
@@ -255,13 +255,13 @@
         if (!node.runningAttempts.isEmpty() && node.isConnected()) {
             List<OfferedAttempt> running = List.copyOf(node.runningAttempts.values());
             OfferedAttempt attempt = running.get(random.nextInt(running.size()));
-            node.end(nowMicros, attempt);
+            node.finish(nowMicros, attempt);
             report(node, attempt, AttemptStatus.COMPLETED, RejectionReason.NONE);
         }
     }
 
     private void answer(RandomizedNode node, OfferedAttempt attempt) {
-        if (!node.isConnected() || node.openAttempts.remove(attempt.id()) == null) {
+        if (!node.isConnected() || node.unansweredAttempts.remove(attempt.id()) == null) {
             return;
         }
         String key = Request.key(attempt.owner(), attempt.spec().id());
@@ -270,7 +270,7 @@
         } else if (attempt.spec().cores() > node.freeCores) {
             reject(node, attempt, RejectionReason.INSUFFICIENT_CORES);
         } else if (random.nextInt(20) == 0 && attempt.spec().taskClass().equals(KEYED)) {
-            rejectedForKey.add(key);
+            requestsRejectedForKey.add(key);
             report(node, attempt, AttemptStatus.REJECTED, RejectionReason.KEY_HELD);
         } else {
             node.start(attempt);
@@ -280,7 +280,7 @@
 
     private void reject(RandomizedNode node, OfferedAttempt attempt, RejectionReason reason) {
         node.rejectedAtMicros = nowMicros;
-        rejected.add(Request.key(attempt.owner(), attempt.spec().id()));
+        rejectedRequests.add(Request.key(attempt.owner(), attempt.spec().id()));
         report(node, attempt, AttemptStatus.REJECTED, reason);
     }
 
@@ -297,7 +297,8 @@
         boolean ran = status != AttemptStatus.REJECTED;
         core.attemptReported(
                 node.name, new AttemptReport(attempt.id(), status, reason, ran, node.load()));
-        // otherwise the report is about an attempt that was cancelled, and its load is ignored
+        // if the count is the same, the attempt had been cancelled, and the load in its report was
+        // ignored
         if (core.attemptsAt(node.name) < attemptsBefore) {
             node.reported(nowMicros, freeCores);
         }
@@ -314,8 +315,8 @@
         RandomizedNode node = node(machine);
         OfferedAttempt attempt = new OfferedAttempt(attemptId, details.owner(), details.spec());
         node.offered(nowMicros, attempt);
-        if (!node.answersLate) {
-            deferred.add(() -> answer(node, attempt));
+        if (!node.withholdsAnswers) {
+            deferredActions.add(() -> answer(node, attempt));
         }
         return node.isConnected();
     }
@@ -323,20 +324,20 @@
     @Override
     public void cancelAttempt(String machine, String attemptId) {
         RandomizedNode node = node(machine);
-        deferred.add(() -> cancel(node, attemptId));
+        deferredActions.add(() -> cancel(node, attemptId));
     }
 
     private void cancel(RandomizedNode node, String attemptId) {
-        OfferedAttempt open = node.openAttempts.remove(attemptId);
+        OfferedAttempt unanswered = node.unansweredAttempts.remove(attemptId);
         node.faultAtMicros = nowMicros;
         OfferedAttempt running = node.runningAttempts.remove(attemptId);
         if (running != null) {
             node.freeCores += running.spec().cores();
         }
-        if (open != null || running != null) {
+        if (unanswered != null || running != null) {
             report(
                     node,
-                    open != null ? open : running,
+                    unanswered != null ? unanswered : running,
                     AttemptStatus.CANCELLED,
                     RejectionReason.NONE);
         }
@@ -345,7 +346,7 @@
     @Override
     public boolean checkHealth(String machine, long number) {
         RandomizedNode node = node(machine);
-        deferred.add(
+        deferredActions.add(
                 () -> {
                     if (node.isConnected()) {
                         node.reported(nowMicros, node.freeCores);
@@ -357,12 +358,12 @@
 
     @Override
     public void notifyDrain(String machine, boolean draining) {
-        // the node knows, since the simulation began the drain
+        // the simulation began the drain, so the node has its state already
     }
 
     @Override
     public void welcome(String machine, long retentionMicros) {
-        // the nodes have no history
+        // the nodes retain no finished attempts
     }
 
     @Override
@@ -381,6 +382,6 @@
 
     @Override
     public void reasonChanged(PendingReasons.ReasonChanged changed) {
-        // reasons are read on demand here
+        // the oracle reads the reasons on demand
     }
 }
--- a/placer/src/test/java/thornferry/placer/PendingReasonsTest.java
+++ b/placer/src/test/java/thornferry/placer/PendingReasonsTest.java
@@ -7,15 +7,15 @@
 import thornferry.decisions.diagnosis.PendingReasons.Kind;
 
 /**
- * All decision modules together in virtual time, with nodes and clients that do things at random,
- * and an oracle that knows the true state of the nodes: each pending reason is checked against it,
- * and no waiting task is without a reason.
+ * Runs all decision modules together in virtual time, with random actions of nodes and clients. An
+ * oracle with the true state of the nodes checks that each waiting task has a pending reason and
+ * that the reason is true.
  */
 class PendingReasonsTest {
     private static final int SIMULATIONS = 40;
     private static final int ACTIONS = 250;
 
-    /** Longer than any request may wait. */
+    /** A time that is longer than any request may wait. */
     private static final long MAX_WAIT_MICROS = 12 * SECOND;
 
     @Test
@@ -25,17 +25,17 @@
             PendingReasonsSimulation simulation = new PendingReasonsSimulation(seed);
             simulation.runPendingTasks();
             for (int i = 0; i < ACTIONS; i++) {
-                simulation.act();
+                simulation.performRandomAction();
                 simulation.advanceRandomly();
                 oracle.check(simulation);
             }
             simulation.advance(MAX_WAIT_MICROS);
             assertThat(simulation.lastResults())
-                    .as("each request has its result")
+                    .as("each request has its result after the longest wait")
                     .hasSameSizeAs(simulation.requests());
             assertThat(simulation.core().reasons().waitingCount()).isZero();
         }
-        assertThat(oracle.seenKinds())
+        assertThat(oracle.checkedKinds())
                 .contains(
                         Kind.NO_MACHINES,
                         Kind.UNSATISFIABLE,
--- a/placer/src/test/java/thornferry/placer/PolicyExecutorTest.java
+++ b/placer/src/test/java/thornferry/placer/PolicyExecutorTest.java
@@ -29,8 +29,11 @@
 
     private PolicyExecutor executor(
             BiConsumer<Placement.Event, Consumer<Placement.Action>> policy,
-            Consumer<Placement.Action> actions) {
-        return executor(Clock.system(), (now, event, sink) -> policy.accept(event, sink), actions);
+            Consumer<Placement.Action> actionHandler) {
+        return executor(
+                Clock.system(),
+                (now, event, actions) -> policy.accept(event, actions),
+                actionHandler);
     }
 
     private PolicyExecutor executor(
@@ -50,7 +53,7 @@
     }
 
     @Test
-    void queuesEventsThatActionsRaiseUntilPolicyReturns() {
+    void queuesEventsCausedByActionsUntilPolicyReturns() {
         AtomicReference<PolicyExecutor> executor = new AtomicReference<>();
         executor.set(
                 executor(
@@ -77,7 +80,7 @@
                 executor(
                         (event, actions) -> {
                             if (event instanceof Placement.PlacementRequested) {
-                                throw new IllegalStateException("broken");
+                                throw new IllegalStateException("exception of the policy");
                             }
                             observed.add("processed " + event);
                         },
--- a/placer/src/test/java/thornferry/placer/RandomizedNode.java
+++ b/placer/src/test/java/thornferry/placer/RandomizedNode.java
@@ -17,10 +17,10 @@
     private static final long NO_CONNECTION = -1;
     private static final long NEVER = Long.MIN_VALUE / 2;
 
-    /** A report may have been sent before offers this much older than its arrival. */
+    /** The maximum age of a report at its arrival; the report may not include offers made since. */
     private static final double MAX_REPORT_AGE_MICROS = 1.1 * SECOND;
 
-    /** How long a task counts for the spread of its service after its end. */
+    /** The time for which a task counts for the spread of its service after its end. */
     private static final long SPREAD_MEMORY_MICROS = 5 * SECOND;
 
     private record OfferedCores(long atMicros, double cores) {}
@@ -30,29 +30,42 @@
     private long incarnation = 1;
     boolean draining;
 
-    /** Whether the placer has ever seen the node. */
-    boolean known;
+    /** True once the node has registered with the placer. */
+    boolean knownToPlacer;
 
-    /** Whether offers are left unanswered for the time being. */
-    boolean answersLate;
+    /** True while the node leaves offers unanswered. */
+    boolean withholdsAnswers;
 
     double freeCores = CORES;
 
-    /** Offered attempts without an answer, by id. */
-    final Map<String, OfferedAttempt> openAttempts = new LinkedHashMap<>();
+    /** The offered attempts that the node has not answered, by id. */
+    final Map<String, OfferedAttempt> unansweredAttempts = new LinkedHashMap<>();
 
+    /** The running attempts, by id. */
     final Map<String, OfferedAttempt> runningAttempts = new LinkedHashMap<>();
+
+    /** The time of the last rejection of an offer, except for a held key. */
     long rejectedAtMicros = NEVER;
+
+    /** The time of the last report that the policy uses. */
     long reportedAtMicros = NEVER;
+
+    /**
+     * The time of the last disconnection or cancellation, after which the policy may eject the
+     * node.
+     */
     long faultAtMicros = NEVER;
 
-    /** The free cores in the last report that the policy uses: at an end, rejection or check. */
+    /**
+     * The free cores in the last report that the policy uses, which is one of an end, a rejection
+     * or a health check.
+     */
     private double reportedFreeCores;
 
-    /** What was offered since shortly before the last report. */
+    /** The offers since shortly before the last report. */
     private final Deque<OfferedCores> offeredCores = new ArrayDeque<>();
 
-    /** When a task of a service was last offered or ended. */
+    /** The time at which a task of a service was last offered or ended, by service. */
     private final Map<String, Long> servicesSeenAtMicros = new HashMap<>();
 
     RandomizedNode(String name) {
@@ -79,9 +92,9 @@
 
     void connected(long newConnection) {
         connection = newConnection;
-        reportedFreeCores = known ? Math.min(freeCores, reportedFreeCores) : freeCores;
-        known = true;
-        openAttempts.clear(); // offers in transit never arrived
+        reportedFreeCores = knownToPlacer ? Math.min(freeCores, reportedFreeCores) : freeCores;
+        knownToPlacer = true;
+        unansweredAttempts.clear(); // offers in transit on the earlier connection are lost
     }
 
     void disconnected(long nowMicros) {
@@ -98,7 +111,7 @@
     // ---- attempts ----
 
     void offered(long nowMicros, OfferedAttempt attempt) {
-        openAttempts.put(attempt.id(), attempt);
+        unansweredAttempts.put(attempt.id(), attempt);
         offeredCores.add(new OfferedCores(nowMicros, attempt.spec().cores()));
         servicesSeenAtMicros.put(attempt.spec().service(), nowMicros);
     }
@@ -108,21 +121,21 @@
         runningAttempts.put(attempt.id(), attempt);
     }
 
-    void end(long nowMicros, OfferedAttempt attempt) {
+    void finish(long nowMicros, OfferedAttempt attempt) {
         runningAttempts.remove(attempt.id());
         servicesSeenAtMicros.put(attempt.spec().service(), nowMicros);
         freeCores += attempt.spec().cores();
     }
 
-    boolean hasOpenAttempt(String owner, TaskSpec spec) {
-        return openAttempts.values().stream()
+    boolean hasUnansweredAttempt(String owner, TaskSpec spec) {
+        return unansweredAttempts.values().stream()
                 .anyMatch(
                         attempt ->
                                 attempt.owner().equals(owner)
                                         && attempt.spec().id().equals(spec.id()));
     }
 
-    /** Whether the placer may count a task of the service on this node. */
+    /** Returns whether the placer may count a task of the service on this node. */
     boolean hasService(String service, long nowMicros) {
         return runningAttempts.values().stream()
                         .anyMatch(attempt -> attempt.spec().service().equals(service))
@@ -137,26 +150,26 @@
     }
 
     /**
-     * Tasks use half as much memory as cores, so that memory, whose reports the policy smooths, is
-     * never what is lacking.
+     * Returns the free memory. Tasks use half as much memory as cores, so that memory, whose
+     * reports the policy smooths, is never the scarce resource.
      */
     double freeMemory() {
         return CORES - (CORES - freeCores) / 2;
     }
 
-    /** The policy has received a report of these free cores. */
+    /** Records that the policy has received a report of these free cores. */
     void reported(long nowMicros, double reportedCores) {
         reportedFreeCores = reportedCores;
         reportedAtMicros = nowMicros;
         offeredCores.removeIf(offer -> offer.atMicros() < nowMicros - MAX_REPORT_AGE_MICROS);
     }
 
-    /** A lower bound of the free cores that the placer assumes. */
+    /** Returns a lower bound of the free cores that the placer assumes. */
     double minAssumedFreeCores() {
         return reportedFreeCores - offeredCores.stream().mapToDouble(OfferedCores::cores).sum();
     }
 
-    /** Whether the node rejected an offer after its last report, or not long before it. */
+    /** Returns whether the node rejected an offer after its last report, or shortly before it. */
     boolean rejectedRecently() {
         return rejectedAtMicros >= reportedAtMicros - MAX_REPORT_AGE_MICROS;
     }
--- a/placer/src/test/java/thornferry/placer/SafetyMonitor.java
+++ b/placer/src/test/java/thornferry/placer/SafetyMonitor.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Records violations of the properties that a simulation checks. */
+/** Records violations of the safety properties that a simulation checks. */
 final class SafetyMonitor {
     private final List<String> violations = new ArrayList<>();
     private final Map<String, String> startedAttempts = new HashMap<>();
@@ -18,7 +18,7 @@
         return violations;
     }
 
-    /** A non-idempotent task started on a node; it must be the only start of the task. */
+    /** Records the start of a non-idempotent task, which must be the only start of the task. */
     void nonIdempotentTaskStarted(String task, String attempt) {
         String earlier = startedAttempts.put(task, attempt);
         if (earlier != null) {
@@ -30,7 +30,7 @@
         return startedAttempts.containsKey(task);
     }
 
-    /** The last attempt of a non-idempotent task that started. */
+    /** Returns the last attempt of a non-idempotent task that started, or null if there is none. */
     String startedAttempt(String task) {
         return startedAttempts.get(task);
     }
--- a/placer/src/test/java/thornferry/placer/SimulatedClient.java
+++ b/placer/src/test/java/thornferry/placer/SimulatedClient.java
@@ -10,7 +10,7 @@
 import thornferry.decisions.requests.ResultNotification;
 import thornferry.decisions.requests.TaskSpec;
 
-/** A client that submits tasks, submits them again, and checks the results that it receives. */
+/** A client that submits and resubmits tasks and checks the results that it receives. */
 final class SimulatedClient {
     static final String SAFE = "safe";
     static final String KEYED = "keyed";
@@ -20,9 +20,9 @@
     private static final long REQUEST_TIMEOUT_MICROS = 25 * SECOND;
     private static final long MAX_RESUBMIT_DELAY_MICROS = SECOND / 2;
     private static final int MAX_CORES = 4;
-    private static final int ANSWERED_PER_RESUBMITTED = 4;
+    private static final int FINAL_RESULTS_PER_RESUBMISSION = 4;
 
-    /** Task classes to choose from; most tasks must not run twice. */
+    /** The task classes of new tasks; UNSAFE is repeated, so that most tasks must not run twice. */
     private static final List<String> CLASSES = List.of(SAFE, KEYED, UNSAFE, UNSAFE, UNSAFE);
 
     private static final class Request {
@@ -30,8 +30,8 @@
         final long deadlineMicros;
         int submissions;
         int firstResults;
-        int ends;
-        RequestResult lastResult; // null until there is one
+        int endNotifications;
+        RequestResult lastResult; // null until the first result
 
         Request(TaskSpec spec, long deadlineMicros) {
             this.spec = spec;
@@ -42,7 +42,7 @@
             return spec.taskClass().equals(UNSAFE);
         }
 
-        boolean isAnsweredForGood() {
+        boolean hasFinalResult() {
             return lastResult != null && lastResult != RequestResult.REJECTED;
         }
     }
@@ -51,7 +51,7 @@
     private final SimulatedPlacer placer;
     private final SafetyMonitor monitor;
 
-    /** Whether results outlast the placer, so that no later one may contradict them. */
+    /** True if results survive the placer, so that no later result may contradict them. */
     private final boolean resultsPersist;
 
     private final Map<String, Request> requests = new TreeMap<>();
@@ -79,29 +79,29 @@
         submit(request);
     }
 
-    /** The placer has restarted: submits all requests again, soon. */
+    /** Resubmits all requests after a restart of the placer, each after a random delay. */
     void resubmitAll() {
         requests.values()
                 .forEach(
                         request ->
                                 time.scheduleIn(
-                                        time.between(0, MAX_RESUBMIT_DELAY_MICROS),
+                                        time.randomBetween(0, MAX_RESUBMIT_DELAY_MICROS),
                                         () -> submit(request)));
     }
 
-    /** Submits a request again, but one that is answered for good only sometimes. */
+    /** Submits a request. A request that has a final result is resubmitted only sometimes. */
     private void submit(Request request) {
         if (!placer.isUp() || time.now() >= request.deadlineMicros) {
             return;
         }
-        if (request.isAnsweredForGood() && !time.oneIn(ANSWERED_PER_RESUBMITTED)) {
+        if (request.hasFinalResult() && !time.oneIn(FINAL_RESULTS_PER_RESUBMISSION)) {
             return;
         }
         request.submissions++;
         try {
             placer.core().submit(OWNER, withMaxWait(request.spec, request.deadlineMicros));
         } catch (InvalidRequestException e) {
-            monitor.violated(request.spec.id() + " was not accepted: " + e.getMessage());
+            monitor.violated(request.spec.id() + " was rejected as invalid: " + e.getMessage());
         }
     }
 
@@ -121,22 +121,22 @@
         placer.core().delivered(OWNER, notification.sequence());
         Request request = requests.get(notification.task());
         if (notification.result() == null) {
-            ended(request, notification);
+            checkEnd(request, notification);
         } else {
-            answered(request, notification);
+            checkResult(request, notification);
         }
     }
 
-    private void ended(Request request, ResultNotification notification) {
+    private void checkEnd(Request request, ResultNotification notification) {
         if (resultsPersist && request.isUnsafe() && !notification.repeated()) {
-            request.ends++;
-            if (request.ends > 1) {
-                monitor.violated(notification.task() + " was reported to end a second time");
+            request.endNotifications++;
+            if (request.endNotifications > 1) {
+                monitor.violated(notification.task() + " was reported to have ended a second time");
             }
         }
     }
 
-    private void answered(Request request, ResultNotification notification) {
+    private void checkResult(Request request, ResultNotification notification) {
         String task = notification.task();
         RequestResult result = notification.result();
         request.firstResults += notification.repeated() ? 0 : 1;
@@ -151,7 +151,7 @@
         }
         if (resultsPersist
                 && request.isUnsafe()
-                && request.isAnsweredForGood()
+                && request.hasFinalResult()
                 && request.lastResult != result) {
             monitor.violated(
                     task
@@ -163,7 +163,8 @@
                             + notification.reason());
         }
         if (request.isUnsafe() && result == RequestResult.REJECTED && monitor.hasStarted(task)) {
-            monitor.violated(task + " is rejected and ran as " + monitor.startedAttempt(task));
+            monitor.violated(
+                    task + " is rejected although it started as " + monitor.startedAttempt(task));
         }
         request.lastResult = result;
         if (result == RequestResult.REJECTED) {
@@ -171,7 +172,7 @@
         }
     }
 
-    /** Each request with a deadline after this time must have a result. */
+    /** Checks that each request with a deadline after this time has a result. */
     void requireResults(long deadlineAfterMicros) {
         requests.forEach(
                 (id, request) -> {
--- a/placer/src/test/java/thornferry/placer/SimulatedConnection.java
+++ b/placer/src/test/java/thornferry/placer/SimulatedConnection.java
@@ -10,17 +10,17 @@
     final long number;
     boolean open = true;
 
-    /** When the last frame sent to the node arrives there. */
-    long lastArrivalAtNode;
+    /** The time at which the last frame sent to the node arrives. */
+    long lastArrivalAtNodeMicros;
 
-    /** When the last frame sent to the placer arrives there. */
-    long lastArrivalAtPlacer;
+    /** The time at which the last frame sent to the placer arrives. */
+    long lastArrivalAtPlacerMicros;
 
-    /** Nothing arrives at the node from this time on. */
-    long endAtNode = NEVER;
+    /** The time from which no frame arrives at the node. */
+    long endAtNodeMicros = NEVER;
 
-    /** Nothing arrives at the placer from this time on. */
-    long endAtPlacer = NEVER;
+    /** The time from which no frame arrives at the placer. */
+    long endAtPlacerMicros = NEVER;
 
     SimulatedConnection(long number) {
         this.number = number;
--- a/placer/src/test/java/thornferry/placer/SimulatedDisk.java
+++ b/placer/src/test/java/thornferry/placer/SimulatedDisk.java
@@ -10,8 +10,8 @@
 import thornferry.state.Journal;
 
 /**
- * A journal on a disk that takes some time to write, and makes durable together what arrived
- * meanwhile. It survives the placer.
+ * A journal on a disk. Each write takes some time, and makes all records durable that arrived
+ * meanwhile. The disk survives the placer.
  */
 final class SimulatedDisk implements Journal {
     private static final long MAX_WRITE_MICROS = 30 * MILLISECOND;
@@ -19,12 +19,12 @@
 
     private final VirtualTime time;
     private final SimulatedPlacer placer;
-    private final PlantedFault fault;
+    private final InjectedFault fault;
     private final List<JournalRecord> durable = new ArrayList<>();
     private final List<JournalRecord> unwritten = new ArrayList<>();
-    private final List<Consumer<String>> unacknowledged = new ArrayList<>();
+    private final List<Consumer<String>> pendingCallbacks = new ArrayList<>();
 
-    SimulatedDisk(VirtualTime time, SimulatedPlacer placer, PlantedFault fault) {
+    SimulatedDisk(VirtualTime time, SimulatedPlacer placer, InjectedFault fault) {
         this.time = time;
         this.placer = placer;
         this.fault = fault;
@@ -39,32 +39,36 @@
         records.forEach(durable::add);
     }
 
-    /** The placer was killed: any part of what was not acknowledged may have become durable. */
+    /**
+     * Discards the unacknowledged records after the placer was killed. Any number of them, from the
+     * first on, may have become durable.
+     */
     void loseUnacknowledged() {
         durable.addAll(unwritten.subList(0, time.randomInt(unwritten.size() + 1)));
         unwritten.clear();
-        unacknowledged.clear();
+        pendingCallbacks.clear();
     }
 
     @Override
     public void append(JournalRecord record, Consumer<String> completed) {
         unwritten.add(record);
-        unacknowledged.add(completed);
-        if (fault == PlantedFault.JOURNAL_ACKNOWLEDGES_BEFORE_DURABLE) {
+        pendingCallbacks.add(completed);
+        if (fault == InjectedFault.JOURNAL_ACKNOWLEDGES_BEFORE_DURABLE) {
             completed.accept(null);
         }
         if (unwritten.size() == 1) {
             time.scheduleIn(
-                    time.between(0, MAX_WRITE_MICROS), placer.unlessKilled(this::makeDurable));
+                    time.randomBetween(0, MAX_WRITE_MICROS),
+                    placer.unlessKilled(this::makeDurable));
         }
     }
 
     private void makeDurable() {
         durable.addAll(unwritten);
-        List<Consumer<String>> completed = List.copyOf(unacknowledged);
+        List<Consumer<String>> completed = List.copyOf(pendingCallbacks);
         unwritten.clear();
-        unacknowledged.clear();
-        if (fault != PlantedFault.JOURNAL_ACKNOWLEDGES_BEFORE_DURABLE) {
+        pendingCallbacks.clear();
+        if (fault != InjectedFault.JOURNAL_ACKNOWLEDGES_BEFORE_DURABLE) {
             completed.forEach(callback -> callback.accept(null));
         }
     }
@@ -83,6 +87,6 @@
 
     @Override
     public void close() {
-        // never called: the placer is only ever killed
+        // never called, since the placer is only killed
     }
 }
--- a/placer/src/test/java/thornferry/placer/SimulatedNetwork.java
+++ b/placer/src/test/java/thornferry/placer/SimulatedNetwork.java
@@ -30,65 +30,68 @@
         return connection;
     }
 
-    /** The connection that the placer believes a machine to have, broken or not. */
+    /** Returns the connection that the placer associates with a machine, which may be broken. */
     Optional<SimulatedConnection> connectionOf(String machine) {
         long number = placer.core().membership().connectionOf(machine);
         return Optional.ofNullable(connections.get(number));
     }
 
     void sendToPlacer(SimulatedConnection connection, Runnable onArrival) {
-        connection.lastArrivalAtPlacer =
+        connection.lastArrivalAtPlacerMicros =
                 Math.max(
-                        connection.lastArrivalAtPlacer,
-                        time.now() + time.between(0, MAX_LATENCY_MICROS));
+                        connection.lastArrivalAtPlacerMicros,
+                        time.now() + time.randomBetween(0, MAX_LATENCY_MICROS));
         time.scheduleAt(
-                connection.lastArrivalAtPlacer,
+                connection.lastArrivalAtPlacerMicros,
                 placer.unlessKilled(
                         () -> {
-                            if (time.now() < connection.endAtPlacer) {
+                            if (time.now() < connection.endAtPlacerMicros) {
                                 onArrival.run();
                             }
                         }));
     }
 
     void sendToNode(SimulatedNode node, SimulatedConnection connection, Runnable onArrival) {
-        connection.lastArrivalAtNode =
+        connection.lastArrivalAtNodeMicros =
                 Math.max(
-                        connection.lastArrivalAtNode,
-                        time.now() + time.between(0, MAX_LATENCY_MICROS));
+                        connection.lastArrivalAtNodeMicros,
+                        time.now() + time.randomBetween(0, MAX_LATENCY_MICROS));
         time.scheduleAt(
-                connection.lastArrivalAtNode,
-                node.unlessRestarted(
+                connection.lastArrivalAtNodeMicros,
+                node.unlessKilled(
                         () -> {
-                            if (node.isConnectedBy(connection)
-                                    && time.now() < connection.endAtNode) {
+                            if (node.isConnectedVia(connection)
+                                    && time.now() < connection.endAtNodeMicros) {
                                 onArrival.run();
                             }
                         }));
     }
 
     /**
-     * Breaks a connection: what is in transit arrives until some moment, and each side notices the
-     * end by itself.
+     * Breaks a connection. Frames in transit arrive until a random time in each direction, and each
+     * side detects the end independently.
      *
-     * @param placerNotices false if the placer was killed
+     * @param placerDetects false if the placer was killed and so cannot detect the end
      */
     void breakConnection(
-            SimulatedNode node, SimulatedConnection connection, boolean placerNotices) {
+            SimulatedNode node, SimulatedConnection connection, boolean placerDetects) {
         connection.open = false;
-        connection.endAtNode = time.now() + time.between(0, MAX_TRANSIT_AFTER_BREAK_MICROS);
-        connection.endAtPlacer = time.now() + time.between(0, MAX_TRANSIT_AFTER_BREAK_MICROS);
-        if (placerNotices) {
+        connection.endAtNodeMicros =
+                time.now() + time.randomBetween(0, MAX_TRANSIT_AFTER_BREAK_MICROS);
+        connection.endAtPlacerMicros =
+                time.now() + time.randomBetween(0, MAX_TRANSIT_AFTER_BREAK_MICROS);
+        if (placerDetects) {
             time.scheduleAt(
-                    connection.endAtPlacer + time.between(0, MAX_DETECTION_MICROS),
+                    connection.endAtPlacerMicros + time.randomBetween(0, MAX_DETECTION_MICROS),
                     placer.unlessKilled(() -> placer.core().connectionClosed(connection.number)));
         }
         time.scheduleAt(
-                connection.endAtNode,
+                connection.endAtNodeMicros,
                 () -> {
-                    if (node.isConnectedBy(connection)) {
+                    if (node.isConnectedVia(connection)) {
                         node.disconnected();
-                        time.scheduleIn(time.between(0, MAX_RECONNECT_DELAY_MICROS), node::connect);
+                        time.scheduleIn(
+                                time.randomBetween(0, MAX_RECONNECT_DELAY_MICROS), node::connect);
                     }
                 });
     }
--- a/placer/src/test/java/thornferry/placer/SimulatedNode.java
+++ b/placer/src/test/java/thornferry/placer/SimulatedNode.java
@@ -17,8 +17,9 @@
 import thornferry.decisions.requests.RequestTracker;
 import thornferry.decisions.requests.TaskSpec;
 
-/** A node that accepts and runs tasks, loses reports, forgets attempts, and is killed. */
+/** A node that accepts and runs tasks, loses reports, forgets attempts and can be killed. */
 final class SimulatedNode {
+    /** The cores of the node, and also its memory. */
     static final double SIZE = 16;
 
     private static final long MAX_DECISION_MICROS = 30 * MILLISECOND;
@@ -40,9 +41,12 @@
     private final SimulatedPlacer placer;
     private final SimulatedNetwork network;
     private final SafetyMonitor monitor;
-    private final PlantedFault fault;
+    private final InjectedFault fault;
 
-    /** Whether the node may forget an attempt early; without a journal no node may. */
+    /**
+     * True if the node may forget an attempt early, which is allowed only if the placer has a
+     * journal.
+     */
     private final boolean mayForget;
 
     private long incarnation = 1;
@@ -51,9 +55,10 @@
     private final Map<String, Attempt> heldAttempts = new LinkedHashMap<>();
     private final Set<String> runningAttempts = new HashSet<>();
 
-    /** Ended attempts, and when they ended. */
+    /** The time at which a finished attempt ended, by attempt. */
     private final Map<RetainedAttempt, Long> retainedAttempts = new LinkedHashMap<>();
 
+    /** The end of the last attempt that the node forgot. */
     private long completeSinceMicros = MachineInventory.WHOLE_INCARNATION;
 
     SimulatedNode(
@@ -62,7 +67,7 @@
             SimulatedPlacer placer,
             SimulatedNetwork network,
             SafetyMonitor monitor,
-            PlantedFault fault,
+            InjectedFault fault,
             boolean mayForget) {
         this.name = name;
         this.time = time;
@@ -79,11 +84,11 @@
 
     // ---- connection ----
 
-    boolean isConnectedBy(SimulatedConnection other) {
+    boolean isConnectedVia(SimulatedConnection other) {
         return connection == other;
     }
 
-    /** The connection, if the node has one and it is not broken. */
+    /** Returns the connection, if the node has one that is not broken. */
     Optional<SimulatedConnection> openConnection() {
         return Optional.ofNullable(connection).filter(current -> current.open);
     }
@@ -93,13 +98,13 @@
     }
 
     /** Breaks the connection, if the node has one. */
-    void breakConnection(boolean placerNotices) {
+    void breakConnection(boolean placerDetects) {
         if (connection != null) {
-            network.breakConnection(this, connection, placerNotices);
+            network.breakConnection(this, connection, placerDetects);
         }
     }
 
-    /** Connects to the placer and registers, unless one of them is down. */
+    /** Connects to the placer and registers, unless the node or the placer is down. */
     void connect() {
         if (!placer.isUp() || !up || connection != null) {
             return;
@@ -121,7 +126,7 @@
                                                 runningAttempts.contains(attempt.id())))
                         .toList();
         List<RetainedAttempt> retained =
-                fault == PlantedFault.NODES_HAVE_NO_HISTORY
+                fault == InjectedFault.NODES_HAVE_NO_HISTORY
                         ? List.of()
                         : List.copyOf(retainedAttempts.keySet());
         List<AttemptReport> recentReports =
@@ -138,11 +143,11 @@
     }
 
     private Map<Idempotency, Long> completeSince() {
-        if (fault == PlantedFault.NODES_HAVE_NO_HISTORY) {
+        if (fault == InjectedFault.NODES_HAVE_NO_HISTORY) {
             return Map.of();
         }
         long since =
-                fault == PlantedFault.NODES_CLAIM_COMPLETE_HISTORY
+                fault == InjectedFault.NODES_CLAIM_COMPLETE_HISTORY
                         ? MachineInventory.WHOLE_INCARNATION
                         : completeSinceMicros;
         return Map.of(Idempotency.NON_IDEMPOTENT, since, Idempotency.IDEMPOTENT_WITH_KEY, since);
@@ -150,12 +155,12 @@
 
     // ---- attempts ----
 
-    /** An offer arrives. */
+    /** Processes an offer that arrives. */
     void offered(String attemptId, RequestTracker.OfferDetails details) {
         Attempt attempt =
                 new Attempt(attemptId, details.owner(), details.spec(), details.idempotency());
         if (heldAttempts.putIfAbsent(attemptId, attempt) == null) {
-            whileHeld(attempt, time.between(0, MAX_DECISION_MICROS), () -> decide(attempt));
+            whileHeld(attempt, time.randomBetween(0, MAX_DECISION_MICROS), () -> decide(attempt));
         }
     }
 
@@ -165,8 +170,8 @@
             return;
         }
         send(attempt.id(), AttemptStatus.ACCEPTED, false);
-        long delay = time.between(MIN_START_MICROS, MAX_START_MICROS);
-        whileHeld(attempt, delay, () -> start(attempt));
+        long delayMicros = time.randomBetween(MIN_START_MICROS, MAX_START_MICROS);
+        whileHeld(attempt, delayMicros, () -> start(attempt));
     }
 
     private void start(Attempt attempt) {
@@ -175,17 +180,17 @@
             monitor.nonIdempotentTaskStarted(attempt.spec().id(), attempt.id());
         }
         send(attempt.id(), AttemptStatus.RUNNING, true);
-        long runTime = time.between(MIN_RUN_MICROS, MAX_RUN_MICROS);
+        long runMicros = time.randomBetween(MIN_RUN_MICROS, MAX_RUN_MICROS);
         whileHeld(
                 attempt,
-                runTime,
+                runMicros,
                 () -> {
                     boolean evicted = time.oneIn(RUNS_PER_EVICTION);
                     end(attempt, evicted ? AttemptStatus.EVICTED : AttemptStatus.COMPLETED, true);
                 });
     }
 
-    /** A cancellation arrives. */
+    /** Processes a cancellation that arrives. */
     void cancelled(String attemptId) {
         Attempt attempt = heldAttempts.get(attemptId);
         if (attempt != null) {
@@ -195,7 +200,7 @@
         }
     }
 
-    /** A health check arrives. */
+    /** Answers a health check that arrives. */
     void checkHealth(SimulatedConnection from, long number) {
         LoadReport load = new LoadReport(SIZE, SIZE, LoadReport.UNKNOWN, 0);
         network.sendToPlacer(from, () -> placer.core().healthCheckAnswered(name, number, load));
@@ -250,7 +255,7 @@
 
     // ---- restarts ----
 
-    /** Kills the node, which loses everything, and restarts it after some time. */
+    /** Kills the node, which loses all of its state, and restarts it after some time. */
     void kill() {
         if (!up) {
             return;
@@ -264,15 +269,15 @@
         breakConnection(true);
         connection = null;
         time.scheduleIn(
-                time.between(MIN_RESTART_MICROS, MAX_RESTART_MICROS),
+                time.randomBetween(MIN_RESTART_MICROS, MAX_RESTART_MICROS),
                 () -> {
                     up = true;
                     connect();
                 });
     }
 
-    /** A task that does nothing once the node has been killed. */
-    Runnable unlessRestarted(Runnable task) {
+    /** Returns a task that does nothing once the node has been killed. */
+    Runnable unlessKilled(Runnable task) {
         long scheduledIn = incarnation;
         return () -> {
             if (incarnation == scheduledIn && up) {
@@ -281,11 +286,11 @@
         };
     }
 
-    /** Runs a task later, unless the node no longer holds the attempt then. */
+    /** Runs a task after a delay, unless the node no longer holds the attempt by then. */
     private void whileHeld(Attempt attempt, long delayMicros, Runnable task) {
         time.scheduleIn(
                 delayMicros,
-                unlessRestarted(
+                unlessKilled(
                         () -> {
                             if (attempt.equals(heldAttempts.get(attempt.id()))) {
                                 task.run();
--- a/placer/src/test/java/thornferry/placer/SimulatedPlacer.java
+++ b/placer/src/test/java/thornferry/placer/SimulatedPlacer.java
@@ -20,7 +20,7 @@
             VirtualTime time,
             Site site,
             boolean journaled,
-            PlantedFault fault,
+            InjectedFault fault,
             PlacerOutput output) {
         this.time = time;
         this.site = site;
@@ -61,7 +61,7 @@
         return core;
     }
 
-    /** A task that does nothing once the present incarnation has been killed. */
+    /** Returns a task that does nothing once the current incarnation has been killed. */
     Runnable unlessKilled(Runnable task) {
         int scheduledIn = incarnation;
         return () -> {
@@ -72,7 +72,8 @@
     }
 
     /**
-     * Advances the event loop of the placer, if it is up, to a time; the clock is yet to follow.
+     * Advances the event loop of the placer, if the placer is up, to a time. The caller advances
+     * the clock afterwards.
      */
     void advanceTo(long toMicros) {
         if (channel != null) {
--- a/placer/src/test/java/thornferry/placer/SiteFixtures.java
+++ b/placer/src/test/java/thornferry/placer/SiteFixtures.java
@@ -22,7 +22,7 @@
 
     private SiteFixtures() {}
 
-    /** A task class whose tasks may run on the same machine. */
+    /** Returns a task class whose tasks may run on the same machine. */
     static Placement.TaskClass taskClass(String name, Placement.Idempotency idempotency) {
         return taskClass(name, idempotency, Placement.TopologyScope.NONE);
     }
@@ -48,7 +48,7 @@
     }
 
     /**
-     * A site.
+     * Returns a site without accounts, TLS or persistent state.
      *
      * @param machineSize the cores of each machine, and also its memory
      */
@@ -74,12 +74,12 @@
                 Site.State.NONE);
     }
 
-    /** The registration of a machine that has been up for an hour and carries no load. */
+    /** Returns the registration of a machine that has been up for an hour and carries no load. */
     static Membership.Registration idleMachine(String name, long incarnation, double size) {
         return machine(name, incarnation, size, size, size);
     }
 
-    /** The registration of a machine that has been up for an hour. */
+    /** Returns the registration of a machine that has been up for an hour. */
     static Membership.Registration machine(
             String name, long incarnation, double size, double freeCores, double freeMemory) {
         return new Membership.Registration(
--- a/placer/src/test/java/thornferry/placer/VirtualTime.java
+++ b/placer/src/test/java/thornferry/placer/VirtualTime.java
@@ -7,21 +7,21 @@
 
 /** The time, the scheduled events and the random numbers of a simulation. */
 final class VirtualTime {
-    private static final long START = 1_000 * SiteFixtures.SECOND;
+    private static final long START_MICROS = 1_000 * SiteFixtures.SECOND;
 
     /**
-     * Something that happens.
+     * A scheduled task.
      *
-     * @param order of events of the same time
+     * @param sequence the position among the events of the same time
      */
-    record Event(long atMicros, long order, Runnable task) {}
+    record Event(long atMicros, long sequence, Runnable task) {}
 
     private final SplittableRandom random;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(
-                    Comparator.comparingLong(Event::atMicros).thenComparingLong(Event::order));
-    private long nowMicros = START;
-    private long lastOrder;
+                    Comparator.comparingLong(Event::atMicros).thenComparingLong(Event::sequence));
+    private long nowMicros = START_MICROS;
+    private long lastSequence;
 
     VirtualTime(long seed) {
         random = new SplittableRandom(seed);
@@ -40,7 +40,7 @@
     }
 
     void scheduleAt(long atMicros, Runnable task) {
-        events.add(new Event(atMicros, ++lastOrder, task));
+        events.add(new Event(atMicros, ++lastSequence, task));
     }
 
     /** Removes and returns the next event that is due at or before a time. */
@@ -50,17 +50,17 @@
                 : Optional.empty();
     }
 
-    /** A random number from {@code min} to {@code max}, both included. */
-    long between(long min, long max) {
+    /** Returns a random number from {@code min} to {@code max}, both included. */
+    long randomBetween(long min, long max) {
         return min + random.nextLong(max - min + 1);
     }
 
-    /** A random number from 0 to {@code bound - 1}. */
+    /** Returns a random number from 0 to {@code bound - 1}. */
     int randomInt(int bound) {
         return random.nextInt(bound);
     }
 
-    /** True in one of {@code times} cases. */
+    /** Returns true with a probability of one in {@code times}. */
     boolean oneIn(int times) {
         return random.nextInt(times) == 0;
     }
--- a/placer/src/test/java/thornferry/placer/WriteAheadTest.java
+++ b/placer/src/test/java/thornferry/placer/WriteAheadTest.java
@@ -29,19 +29,19 @@
 import thornferry.state.Journal;
 
 /**
- * An offer of a non-idempotent task is sent only once its record is durable, and only if it should
- * still be sent then.
+ * Checks that an offer of a non-idempotent task is sent only once its record is durable, and only
+ * if the offer is still valid then. Otherwise a placer that restarts could start the task twice.
  */
 class WriteAheadTest implements PlacerOutput {
     private static final String NODE = "n";
     private static final String OWNER = "o";
-    private static final String UNSAFE = "levy-run";
+    private static final String UNSAFE = "unsafe";
     private static final String SAFE = "safe";
     private static final long TICK_MILLIS = 20;
 
     private final EmbeddedChannel channel = new EmbeddedChannel();
     private final List<JournalRecord> records = new ArrayList<>();
-    private final List<Consumer<String>> unacknowledged = new ArrayList<>();
+    private final List<Consumer<String>> pendingCallbacks = new ArrayList<>();
     private final List<String> offeredAttempts = new ArrayList<>();
     private final List<ResultNotification> notifications = new ArrayList<>();
     private final List<String> cancelledAttempts = new ArrayList<>();
@@ -49,18 +49,18 @@
     private long nowMicros = 1_000 * SECOND;
     private PlacerCore core;
 
-    /** Acknowledges records only when the test says so. */
+    /** A journal that completes records only when the test calls {@link #completeRecords}. */
     private final Journal slowJournal =
             new Journal() {
                 @Override
                 public void append(JournalRecord journalRecord, Consumer<String> completed) {
                     records.add(journalRecord);
-                    unacknowledged.add(completed);
+                    pendingCallbacks.add(completed);
                 }
 
                 @Override
                 public void compact(Supplier<Iterable<JournalRecord>> snapshot) {
-                    // never large here
+                    // the journal never grows large enough
                 }
 
                 @Override
@@ -145,8 +145,8 @@
      * @param failure null if the records are durable
      */
     private void completeRecords(String failure) {
-        List<Consumer<String>> callbacks = List.copyOf(unacknowledged);
-        unacknowledged.clear();
+        List<Consumer<String>> callbacks = List.copyOf(pendingCallbacks);
+        pendingCallbacks.clear();
         callbacks.forEach(callback -> callback.accept(failure));
         channel.runPendingTasks();
     }
@@ -200,14 +200,14 @@
         advance(3 * SECOND);
         acknowledgeRecords();
         assertThat(offeredAttempts).isEmpty();
-        // rejected and not failed, since it provably never ran
+        // rejected instead of failed, since the task provably never ran
         assertThat(notifications)
                 .last()
                 .returns(RequestResult.REJECTED, ResultNotification::result);
     }
 
     @Test
-    void neverSendsEarlierAttemptToNodeThatReconnectedMeanwhile() throws Exception {
+    void neverSendsOfferOfEarlierConnectionToNodeThatReconnectedMeanwhile() throws Exception {
         submitAndAdvance(UNSAFE);
         core.connectionClosed(1);
         registerNode(2);
@@ -219,7 +219,7 @@
     }
 
     @Test
-    void rejectsUnsafeRequestsWithReasonAndServesSafeOnesWhileJournalFails() throws Exception {
+    void rejectsUnsafeRequestsWithReasonButPlacesSafeOnesWhileJournalFails() throws Exception {
         submitAndAdvance(UNSAFE);
         writeFailure = "the journal cannot be written: No space left on device";
         completeRecords(writeFailure);
@@ -284,6 +284,6 @@
 
     @Override
     public void reasonChanged(PendingReasons.ReasonChanged changed) {
-        // nobody subscribes to reasons here
+        // no client subscribes to reasons in this test
     }
 }
