--- a/protocol/src/main/java/thornferry/protocol/Bodies.java
+++ b/protocol/src/main/java/thornferry/protocol/Bodies.java
@@ -5,7 +5,10 @@
 import com.google.protobuf.util.JsonFormat;
 import java.nio.charset.StandardCharsets;
 
-/** Message bodies: proto3 JSON, or binary where {@code content-type} is {@link #PROTOBUF}. */
+/**
+ * Reads and writes message bodies: binary protobuf if the {@code content-type} is {@link
+ * #PROTOBUF}, otherwise proto3 JSON.
+ */
 public final class Bodies {
     public static final String JSON = "application/json";
     public static final String PROTOBUF = "application/x-protobuf";
@@ -18,22 +21,24 @@
     /**
      * Reads the body of a frame.
      *
-     * @param type any message of the type that the body holds, such as its default instance
-     * @throws ProtocolException naming the content type or what is malformed
+     * @param prototype any message of the expected type, such as its default instance
+     * @throws ProtocolException if the content type is unknown or the body is malformed
      */
     @SuppressWarnings("unchecked")
-    public static <M extends Message> M read(Frame frame, M type) throws ProtocolException {
-        Message.Builder builder = type.newBuilderForType();
+    public static <M extends Message> M read(Frame frame, M prototype) throws ProtocolException {
+        Message.Builder builder = prototype.newBuilderForType();
         String contentType = frame.header("content-type", JSON);
-        int end = contentType.indexOf(';');
-        String plain = (end < 0 ? contentType : contentType.substring(0, end)).trim();
+        int semicolon = contentType.indexOf(';');
+        String mediaType =
+                (semicolon < 0 ? contentType : contentType.substring(0, semicolon)).trim();
         try {
-            switch (plain) {
+            switch (mediaType) {
                 case PROTOBUF -> builder.mergeFrom(frame.body());
                 case JSON, "text/plain" -> PARSER.merge(frame.text(), builder);
                 default ->
                         throw new ProtocolException(
-                                "unknown content-type " + plain, "use " + JSON + " or " + PROTOBUF);
+                                "unknown content-type " + mediaType,
+                                "use " + JSON + " or " + PROTOBUF);
             }
         } catch (InvalidProtocolBufferException e) {
             throw new ProtocolException("malformed body", String.valueOf(e.getMessage()));
@@ -41,7 +46,7 @@
         return (M) builder.build();
     }
 
-    /** The frame with the message as its body, binary or JSON. */
+    /** Returns the frame with the message as its body, as binary protobuf or as JSON. */
     public static Frame write(Frame frame, Message message, boolean binary) {
         if (binary) {
             return frame.withBody(PROTOBUF, message.toByteArray());
@@ -49,12 +54,12 @@
         return frame.withBody(JSON, json(message).getBytes(StandardCharsets.UTF_8));
     }
 
-    /** The message as proto3 JSON. */
+    /** Returns the message as proto3 JSON. */
     public static String json(Message message) {
         try {
             return PRINTER.print(message);
         } catch (InvalidProtocolBufferException e) {
-            throw new IllegalStateException(e); // only messages with Any, and the schema has none
+            throw new IllegalStateException(e); // only thrown for Any fields; the schema has none
         }
     }
 }
--- a/protocol/src/main/java/thornferry/protocol/ClientConnection.java
+++ b/protocol/src/main/java/thornferry/protocol/ClientConnection.java
@@ -20,38 +20,43 @@
 import java.util.Map;
 
 /**
- * The client's half of one STOMP 1.2 connection, for clients, node agents and operators. It does
- * not reconnect by itself. Callbacks run on the connection's event loop; methods may be called from
- * any thread.
+ * The client side of one STOMP 1.2 connection, used by clients, node agents and operators. A closed
+ * connection is not reopened. Callbacks run on the connection's event loop; methods may be called
+ * from any thread.
  */
 public final class ClientConnection extends SimpleChannelInboundHandler<Frame> {
     /**
-     * Notified of events. {@link #closed} is called exactly once, also if the connection was never
-     * established.
+     * Receives the events of a connection. {@link #closed} is called exactly once, even if the
+     * connection was never established.
      */
     public interface Listener {
-        /** The placer has answered CONNECTED. */
+        /** Called when the placer has replied with CONNECTED. */
         void connected(ClientConnection connection);
 
-        /** A MESSAGE has arrived. */
+        /** Called when a MESSAGE frame has arrived. */
         void message(ClientConnection connection, Frame frame);
 
-        /** The connection is closed, for the reason given. */
-        void closed(ClientConnection connection, String why);
+        /** Called when the connection is closed, with the reason. */
+        void closed(ClientConnection connection, String reason);
     }
 
     /**
-     * Notified of the outcome of a frame sent with a receipt: processed ({@code error} null), or
-     * rejected or unknown.
+     * Receives the outcome of a frame that was sent with a receipt header: the placer processed the
+     * frame, the placer rejected it, or the connection closed before the outcome was known.
      */
     public interface Receipt {
-        /** Called once; {@code error} is null if the frame was processed. */
+        /**
+         * Called exactly once.
+         *
+         * @param error null if the frame was processed; otherwise the text of the ERROR frame or
+         *     the reason of the close
+         */
         void done(String error);
     }
 
     /**
-     * Where and as whom to connect. {@code passcode} is null if a certificate identifies the
-     * client, {@code tls} for plain text.
+     * The address and credentials of a connection. {@code passcode} is null if a certificate
+     * identifies the client; {@code tls} is null for a plain-text connection.
      */
     public record Target(
             SocketAddress address,
@@ -66,23 +71,23 @@
 
     private final Target target;
     private final Listener listener;
-    private final Map<String, Receipt> receipts = new HashMap<>();
+    private final Map<String, Receipt> receiptById = new HashMap<>();
     private Channel channel;
     private boolean connected;
-    private boolean ended;
+    private boolean closed;
     private String closeReason = "the connection was closed";
-    private long receiptNumber;
+    private long lastReceiptNumber;
 
     private ClientConnection(Target target, Listener listener) {
         this.target = target;
         this.listener = listener;
     }
 
-    /** Opens a connection on an event loop; the listener is notified of its outcome. */
+    /** Opens a connection on an event loop; the listener is notified of the outcome. */
     public static ClientConnection open(
             EventLoop loop, Target target, FrameLimits limits, Listener listener) {
         ClientConnection connection = new ClientConnection(target, listener);
-        ChannelFuture connecting =
+        ChannelFuture connectFuture =
                 new Bootstrap()
                         .group(loop)
                         .channel(NioSocketChannel.class)
@@ -93,8 +98,8 @@
                                     @Override
                                     protected void initChannel(Channel newChannel) {
                                         if (target.tls() != null) {
-                                            // with the peer's name, so that it is compared with
-                                            // that of the certificate
+                                            // the host name is passed so that TLS verifies it
+                                            // against the peer's certificate
                                             newChannel
                                                     .pipeline()
                                                     .addLast(
@@ -123,29 +128,29 @@
                                     }
                                 })
                         .connect(target.address());
-        connection.channel = connecting.channel();
-        connecting.addListener(
-                done -> {
-                    if (!done.isSuccess()) {
-                        connection.end(String.valueOf(done.cause().getMessage()));
+        connection.channel = connectFuture.channel();
+        connectFuture.addListener(
+                future -> {
+                    if (!future.isSuccess()) {
+                        connection.handleClose(String.valueOf(future.cause().getMessage()));
                     }
                 });
         return connection;
     }
 
-    /** Whether the connection is established and not closed. */
+    /** Returns true if the connection is established and not closed. */
     public boolean open() {
-        return connected && !ended;
+        return connected && !closed;
     }
 
-    /** The event loop on which the listener is called. */
+    /** Returns the event loop on which the listener is called. */
     public EventLoop loop() {
         return channel.eventLoop();
     }
 
     /**
-     * Sends a message to a destination as JSON; the future only tells whether its bytes were
-     * written to the socket.
+     * Sends a message to a destination as JSON. The returned future completes when the bytes are
+     * written to the socket, not when the placer has processed them.
      */
     public ChannelFuture send(String destination, Message message) {
         return write(
@@ -153,29 +158,31 @@
                         Frame.of(StompCommand.SEND, "destination", destination), message, false));
     }
 
-    /** Sends a message to a destination as protobuf. */
+    /** Sends a message to a destination as binary protobuf. */
     public ChannelFuture sendBinary(String destination, Message message) {
         return write(
                 Bodies.write(
                         Frame.of(StompCommand.SEND, "destination", destination), message, true));
     }
 
-    /** Sends a frame with a receipt header. */
+    /** Sends a frame with a receipt header and notifies {@code receipt} of its outcome. */
     public void request(Frame frame, Receipt receipt) {
         if (!loop().inEventLoop()) {
             loop().execute(() -> request(frame, receipt));
             return;
         }
-        if (ended) {
+        if (closed) {
             receipt.done(closeReason);
             return;
         }
-        String id = "r" + ++receiptNumber;
-        receipts.put(id, receipt);
+        String id = "r" + ++lastReceiptNumber;
+        receiptById.put(id, receipt);
         write(frame.with("receipt", id));
     }
 
-    /** Sends a message as JSON and notifies the receipt once the placer has taken it. */
+    /**
+     * Sends a message as JSON with a receipt header and notifies {@code receipt} of its outcome.
+     */
     public void request(String destination, Message message, Receipt receipt) {
         request(
                 Bodies.write(
@@ -183,23 +190,28 @@
                 receipt);
     }
 
-    /** Subscribes to a destination. */
+    /**
+     * Subscribes to a destination.
+     *
+     * @param id subscription id, unique on this connection
+     * @param ack value of the {@code ack} header
+     */
     public ChannelFuture subscribe(String id, String destination, String ack) {
         return write(
                 Frame.of(StompCommand.SUBSCRIBE, "id", id, "destination", destination, "ack", ack));
     }
 
-    /** Writes a frame; dropped if the connection is closed. */
+    /** Writes a frame; the frame is dropped if the connection is closed. */
     public ChannelFuture write(Frame frame) {
         return channel.writeAndFlush(frame);
     }
 
-    /** Sends DISCONNECT and closes the connection after its receipt. */
+    /** Sends DISCONNECT and closes the connection when its receipt arrives. */
     public void disconnect() {
         request(Frame.of(StompCommand.DISCONNECT), error -> channel.close());
     }
 
-    /** Closes the connection at once, as a crash would. */
+    /** Closes the connection immediately, without DISCONNECT, as a crash would. */
     public void cut() {
         channel.close();
     }
@@ -236,7 +248,7 @@
             }
             case MESSAGE -> listener.message(this, frame);
             case RECEIPT -> {
-                Receipt receipt = receipts.remove(frame.header("receipt-id", ""));
+                Receipt receipt = receiptById.remove(frame.header("receipt-id", ""));
                 if (receipt != null) {
                     receipt.done(null);
                 }
@@ -244,7 +256,7 @@
             case ERROR -> {
                 String detail = frame.body().length > 0 ? ": " + frame.text() : "";
                 closeReason = frame.header("message", "error") + detail;
-                Receipt failedReceipt = receipts.remove(frame.header("receipt-id", ""));
+                Receipt failedReceipt = receiptById.remove(frame.header("receipt-id", ""));
                 if (failedReceipt != null) {
                     failedReceipt.done(closeReason);
                 }
@@ -267,20 +279,20 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         closeReason = String.valueOf(cause.getMessage());
-        ctx.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(done -> ctx.close());
+        ctx.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(future -> ctx.close());
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        end(closeReason);
+        handleClose(closeReason);
     }
 
-    private void end(String reason) {
-        if (!ended) {
-            ended = true;
+    private void handleClose(String reason) {
+        if (!closed) {
+            closed = true;
             closeReason = reason;
-            receipts.values().forEach(receipt -> receipt.done(reason));
-            receipts.clear();
+            receiptById.values().forEach(receipt -> receipt.done(reason));
+            receiptById.clear();
             listener.closed(this, reason);
         }
     }
--- a/protocol/src/main/java/thornferry/protocol/Frame.java
+++ b/protocol/src/main/java/thornferry/protocol/Frame.java
@@ -8,16 +8,17 @@
 import java.util.Objects;
 
 /**
- * One STOMP 1.2 frame, immutable and free of pooled buffers, so that it can be retained after the
- * read that brought it.
+ * A STOMP 1.2 frame. A frame is immutable and holds no pooled buffers, so that it can be retained
+ * after the channel read that delivered it.
  *
- * <p>Headers keep their order and repetitions; {@link #header} gives the first of a repeated
- * header, which is the valid one (specification, "Repeated Header Entries"). The body is not
- * copied: callers leave it unchanged.
+ * <p>Headers keep their order and repetitions; {@link #header} returns the first value of a
+ * repeated header, which is the valid one (specification, "Repeated Header Entries"). The body is
+ * not copied, so callers must not modify it.
  */
-@SuppressWarnings("ArrayRecordComponent") // frames are not compared, and bodies are large
+@SuppressWarnings(
+        "ArrayRecordComponent") // frames are never compared, and copying large bodies is costly
 public record Frame(StompCommand command, List<Map.Entry<String, String>> headers, byte[] body) {
-    private static final byte[] EMPTY = {};
+    private static final byte[] EMPTY_BODY = {};
 
     public Frame {
         Objects.requireNonNull(command);
@@ -25,33 +26,38 @@
     }
 
     /**
-     * A frame without a body; {@code headers} are names and values in turn, pairs with a null value
-     * are left out.
+     * Returns a frame without a body.
+     *
+     * @param namesAndValues alternating names and values of headers; headers with a null value are
+     *     omitted
      */
-    public static Frame of(StompCommand command, String... headers) {
-        return new Frame(command, pairs(headers), EMPTY);
+    public static Frame of(StompCommand command, String... namesAndValues) {
+        return new Frame(command, headerList(namesAndValues), EMPTY_BODY);
     }
 
-    /** The same frame with a body and its {@code content-type}. */
+    /** Returns a copy of this frame with the given body and a {@code content-type} header. */
     public Frame withBody(String contentType, byte[] content) {
         return with("content-type", contentType).replaceBody(content);
     }
 
-    /** The same frame with one more header at its end. */
+    /**
+     * Returns a copy of this frame with a header added at the end, or this frame if {@code value}
+     * is null.
+     */
     public Frame with(String name, String value) {
         if (value == null) {
             return this;
         }
-        List<Map.Entry<String, String>> more = new ArrayList<>(headers);
-        more.add(Map.entry(name, value));
-        return new Frame(command, more, body);
+        List<Map.Entry<String, String>> extendedHeaders = new ArrayList<>(headers);
+        extendedHeaders.add(Map.entry(name, value));
+        return new Frame(command, extendedHeaders, body);
     }
 
     private Frame replaceBody(byte[] content) {
         return new Frame(command, headers, content);
     }
 
-    /** The first value of a header, or null where the frame has none of that name. */
+    /** Returns the first value of a header, or null if the frame has no such header. */
     public String header(String name) {
         for (Map.Entry<String, String> header : headers) {
             if (header.getKey().equals(name)) {
@@ -61,22 +67,22 @@
         return null;
     }
 
-    /** The first value of a header, or {@code otherwise}. */
-    public String header(String name, String otherwise) {
+    /** Returns the first value of a header, or a default if the frame has no such header. */
+    public String header(String name, String defaultValue) {
         String value = header(name);
-        return value == null ? otherwise : value;
+        return value == null ? defaultValue : value;
     }
 
-    /** The body as UTF-8 text. */
+    /** Returns the body decoded as UTF-8. */
     public String text() {
         return new String(body, StandardCharsets.UTF_8);
     }
 
-    private static List<Map.Entry<String, String>> pairs(String... headers) {
-        List<Map.Entry<String, String>> list = new ArrayList<>(headers.length / 2 + 2);
-        for (int i = 0; i < headers.length; i += 2) {
-            if (headers[i + 1] != null) {
-                list.add(Map.entry(headers[i], headers[i + 1]));
+    private static List<Map.Entry<String, String>> headerList(String... namesAndValues) {
+        List<Map.Entry<String, String>> list = new ArrayList<>(namesAndValues.length / 2 + 2);
+        for (int i = 0; i < namesAndValues.length; i += 2) {
+            if (namesAndValues[i + 1] != null) {
+                list.add(Map.entry(namesAndValues[i], namesAndValues[i + 1]));
             }
         }
         return list;
--- a/protocol/src/main/java/thornferry/protocol/FrameDecoder.java
+++ b/protocol/src/main/java/thornferry/protocol/FrameDecoder.java
@@ -16,9 +16,9 @@
 import java.util.Map;
 
 /**
- * Decodes STOMP 1.2 frames strictly: what the specification forbids ends the connection. After an
- * error nothing more is read. The memory for one frame is bounded by the limits, whatever a peer
- * sends and in whatever pieces.
+ * A strict decoder of STOMP 1.2 frames: input that the specification forbids causes an exception,
+ * after which all further input is discarded. The limits bound the memory for one frame, whatever a
+ * peer sends and however the bytes are split.
  */
 final class FrameDecoder extends ByteToMessageDecoder {
     private enum State {
@@ -42,8 +42,8 @@
     private State state = State.BETWEEN_FRAMES;
     private StompCommand command;
     private List<Map.Entry<String, String>> headers = new ArrayList<>();
-    private int bodyLength; // -1 if the body ends at the first NUL
-    private int scannedBytes; // bytes from the reader index that do not contain the wanted one
+    private int bodyLength; // -1 without content-length: the body ends at the first NUL
+    private int scannedBytes; // bytes after the reader index already searched for the delimiter
 
     FrameDecoder(FrameLimits limits) {
         this.limits = limits;
@@ -52,10 +52,9 @@
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
         try {
-            while (step(in, out)) {
+            while (decodeNextPart(in, out)) {
                 if (!out.isEmpty()) {
-                    return; // passed on at once, so that what it leads to goes before what follows
-                    // it
+                    return; // the handlers process this frame before the next one is decoded
                 }
             }
         } catch (RuntimeException e) {
@@ -64,11 +63,11 @@
         }
     }
 
-    /** Decodes one part; false if more bytes are needed. */
-    private boolean step(ByteBuf in, List<Object> out) {
+    /** Decodes one part of a frame; returns false if more bytes are needed. */
+    private boolean decodeNextPart(ByteBuf in, List<Object> out) {
         return switch (state) {
             case BETWEEN_FRAMES -> skipBetweenFrames(in);
-            case HEADERS -> readLine(in);
+            case HEADERS -> readCommandOrHeader(in);
             case BODY -> readBody(in, out);
             case FAILED -> {
                 in.skipBytes(in.readableBytes());
@@ -77,7 +76,10 @@
         };
     }
 
-    /** Line ends between frames are heartbeats, or padding that the specification allows. */
+    /**
+     * Skips line ends between frames, which are heartbeats or padding that the specification
+     * allows.
+     */
     private boolean skipBetweenFrames(ByteBuf in) {
         while (in.isReadable()) {
             byte nextByte = in.getByte(in.readerIndex());
@@ -102,8 +104,8 @@
         return false;
     }
 
-    private boolean readLine(ByteBuf in) {
-        int end = find(in, (byte) '\n', limits.maxHeaderLineBytes() + 1);
+    private boolean readCommandOrHeader(ByteBuf in) {
+        int end = findDelimiter(in, (byte) '\n', limits.maxHeaderLineBytes() + 1);
         if (end < 0) {
             return false;
         }
@@ -118,15 +120,19 @@
         } else if (size > 0) {
             addHeader(bytes, size);
         } else {
-            bodyLength = bodyLength();
+            bodyLength = contentLength();
             state = State.BODY;
         }
         return true;
     }
 
-    /** Offset of the byte from the reader index, or -1; throws if it cannot be within the limit. */
-    private int find(ByteBuf in, byte wanted, int limit) {
-        int index = in.indexOf(in.readerIndex() + scannedBytes, in.writerIndex(), wanted);
+    /**
+     * Returns the offset of the delimiter from the reader index, or -1 if it has not arrived yet.
+     *
+     * @throws TooLongFrameException if the offset is not below the limit
+     */
+    private int findDelimiter(ByteBuf in, byte delimiter, int limit) {
+        int index = in.indexOf(in.readerIndex() + scannedBytes, in.writerIndex(), delimiter);
         int end = index < 0 ? -1 : index - in.readerIndex();
         if (end >= limit || (end < 0 && in.readableBytes() >= limit)) {
             throw new TooLongFrameException("over " + (limit - 1) + " octets");
@@ -153,13 +159,16 @@
         if (colon <= 0 || text.indexOf('\0') >= 0) {
             throw new CorruptedFrameException("a header needs a name, a colon and no NUL");
         }
-        // CONNECT and CONNECTED stay unescaped, for peers of version 1.0 (specification, "Value
-        // Encoding")
-        boolean unescaped = command == StompCommand.CONNECT || command == StompCommand.CONNECTED;
+        // CONNECT and CONNECTED frames do not use escapes, for compatibility with peers of version
+        // 1.0 (specification, "Value Encoding")
+        boolean withoutEscapes =
+                command == StompCommand.CONNECT || command == StompCommand.CONNECTED;
         String name = text.substring(0, colon);
         String value = text.substring(colon + 1);
         headers.add(
-                Map.entry(unescaped ? name : unescape(name), unescaped ? value : unescape(value)));
+                Map.entry(
+                        withoutEscapes ? name : unescape(name),
+                        withoutEscapes ? value : unescape(value)));
     }
 
     private static String unescape(String text) {
@@ -185,7 +194,8 @@
         return unescaped.toString();
     }
 
-    private int bodyLength() {
+    /** Returns the value of the {@code content-length} header, or -1 if there is none. */
+    private int contentLength() {
         for (Map.Entry<String, String> header : headers) {
             if (header.getKey().equals("content-length")) {
                 try {
@@ -198,7 +208,7 @@
                         return (int) contentLength;
                     }
                 } catch (NumberFormatException e) {
-                    // falls through to the message below
+                    // the exception below is thrown instead
                 }
                 throw new CorruptedFrameException("content-length must be a number of octets");
             }
@@ -209,7 +219,7 @@
     private boolean readBody(ByteBuf in, List<Object> out) {
         int size = bodyLength;
         if (size < 0) {
-            size = find(in, (byte) 0, limits.maxBodyBytes() + 1);
+            size = findDelimiter(in, (byte) 0, limits.maxBodyBytes() + 1);
             if (size < 0) {
                 return false;
             }
--- a/protocol/src/main/java/thornferry/protocol/FrameLimits.java
+++ b/protocol/src/main/java/thornferry/protocol/FrameLimits.java
@@ -1,14 +1,14 @@
 package thornferry.protocol;
 
 /**
- * Bounds of what a peer may send; beyond them it gets an ERROR and is disconnected (specification,
- * "Size Limits").
+ * The limits for the frames of a peer. A peer that exceeds a limit receives an ERROR and is
+ * disconnected (specification, "Size Limits").
  *
- * @param maxHeaderLineBytes bytes of a header line
- * @param maxHeaders header lines of a frame
- * @param maxBodyBytes bytes of a body
- * @param maxUnwrittenBytes bytes that may wait to be written to a peer before it counts as a slow
- *     reader
+ * @param maxHeaderLineBytes maximum length of a header line
+ * @param maxHeaders maximum number of header lines of a frame
+ * @param maxBodyBytes maximum length of a body
+ * @param maxUnwrittenBytes outbound bytes that may be buffered for a peer; beyond them the peer is
+ *     treated as a slow reader
  */
 public record FrameLimits(
         int maxHeaderLineBytes, int maxHeaders, int maxBodyBytes, int maxUnwrittenBytes) {
@@ -20,11 +20,12 @@
                 || maxBodyBytes < 1024
                 || maxUnwrittenBytes < 4096) {
             throw new IllegalArgumentException(
-                    "frame limits too small: "
+                    "frame limits below the minimum (header line 64 bytes, 8 headers, body 1024"
+                            + " bytes, 4096 unwritten bytes): header line "
                             + maxHeaderLineBytes
-                            + ", "
+                            + " bytes, headers "
                             + maxHeaders
-                            + ", "
+                            + ", body bytes "
                             + maxBodyBytes);
         }
     }
--- a/protocol/src/main/java/thornferry/protocol/Heartbeat.java
+++ b/protocol/src/main/java/thornferry/protocol/Heartbeat.java
@@ -1,23 +1,23 @@
 package thornferry.protocol;
 
 /**
- * One side's offer in the {@code heart-beat} header (specification, "Heart-beating"), in
- * milliseconds.
+ * The heartbeat intervals that one side proposes in its {@code heart-beat} header (specification,
+ * "Heart-beating").
  *
- * @param sendIntervalMillis how often this side can send; 0 for never
- * @param receiveIntervalMillis how often this side wants the peer to send; 0 for never
+ * @param sendIntervalMillis shortest interval at which this side can send; 0 for never
+ * @param receiveIntervalMillis interval at which this side wants the peer to send; 0 for never
  */
 public record Heartbeat(int sendIntervalMillis, int receiveIntervalMillis) {
     private static final int MAX_INTERVAL_MILLIS = 3_600_000;
 
     public static final Heartbeat NONE = new Heartbeat(0, 0);
 
-    /** Reads a header; a missing one counts as {@code 0,0}. */
-    public static Heartbeat parse(String header) throws ProtocolException {
-        if (header == null) {
+    /** Parses a header value; null, for a missing header, counts as {@code 0,0}. */
+    public static Heartbeat parse(String headerValue) throws ProtocolException {
+        if (headerValue == null) {
             return NONE;
         }
-        String[] parts = header.split(",", -1);
+        String[] parts = headerValue.split(",", -1);
         try {
             if (parts.length == 2) {
                 long sendMillis = Long.parseLong(parts[0].trim());
@@ -29,15 +29,15 @@
                 }
             }
         } catch (NumberFormatException e) {
-            // falls through to the message below
+            // the exception below is thrown instead
         }
         throw new ProtocolException(
-                "heart-beat must be two numbers of milliseconds, not '" + header + "'");
+                "heart-beat must be two numbers of milliseconds, not '" + headerValue + "'");
     }
 
     /**
-     * How often this side sends, given both offers: the larger of its own interval and the peer's
-     * wish; 0 for never.
+     * Returns the interval at which this side sends: the larger of the interval it proposed and the
+     * one the peer wants; 0 for never.
      */
     public int negotiatedSendMillis(Heartbeat peer) {
         return sendIntervalMillis == 0 || peer.receiveIntervalMillis == 0
@@ -45,12 +45,12 @@
                 : Math.max(sendIntervalMillis, peer.receiveIntervalMillis);
     }
 
-    /** How often the peer sends, by the same rule. */
+    /** Returns the interval at which the peer sends, by the same rule; 0 for never. */
     public int negotiatedReceiveMillis(Heartbeat peer) {
         return peer.negotiatedSendMillis(this);
     }
 
-    /** The value of the {@code heart-beat} header. */
+    /** Returns the value of the {@code heart-beat} header. */
     public String header() {
         return sendIntervalMillis + "," + receiveIntervalMillis;
     }
--- a/protocol/src/main/java/thornferry/protocol/HeartbeatHandler.java
+++ b/protocol/src/main/java/thornferry/protocol/HeartbeatHandler.java
@@ -8,38 +8,43 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Sends heartbeats and checks for those of the peer on one connection. It comes before framing in
- * the pipeline, since any byte counts as a sign of life, also one within a long frame. A silent
- * peer is reported as {@link PeerSilent}.
+ * Sends heartbeats on one connection and detects a silent peer, which it reports by the user event
+ * {@link PeerSilent}. The handler precedes the frame decoder in the pipeline, since any received
+ * byte shows that the peer is alive, even one in the middle of a long frame.
  */
 final class HeartbeatHandler extends ChannelDuplexHandler {
-    /** A user event: the peer was silent for longer than negotiated and the margin. */
+    /**
+     * The user event that the peer was silent for longer than the negotiated interval and margin.
+     */
     enum PeerSilent {
         INSTANCE
     }
 
     /**
-     * A peer may be late by its own interval once more, since timers and the network both take
-     * time.
+     * The margin by which a peer may be late, in percent of the negotiated interval. The margin
+     * covers delays of timers and of the network.
      */
     private static final int MARGIN_PERCENT = 100;
 
     private Future<?> sendTimer;
     private Future<?> receiveTimer;
     private Liveness liveness;
-    private long writtenAtMicros;
+    private long lastWriteMicros;
 
     static long nowMicros() {
         return System.nanoTime() / 1_000;
     }
 
-    /** Starts both directions, replacing earlier timers; an interval of 0 disables one. */
+    /**
+     * Starts the timers of both directions and replaces earlier ones; an interval of 0 disables its
+     * direction.
+     */
     void start(ChannelHandlerContext ctx, int sendIntervalMillis, int receiveIntervalMillis) {
         stop();
-        writtenAtMicros = nowMicros();
+        lastWriteMicros = nowMicros();
         if (sendIntervalMillis > 0) {
-            // checked twice an interval: after a write just behind a check, almost two intervals
-            // would otherwise pass without a heartbeat
+            // checked twice per interval: with one check per interval, almost two intervals would
+            // pass without a heartbeat if a write occurred just after a check
             long checkIntervalMillis = Math.max(1, sendIntervalMillis / 2);
             sendTimer =
                     ctx.executor()
@@ -64,7 +69,7 @@
         }
     }
 
-    /** The same on the handler of this type in a pipeline. */
+    /** Starts the timers of the heartbeat handler in a pipeline, if there is one. */
     static void start(
             io.netty.channel.ChannelPipeline pipeline,
             int sendIntervalMillis,
@@ -77,8 +82,8 @@
     }
 
     private void sendHeartbeatIfIdle(ChannelHandlerContext ctx, long idleMicros) {
-        if (nowMicros() - writtenAtMicros >= idleMicros && ctx.channel().isWritable()) {
-            writtenAtMicros = nowMicros();
+        if (nowMicros() - lastWriteMicros >= idleMicros && ctx.channel().isWritable()) {
+            lastWriteMicros = nowMicros();
             ctx.writeAndFlush(Unpooled.wrappedBuffer(new byte[] {'\n'}));
         }
     }
@@ -110,7 +115,7 @@
 
     @Override
     public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
-        writtenAtMicros = nowMicros();
+        lastWriteMicros = nowMicros();
         ctx.write(message, promise);
     }
 
--- a/protocol/src/main/java/thornferry/protocol/Liveness.java
+++ b/protocol/src/main/java/thornferry/protocol/Liveness.java
@@ -1,47 +1,50 @@
 package thornferry.protocol;
 
 /**
- * Detects that a peer has been silent for longer than its heartbeat allows. Reads no clock.
+ * A failure detector for one peer: the peer is silent if nothing was received from it for longer
+ * than its heartbeat interval and a margin. The caller passes the current time.
  *
- * <p>After a pause of this process every peer would seem silent at once. So if checks come much
- * later than scheduled, the time without checks does not count: the peer's bytes may wait unread.
+ * <p>After a pause of this process every peer would seem silent at the same time. So if a check
+ * runs much later than scheduled, the delay does not count as silence: bytes from the peer may have
+ * arrived and not been read yet.
  */
 public final class Liveness {
     private final long maxSilenceMicros;
     private final long checkIntervalMicros;
-    private long receivedAtMicros;
-    private long checkedAtMicros;
+    private long lastReceivedMicros;
+    private long lastCheckMicros;
 
     /**
-     * @param intervalMicros what was agreed: the peer sends at least once in this time
-     * @param marginMicros what is allowed beyond it for delays on the way
+     * @param intervalMicros negotiated interval, in which the peer sends at least once
+     * @param marginMicros time allowed beyond the interval, for delays of timers and the network
      */
     public Liveness(long intervalMicros, long marginMicros, long nowMicros) {
         this.maxSilenceMicros = intervalMicros + marginMicros;
         this.checkIntervalMicros = Math.max(1_000, maxSilenceMicros / 4);
-        this.receivedAtMicros = nowMicros;
-        this.checkedAtMicros = nowMicros;
+        this.lastReceivedMicros = nowMicros;
+        this.lastCheckMicros = nowMicros;
     }
 
-    /** How often {@link #isSilent} is to be called. */
+    /** Returns the interval at which {@link #isSilent} must be called. */
     public long checkIntervalMicros() {
         return checkIntervalMicros;
     }
 
-    /** Something was received at this time. */
+    /** Records that bytes of the peer were received. */
     public void received(long nowMicros) {
-        receivedAtMicros = nowMicros;
+        lastReceivedMicros = nowMicros;
     }
 
     /**
-     * Whether the peer was silent for longer than negotiated, not counting pauses of this process.
+     * Returns true if the peer was silent for longer than the interval and margin, not counting
+     * pauses of this process.
      */
     public boolean isSilent(long nowMicros) {
-        long lateMicros = nowMicros - checkedAtMicros - checkIntervalMicros;
-        if (lateMicros > checkIntervalMicros) {
-            receivedAtMicros = Math.min(nowMicros, receivedAtMicros + lateMicros);
+        long checkDelayMicros = nowMicros - lastCheckMicros - checkIntervalMicros;
+        if (checkDelayMicros > checkIntervalMicros) {
+            lastReceivedMicros = Math.min(nowMicros, lastReceivedMicros + checkDelayMicros);
         }
-        checkedAtMicros = nowMicros;
-        return nowMicros - receivedAtMicros > maxSilenceMicros;
+        lastCheckMicros = nowMicros;
+        return nowMicros - lastReceivedMicros > maxSilenceMicros;
     }
 }
--- a/protocol/src/main/java/thornferry/protocol/ProtocolException.java
+++ b/protocol/src/main/java/thornferry/protocol/ProtocolException.java
@@ -1,8 +1,8 @@
 package thornferry.protocol;
 
 /**
- * A violation of the protocol by a peer. The message goes into the {@code message} header of the
- * ERROR frame that the peer gets.
+ * Thrown if a peer violates the protocol. The exception's message becomes the {@code message}
+ * header of the ERROR frame sent to the peer.
  */
 public final class ProtocolException extends Exception {
     private static final long serialVersionUID = 1;
@@ -13,16 +13,16 @@
     }
 
     /**
-     * @param detail goes into the body of the ERROR frame
+     * @param detail body of the ERROR frame; empty for none
      */
     public ProtocolException(String message, String detail) {
         super(
                 message, null, false,
-                false); // thrown for each bad frame of a hostile peer: no stack is kept
+                false); // no stack trace: a hostile peer can cause one exception per frame
         this.detail = detail;
     }
 
-    /** More about the error, for the body of an ERROR frame; empty for none. */
+    /** Returns the body of the ERROR frame; empty for none. */
     public String detail() {
         return detail;
     }
--- a/protocol/src/main/java/thornferry/protocol/ServerSession.java
+++ b/protocol/src/main/java/thornferry/protocol/ServerSession.java
@@ -21,18 +21,19 @@
 import javax.net.ssl.SSLException;
 
 /**
- * The server's half of one STOMP 1.2 connection: handshake, subscriptions, acknowledgements,
- * transactions, receipts, and an ERROR before the close if the peer violates the protocol. The
- * {@link SessionHandler} handles the content of frames.
+ * The server side of one STOMP 1.2 connection: handshake, subscriptions, acknowledgements,
+ * transactions and receipts. A peer that violates the protocol receives an ERROR before the
+ * connection is closed. The {@link SessionHandler} processes the content of frames.
  *
- * <p>Everything runs on the connection's event loop.
+ * <p>All methods must be called on the connection's event loop.
  */
 public final class ServerSession extends SimpleChannelInboundHandler<Frame> {
-    private record Subscription(String id, String destination, boolean acks, boolean cumulative) {}
+    private record Subscription(
+            String id, String destination, boolean requiresAck, boolean cumulativeAck) {}
 
-    private record UnacknowledgedMessage(String message, String subscription) {}
+    private record UnacknowledgedMessage(String messageId, String subscriptionId) {}
 
-    /** Bound of the frames that a peer may send before CONNECTED. */
+    /** Maximum number of frames that a peer may send between CONNECT and CONNECTED. */
     private static final int MAX_EARLY_FRAMES = 64;
 
     private static final int MAX_SUBSCRIPTIONS = 1_000;
@@ -44,17 +45,17 @@
     private final Heartbeat heartbeat;
     private final String server;
     private final int handshakeTimeoutMillis;
-    private final Map<String, Subscription> subscriptions = new LinkedHashMap<>();
-    private final Map<String, List<Frame>> transactions = new HashMap<>();
-    private final Map<String, UnacknowledgedMessage> unacknowledged = new LinkedHashMap<>();
+    private final Map<String, Subscription> subscriptionById = new LinkedHashMap<>();
+    private final Map<String, List<Frame>> framesByTransaction = new HashMap<>();
+    private final Map<String, UnacknowledgedMessage> unacknowledgedByAckId = new LinkedHashMap<>();
     private ChannelHandlerContext ctx;
     private String login;
     private boolean connected;
-    private Heartbeat requestedHeartbeat; // of a CONNECT whose login is being checked
-    private final List<Frame> earlyFrames = new ArrayList<>();
+    private Heartbeat requestedHeartbeat; // of the CONNECT frame; null before it
+    private final List<Frame> earlyFrames = new ArrayList<>(); // deferred until CONNECTED
     private boolean closing;
     private String closeReason = "the peer closed the connection";
-    private long messages;
+    private long lastAckNumber;
     private Object attachment;
 
     private ServerSession(
@@ -71,6 +72,8 @@
     /**
      * Installs a session on an accepted connection.
      *
+     * @param heartbeat heartbeat intervals that the server proposes
+     * @param server value of the {@code server} header in CONNECTED
      * @param handshakeTimeoutMillis a peer that has not sent CONNECT within this time is
      *     disconnected
      */
@@ -93,54 +96,56 @@
                 "session", new ServerSession(handler, heartbeat, server, handshakeTimeoutMillis));
     }
 
-    /** The login that was authenticated; null before CONNECTED. */
+    /** Returns the authenticated login; null before CONNECTED. */
     public String login() {
         return login;
     }
 
-    /** The object that the handler attached to this session; null at first. */
+    /** Returns the object that the handler attached to this session; null if there is none. */
     public Object attachment() {
         return attachment;
     }
 
-    /** Attaches an object of the handler to this session. */
-    public void attach(Object what) {
-        attachment = what;
+    /** Attaches an object to this session on behalf of the handler. */
+    public void attach(Object newAttachment) {
+        attachment = newAttachment;
     }
 
-    /** Whether the peer is connected and the session is not closing. */
+    /** Returns true if the peer is connected and the session is not closing. */
     public boolean open() {
         return connected && !closing && ctx.channel().isActive();
     }
 
-    /** Whether the peer has a subscription to this destination. */
+    /** Returns true if the peer has a subscription to the destination. */
     public boolean subscribedTo(String destination) {
-        return subscriptions.values().stream().anyMatch(s -> s.destination().equals(destination));
+        return subscriptionById.values().stream()
+                .anyMatch(s -> s.destination().equals(destination));
     }
 
-    /** Whether messages to this destination are acknowledged by the peer. */
+    /** Returns true if a subscription of the peer to the destination requires acknowledgements. */
     public boolean acknowledges(String destination) {
-        return subscriptions.values().stream()
-                .anyMatch(s -> s.destination().equals(destination) && s.acks());
+        return subscriptionById.values().stream()
+                .anyMatch(s -> s.destination().equals(destination) && s.requiresAck());
     }
 
     /**
      * Sends a MESSAGE to each subscription of the destination.
      *
-     * @param messageId names it in a later acknowledgement
-     * @return the write of the last of them, or null where nothing could be sent: no such
-     *     subscription, a closed session, or a peer that reads too slowly, which is then cut off
+     * @param messageId passed to {@link SessionHandler#acknowledged} when the peer acknowledges the
+     *     message
+     * @return the future of the last write, or null if there is no such subscription, the session
+     *     is closed, or the peer reads too slowly; a slow peer is then disconnected
      */
     public ChannelFuture message(String destination, String messageId, Frame headersAndBody) {
         if (!open()) {
             return null;
         }
-        ChannelFuture last = null;
-        for (Subscription s : new ArrayList<>(subscriptions.values())) {
+        ChannelFuture lastWrite = null;
+        for (Subscription s : new ArrayList<>(subscriptionById.values())) {
             if (!s.destination().equals(destination)) {
                 continue;
             }
-            if (!ctx.channel().isWritable() || unacknowledged.size() >= MAX_UNACKNOWLEDGED) {
+            if (!ctx.channel().isWritable() || unacknowledgedByAckId.size() >= MAX_UNACKNOWLEDGED) {
                 fail("too slow a reader: messages for you are held back", null);
                 return null;
             }
@@ -149,19 +154,19 @@
                             .with("destination", destination)
                             .with("subscription", s.id())
                             .with("message-id", messageId);
-            if (s.acks()) {
-                String ack = s.id() + "-" + ++messages;
-                unacknowledged.put(ack, new UnacknowledgedMessage(messageId, s.id()));
-                frame = frame.with("ack", ack);
+            if (s.requiresAck()) {
+                String ackId = s.id() + "-" + ++lastAckNumber;
+                unacknowledgedByAckId.put(ackId, new UnacknowledgedMessage(messageId, s.id()));
+                frame = frame.with("ack", ackId);
             }
-            last = ctx.writeAndFlush(frame);
+            lastWrite = ctx.writeAndFlush(frame);
         }
-        return last;
+        return lastWrite;
     }
 
-    /** Ends the session with an ERROR. */
+    /** Sends an ERROR and closes the session. */
     public void fail(String message, String receiptId) {
-        error(new ProtocolException(message), receiptId);
+        sendErrorAndClose(new ProtocolException(message), receiptId);
     }
 
     @Override
@@ -181,7 +186,7 @@
     @Override
     protected void channelRead0(ChannelHandlerContext context, Frame frame) {
         if (closing) {
-            return; // after an ERROR nothing more is taken (specification, "ERROR")
+            return; // no frames are processed after an ERROR (specification, "ERROR")
         }
         try {
             if (!connected && requestedHeartbeat != null) {
@@ -196,7 +201,7 @@
                 process(frame);
             }
         } catch (ProtocolException e) {
-            error(e, frame.header("receipt"));
+            sendErrorAndClose(e, frame.header("receipt"));
         }
     }
 
@@ -216,14 +221,19 @@
                             "supported version: 1.2",
                             "content-type",
                             "text/plain"));
-            closing("no common version");
+            closeAfterWrites("no common version");
             return;
         }
         requestedHeartbeat = Heartbeat.parse(frame.header("heart-beat"));
         handler.connecting(this, frame.header("login"), frame.header("passcode"));
     }
 
-    /** Admits the peer as {@code name}. Ignored if it has disconnected meanwhile. */
+    /**
+     * Sends CONNECTED and processes the deferred frames. Has no effect if the peer has disconnected
+     * meanwhile.
+     *
+     * @param name the authenticated login
+     */
     public void admit(String name) {
         if (closing || connected) {
             return;
@@ -245,25 +255,25 @@
                 ctx.pipeline(),
                 heartbeat.negotiatedSendMillis(requestedHeartbeat),
                 heartbeat.negotiatedReceiveMillis(requestedHeartbeat));
-        List<Frame> waiting = List.copyOf(earlyFrames);
+        List<Frame> deferredFrames = List.copyOf(earlyFrames);
         earlyFrames.clear();
-        waiting.forEach(frame -> channelRead0(ctx, frame));
+        deferredFrames.forEach(frame -> channelRead0(ctx, frame));
     }
 
-    /** Where the peer connects from, as a text without its port. */
+    /** Returns the address of the peer as text, without the port. */
     public String peerAddress() {
-        java.net.SocketAddress from = ctx.channel().remoteAddress();
-        return from instanceof java.net.InetSocketAddress inet
+        java.net.SocketAddress address = ctx.channel().remoteAddress();
+        return address instanceof java.net.InetSocketAddress inet
                 ? inet.getAddress().getHostAddress()
-                : String.valueOf(from);
+                : String.valueOf(address);
     }
 
-    /** The channel, for the TLS identity of the peer. */
+    /** Returns the channel, which gives access to the TLS identity of the peer. */
     public Channel channel() {
         return ctx.channel();
     }
 
-    /** Whether the write buffer of the connection has space. */
+    /** Returns true if the session is open and its write buffer has space. */
     public boolean writable() {
         return open() && ctx.channel().isWritable();
     }
@@ -273,56 +283,56 @@
         switch (frame.command()) {
             case SEND, ACK, NACK -> {
                 if (transaction != null) {
-                    List<Frame> waiting = transaction(transaction);
-                    if (waiting.size() >= MAX_FRAMES_IN_TRANSACTION) {
+                    List<Frame> transactionFrames = framesOfTransaction(transaction);
+                    if (transactionFrames.size() >= MAX_FRAMES_IN_TRANSACTION) {
                         throw new ProtocolException(
                                 "more than "
                                         + MAX_FRAMES_IN_TRANSACTION
                                         + " frames in a transaction");
                     }
-                    waiting.add(frame);
+                    transactionFrames.add(frame);
                 } else {
-                    perform(frame);
+                    processMessageOrAck(frame);
                 }
             }
             case SUBSCRIBE -> subscribe(frame);
             case UNSUBSCRIBE -> unsubscribe(frame);
             case BEGIN -> {
                 requiredHeader(frame, "transaction");
-                if (transactions.containsKey(transaction)
-                        || transactions.size() >= MAX_TRANSACTIONS) {
+                if (framesByTransaction.containsKey(transaction)
+                        || framesByTransaction.size() >= MAX_TRANSACTIONS) {
                     throw new ProtocolException(
-                            transactions.containsKey(transaction)
+                            framesByTransaction.containsKey(transaction)
                                     ? "transaction " + transaction + " has begun already"
                                     : "more than " + MAX_TRANSACTIONS + " transactions");
                 }
-                transactions.put(transaction, new ArrayList<>());
+                framesByTransaction.put(transaction, new ArrayList<>());
             }
             case COMMIT -> {
                 requiredHeader(frame, "transaction");
-                List<Frame> waiting = transaction(transaction);
-                transactions.remove(transaction);
-                for (Frame each : waiting) {
-                    perform(each);
+                List<Frame> transactionFrames = framesOfTransaction(transaction);
+                framesByTransaction.remove(transaction);
+                for (Frame transactionFrame : transactionFrames) {
+                    processMessageOrAck(transactionFrame);
                 }
             }
             case ABORT -> {
                 requiredHeader(frame, "transaction");
-                transaction(transaction);
-                transactions.remove(transaction);
+                framesOfTransaction(transaction); // throws if it has not begun
+                framesByTransaction.remove(transaction);
             }
             case DISCONNECT -> closeReason = "the peer disconnected";
             default ->
                     throw new ProtocolException(
                             frame.command() + " is not for a client to send now");
         }
-        receipt(frame);
+        sendReceiptIfRequested(frame);
         if (frame.command() == StompCommand.DISCONNECT) {
-            closing(closeReason);
+            closeAfterWrites(closeReason);
         }
     }
 
-    private void perform(Frame frame) throws ProtocolException {
+    private void processMessageOrAck(Frame frame) throws ProtocolException {
         if (frame.command() == StompCommand.SEND) {
             handler.sent(this, requiredHeader(frame, "destination"), frame);
         } else {
@@ -330,12 +340,12 @@
         }
     }
 
-    private List<Frame> transaction(String name) throws ProtocolException {
-        List<Frame> waiting = transactions.get(name);
-        if (waiting == null) {
+    private List<Frame> framesOfTransaction(String name) throws ProtocolException {
+        List<Frame> transactionFrames = framesByTransaction.get(name);
+        if (transactionFrames == null) {
             throw new ProtocolException("no transaction " + name + " has begun");
         }
-        return waiting;
+        return transactionFrames;
     }
 
     private void subscribe(Frame frame) throws ProtocolException {
@@ -346,57 +356,55 @@
             throw new ProtocolException(
                     "ack must be auto, client or client-individual, not " + ack);
         }
-        if (subscriptions.containsKey(id)) {
+        if (subscriptionById.containsKey(id)) {
             throw new ProtocolException("subscription " + id + " stands already");
         }
-        if (subscriptions.size() >= MAX_SUBSCRIPTIONS) {
+        if (subscriptionById.size() >= MAX_SUBSCRIPTIONS) {
             throw new ProtocolException("more than " + MAX_SUBSCRIPTIONS + " subscriptions");
         }
-        subscriptions.put(
+        subscriptionById.put(
                 id, new Subscription(id, destination, !ack.equals("auto"), ack.equals("client")));
         try {
             handler.subscribed(this, id, destination);
         } catch (ProtocolException e) {
-            subscriptions.remove(id);
+            subscriptionById.remove(id);
             throw e;
         }
     }
 
     private void unsubscribe(Frame frame) throws ProtocolException {
-        Subscription ended = subscriptions.remove(requiredHeader(frame, "id"));
-        if (ended == null) {
+        Subscription removed = subscriptionById.remove(requiredHeader(frame, "id"));
+        if (removed == null) {
             throw new ProtocolException("no subscription " + frame.header("id"));
         }
-        unacknowledged
+        unacknowledgedByAckId
                 .values()
-                .removeIf(
-                        unacknowledgedMessage ->
-                                unacknowledgedMessage.subscription().equals(ended.id()));
-        handler.unsubscribed(this, ended.destination());
+                .removeIf(message -> message.subscriptionId().equals(removed.id()));
+        handler.unsubscribed(this, removed.destination());
     }
 
-    private void acknowledge(String id, boolean good) throws ProtocolException {
-        UnacknowledgedMessage message = unacknowledged.get(id);
+    private void acknowledge(String ackId, boolean positive) throws ProtocolException {
+        UnacknowledgedMessage message = unacknowledgedByAckId.get(ackId);
         if (message == null) {
-            throw new ProtocolException("no message waits for " + id);
+            throw new ProtocolException("no message waits for " + ackId);
         }
-        Subscription s = subscriptions.get(message.subscription());
-        List<String> acked = new ArrayList<>();
-        for (Map.Entry<String, UnacknowledgedMessage> unacknowledgedMessage :
-                unacknowledged.entrySet()) { // in the order sent
-            boolean earlier =
-                    s != null
-                            && s.cumulative()
-                            && unacknowledgedMessage.getValue().subscription().equals(s.id());
-            if (earlier || unacknowledgedMessage.getKey().equals(id)) {
-                acked.add(unacknowledgedMessage.getKey());
+        Subscription subscription = subscriptionById.get(message.subscriptionId());
+        List<String> acknowledgedIds = new ArrayList<>();
+        for (Map.Entry<String, UnacknowledgedMessage> entry :
+                unacknowledgedByAckId.entrySet()) { // in the order sent
+            boolean acknowledgedCumulatively =
+                    subscription != null
+                            && subscription.cumulativeAck()
+                            && entry.getValue().subscriptionId().equals(subscription.id());
+            if (acknowledgedCumulatively || entry.getKey().equals(ackId)) {
+                acknowledgedIds.add(entry.getKey());
             }
-            if (unacknowledgedMessage.getKey().equals(id)) {
+            if (entry.getKey().equals(ackId)) {
                 break;
             }
         }
-        for (String each : acked) {
-            handler.acknowledged(this, unacknowledged.remove(each).message(), good);
+        for (String id : acknowledgedIds) {
+            handler.acknowledged(this, unacknowledgedByAckId.remove(id).messageId(), positive);
         }
     }
 
@@ -408,16 +416,16 @@
         return value;
     }
 
-    private void receipt(Frame frame) {
+    private void sendReceiptIfRequested(Frame frame) {
         String receipt = frame.header("receipt");
-        // the handler may end the session without throwing: then the frame was not processed, and
-        // nothing follows an ERROR
+        // if the handler ended the session by fail(), the frame was not processed, and no frame may
+        // follow the ERROR
         if (receipt != null && !closing) {
             ctx.writeAndFlush(Frame.of(StompCommand.RECEIPT, "receipt-id", receipt));
         }
     }
 
-    private void error(ProtocolException e, String receiptId) {
+    private void sendErrorAndClose(ProtocolException e, String receiptId) {
         if (closing) {
             return;
         }
@@ -430,16 +438,17 @@
                             e.detail().getBytes(java.nio.charset.StandardCharsets.UTF_8));
         }
         ctx.write(frame);
-        closing(e.getMessage());
+        closeAfterWrites(e.getMessage());
     }
 
     /**
-     * Closes once what is written has gone out, or after a second for a peer that does not read.
+     * Closes the connection when all pending writes have completed, or after a second if the peer
+     * does not read.
      */
-    private void closing(String reason) {
+    private void closeAfterWrites(String reason) {
         closing = true;
         closeReason = reason;
-        ctx.writeAndFlush(io.netty.buffer.Unpooled.EMPTY_BUFFER).addListener(done -> ctx.close());
+        ctx.writeAndFlush(io.netty.buffer.Unpooled.EMPTY_BUFFER).addListener(future -> ctx.close());
         ctx.executor().schedule(() -> ctx.close(), 1, TimeUnit.SECONDS);
     }
 
@@ -458,15 +467,15 @@
             closeReason = "TLS: " + cause.getCause().getMessage(); // the peer got a TLS alert
             ctx.close();
         } else if (cause instanceof TooLongFrameException) {
-            error(new ProtocolException("frame too large", cause.getMessage()), null);
+            sendErrorAndClose(new ProtocolException("frame too large", cause.getMessage()), null);
         } else if (cause instanceof DecoderException) {
-            error(new ProtocolException("malformed frame", cause.getMessage()), null);
+            sendErrorAndClose(new ProtocolException("malformed frame", cause.getMessage()), null);
         } else if (cause instanceof IOException) {
             closeReason = "connection broken: " + cause.getMessage();
             ctx.close();
         } else {
             closeReason = "internal error: " + cause;
-            error(new ProtocolException("internal error"), null);
+            sendErrorAndClose(new ProtocolException("internal error"), null);
             org.slf4j.LoggerFactory.getLogger(ServerSession.class).error("a session failed", cause);
         }
     }
--- a/protocol/src/main/java/thornferry/protocol/SessionHandler.java
+++ b/protocol/src/main/java/thornferry/protocol/SessionHandler.java
@@ -1,29 +1,35 @@
 package thornferry.protocol;
 
 /**
- * Handles the events of sessions. An exception rejects the frame: the peer gets an ERROR and is
- * disconnected.
+ * Handles the events of sessions. A {@link ProtocolException} rejects the frame: the peer receives
+ * an ERROR and is disconnected.
  */
 public interface SessionHandler {
     /**
-     * The peer logs in. {@code login} and {@code passcode} are null if it sent none. The answer may
-     * come later, on the connection's event loop: {@link ServerSession#admit} or {@link
-     * ServerSession#fail}.
+     * Called when the peer logs in. The handler replies by {@link ServerSession#admit} or {@link
+     * ServerSession#fail}, immediately or later, on the connection's event loop.
+     *
+     * @param login null if the peer sent none
+     * @param passcode null if the peer sent none
      */
     void connecting(ServerSession session, String login, String passcode);
 
-    /** A SEND. When it returns, the frame is processed and its receipt is sent. */
+    /** Processes a SEND frame; when this method returns, the receipt of the frame is sent. */
     void sent(ServerSession session, String destination, Frame frame) throws ProtocolException;
 
-    /** The peer subscribes to a destination. */
+    /** Called when the peer subscribes to a destination. */
     void subscribed(ServerSession session, String id, String destination) throws ProtocolException;
 
-    /** The peer ends its subscription to a destination. */
+    /** Called when the peer has ended its subscription to a destination. */
     void unsubscribed(ServerSession session, String destination);
 
-    /** An ACK ({@code good}) or NACK for the message of that id. */
-    void acknowledged(ServerSession session, String messageId, boolean good);
+    /**
+     * Called when the peer acknowledges a message.
+     *
+     * @param positive true for an ACK, false for a NACK
+     */
+    void acknowledged(ServerSession session, String messageId, boolean positive);
 
-    /** The connection is closed, for the reason given. Called once for each admitted session. */
-    void closed(ServerSession session, String why);
+    /** Called once for each admitted session when its connection is closed, with the reason. */
+    void closed(ServerSession session, String reason);
 }
--- a/protocol/src/main/java/thornferry/protocol/package-info.java
+++ b/protocol/src/main/java/thornferry/protocol/package-info.java
@@ -1,6 +1,7 @@
 /**
- * STOMP 1.2 over Netty: framing, sessions on both sides, heartbeats, destinations and message
- * bodies. Nothing here decides; {@link thornferry.protocol.ServerSession} hands frames to a
- * handler, {@link thornferry.protocol.ClientConnection} to a listener.
+ * STOMP 1.2 over Netty: framing, both sides of a connection, heartbeats, destinations and message
+ * bodies. The package contains no scheduling logic; {@link thornferry.protocol.ServerSession}
+ * passes frames to a {@link thornferry.protocol.SessionHandler}, {@link
+ * thornferry.protocol.ClientConnection} to a listener.
  */
 package thornferry.protocol;
--- a/protocol/src/test/java/thornferry/protocol/FramingTest.java
+++ b/protocol/src/test/java/thornferry/protocol/FramingTest.java
@@ -19,7 +19,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** Framing by STOMP 1.2, where Netty's codec is easily wrong. */
+/** Decodes and encodes STOMP 1.2 frames, in particular those that Netty's codec mishandles. */
 class FramingTest {
     private static final FrameLimits LIMITS = new FrameLimits(256, 16, 4096, 1 << 20);
 
@@ -29,15 +29,18 @@
         return channel;
     }
 
-    private static List<Frame> read(byte[] octets, int chunk) {
+    private static List<Frame> read(byte[] bytes, int chunkBytes) {
         EmbeddedChannel channel = channel();
         List<Frame> frames = new ArrayList<>();
         try {
-            for (int at = 0; at < octets.length; at += chunk) {
+            for (int offset = 0; offset < bytes.length; offset += chunkBytes) {
                 channel.writeInbound(
-                        Unpooled.copiedBuffer(octets, at, Math.min(chunk, octets.length - at)));
-                for (Frame f = channel.readInbound(); f != null; f = channel.readInbound()) {
-                    frames.add(f);
+                        Unpooled.copiedBuffer(
+                                bytes, offset, Math.min(chunkBytes, bytes.length - offset)));
+                for (Frame frame = channel.readInbound();
+                        frame != null;
+                        frame = channel.readInbound()) {
+                    frames.add(frame);
                 }
             }
             return frames;
@@ -55,9 +58,11 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         for (Frame frame : frames) {
             channel.writeOutbound(frame);
-            for (ByteBuf b = channel.readOutbound(); b != null; b = channel.readOutbound()) {
-                out.writeBytes(ByteBufUtil.getBytes(b));
-                b.release();
+            for (ByteBuf buffer = channel.readOutbound();
+                    buffer != null;
+                    buffer = channel.readOutbound()) {
+                out.writeBytes(ByteBufUtil.getBytes(buffer));
+                buffer.release();
             }
         }
         channel.finishAndReleaseAll();
@@ -107,17 +112,17 @@
     }
 
     @Test
-    void readsFramesSplitAtEveryByte() {
-        byte[] octets =
+    void decodesFramesThatArriveInChunks() {
+        byte[] bytes =
                 "\nSTOMP\naccept-version:1.2\nhost:h\n\n\0\r\nSEND\r\ndestination:/q\\c1\ncontent-length:3\n\n\0\0\0\0"
                         .getBytes(StandardCharsets.UTF_8);
-        List<Frame> whole = read(octets, octets.length);
-        for (int chunk = 1; chunk < 7; chunk++) {
-            List<Frame> parts = read(octets, chunk);
-            assertThat(parts).hasSameSizeAs(whole);
-            for (int i = 0; i < parts.size(); i++) {
-                assertThat(parts.get(i).headers()).isEqualTo(whole.get(i).headers());
-                assertThat(parts.get(i).body()).isEqualTo(whole.get(i).body());
+        List<Frame> whole = read(bytes, bytes.length);
+        for (int chunkBytes = 1; chunkBytes < 7; chunkBytes++) {
+            List<Frame> reassembled = read(bytes, chunkBytes);
+            assertThat(reassembled).hasSameSizeAs(whole);
+            for (int i = 0; i < reassembled.size(); i++) {
+                assertThat(reassembled.get(i).headers()).isEqualTo(whole.get(i).headers());
+                assertThat(reassembled.get(i).body()).isEqualTo(whole.get(i).body());
             }
         }
     }
@@ -132,7 +137,7 @@
     }
 
     @Test
-    void rejectsOversizedPartsBeforeBuffering() {
+    void rejectsOversizedPartsWithoutWaitingForTheirEnd() {
         assertThatThrownBy(() -> read("SEND\ndestination:" + "x".repeat(300) + "\n\n\0"))
                 .isInstanceOf(DecoderException.class);
         assertThatThrownBy(() -> read("SEND\n" + "a:b\n".repeat(20) + "\n\0"))
@@ -144,34 +149,37 @@
     }
 
     @Property(tries = 2_000, seed = "20261201")
-    void anyBytesGiveFramesOrOneError(
-            @ForAll @Size(max = 300) byte[] octets,
-            @ForAll @net.jqwik.api.constraints.IntRange(min = 1, max = 50) int chunk) {
+    void anyBytesGiveFramesOrDecoderException(
+            @ForAll @Size(max = 300) byte[] bytes,
+            @ForAll @net.jqwik.api.constraints.IntRange(min = 1, max = 50) int chunkBytes) {
         try {
-            read(octets, chunk);
+            read(bytes, chunkBytes);
         } catch (DecoderException e) {
-            // what a session turns into an ERROR frame; anything else would fail this test
+            // a session replies to it with an ERROR frame; any other exception fails this test
         }
     }
 
     @Property(tries = 500, seed = "20261202")
-    void roundTripsAnyHeaderAndBody(
+    void encodingAndDecodingPreserveAnyHeaderAndBody(
             @ForAll @net.jqwik.api.constraints.StringLength(max = 40) String value,
             @ForAll @Size(max = 200) byte[] body,
-            @ForAll @net.jqwik.api.constraints.IntRange(min = 1, max = 20) int chunk) {
-        String sound =
+            @ForAll @net.jqwik.api.constraints.IntRange(min = 1, max = 20) int chunkBytes) {
+        String encodableValue =
                 value.codePoints()
-                        .filter(c -> c != 0 && !Character.isSurrogate((char) c))
+                        .filter(
+                                codePoint ->
+                                        codePoint != 0 && !Character.isSurrogate((char) codePoint))
                         .collect(
                                 StringBuilder::new,
                                 StringBuilder::appendCodePoint,
                                 StringBuilder::append)
                         .toString();
-        byte[] octets = write(Frame.of(StompCommand.SEND, "x", sound).withBody("a/b", body));
-        if (octets.length < 200) { // longer ones may pass the line limit of this test
-            Frame back = read(octets, chunk).get(0);
-            assertThat(back.header("x")).isEqualTo(sound);
-            assertThat(back.body()).isEqualTo(body);
+        byte[] bytes =
+                write(Frame.of(StompCommand.SEND, "x", encodableValue).withBody("a/b", body));
+        if (bytes.length < 200) { // longer frames may exceed the header line limit of this test
+            Frame decoded = read(bytes, chunkBytes).get(0);
+            assertThat(decoded.header("x")).isEqualTo(encodableValue);
+            assertThat(decoded.body()).isEqualTo(body);
         }
     }
 }
--- a/protocol/src/test/java/thornferry/protocol/ServerSessionTest.java
+++ b/protocol/src/test/java/thornferry/protocol/ServerSessionTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** One session without a socket: what goes in as text, and what comes out. */
+/** Exchanges frames with one session as text over an embedded channel, without a socket. */
 class ServerSessionTest implements SessionHandler {
     private final EmbeddedChannel channel = new EmbeddedChannel();
-    private final List<String> seen = new ArrayList<>();
+    private final List<String> events = new ArrayList<>();
     private ServerSession session;
 
     @BeforeEach
@@ -27,7 +27,7 @@
     @Override
     public void connecting(ServerSession s, String login, String passcode) {
         if ("slow".equals(login)) {
-            session = s; // the answer comes later
+            session = s; // the test admits the login later
         } else if ("me".equals(login) && "secret".equals(passcode)) {
             s.admit(login);
         } else {
@@ -40,43 +40,45 @@
         if (destination.equals("/bad")) {
             throw new ProtocolException("no such place", "look elsewhere");
         }
-        seen.add("sent " + destination + " " + frame.text());
+        events.add("sent " + destination + " " + frame.text());
     }
 
     @Override
     public void subscribed(ServerSession s, String id, String destination) {
         session = s;
-        seen.add("subscribed " + destination);
+        events.add("subscribed " + destination);
     }
 
     @Override
     public void unsubscribed(ServerSession s, String destination) {
-        seen.add("unsubscribed " + destination);
+        events.add("unsubscribed " + destination);
     }
 
     @Override
-    public void acknowledged(ServerSession s, String messageId, boolean good) {
-        seen.add((good ? "ack " : "nack ") + messageId);
+    public void acknowledged(ServerSession s, String messageId, boolean positive) {
+        events.add((positive ? "ack " : "nack ") + messageId);
     }
 
     @Override
-    public void closed(ServerSession s, String why) {
-        seen.add("closed: " + why);
+    public void closed(ServerSession s, String reason) {
+        events.add("closed: " + reason);
     }
 
-    /** Sends text, with ^ for NUL, and gives back what is answered, likewise. */
+    /** Sends frames and returns the frames that the session has sent; ^ stands for NUL in both. */
     private String send(String text) {
         channel.writeInbound(
                 Unpooled.copiedBuffer(text.replace('^', '\0'), StandardCharsets.UTF_8));
-        return out();
+        return sentFrames();
     }
 
-    private String out() {
+    private String sentFrames() {
         channel.runPendingTasks();
         StringBuilder out = new StringBuilder();
-        for (ByteBuf b = channel.readOutbound(); b != null; b = channel.readOutbound()) {
-            out.append(b.toString(StandardCharsets.UTF_8));
-            b.release();
+        for (ByteBuf buffer = channel.readOutbound();
+                buffer != null;
+                buffer = channel.readOutbound()) {
+            out.append(buffer.toString(StandardCharsets.UTF_8));
+            buffer.release();
         }
         return out.toString().replace('\0', '^');
     }
@@ -93,7 +95,7 @@
     }
 
     @Test
-    void rejectsOtherVersionsWithTheSupportedOne() {
+    void rejectsOtherVersionsNamingTheSupportedOne() {
         assertThat(send("CONNECT\naccept-version:1.0,1.1\nhost:h\n\n^"))
                 .startsWith("ERROR")
                 .contains("version:1.2");
@@ -104,12 +106,12 @@
     void rejectsWrongPasscodeAndFramesBeforeConnect() {
         assertThat(send("CONNECT\naccept-version:1.2\nlogin:me\npasscode:x\n\n^"))
                 .contains("not accepted");
-        EmbeddedChannel other = new EmbeddedChannel();
-        ServerSession.install(other, this, FrameLimits.DEFAULTS, Heartbeat.NONE, "s", 5_000);
-        other.writeInbound(
+        EmbeddedChannel otherChannel = new EmbeddedChannel();
+        ServerSession.install(otherChannel, this, FrameLimits.DEFAULTS, Heartbeat.NONE, "s", 5_000);
+        otherChannel.writeInbound(
                 Unpooled.copiedBuffer("SEND\ndestination:/q\n\n\0", StandardCharsets.UTF_8));
-        assertThat(other.isOpen()).isFalse();
-        assertThat(seen).isEmpty();
+        assertThat(otherChannel.isOpen()).isFalse();
+        assertThat(events).isEmpty();
     }
 
     @Test
@@ -119,29 +121,29 @@
                         "CONNECT\naccept-version:1.2\nlogin:slow\n\n\0SEND\ndestination:/q\n"
                                 + "receipt:1\n\nearly\0",
                         StandardCharsets.UTF_8));
-        assertThat(seen).isEmpty();
+        assertThat(events).isEmpty();
         session.admit("slow");
-        assertThat(out()).containsSubsequence("CONNECTED", "RECEIPT");
-        assertThat(seen).containsExactly("sent /q early");
+        assertThat(sentFrames()).containsSubsequence("CONNECTED", "RECEIPT");
+        assertThat(events).containsExactly("sent /q early");
     }
 
     @Test
-    void sendsReceiptOnceFrameIsProcessed() {
+    void sendsReceiptAfterFrameIsProcessed() {
         connect();
         assertThat(send("SEND\ndestination:/q\nreceipt:7\n\nhi^"))
                 .isEqualTo("RECEIPT\nreceipt-id:7\n\n^");
-        assertThat(seen).containsExactly("sent /q hi");
+        assertThat(events).containsExactly("sent /q hi");
     }
 
     @Test
-    void errorNamesReceiptAndClosesSession() {
+    void errorCarriesReceiptIdAndClosesSession() {
         connect();
-        String out = send("SEND\ndestination:/bad\nreceipt:7\n\n^SEND\ndestination:/q\n\nlater^");
-        assertThat(out)
+        String reply = send("SEND\ndestination:/bad\nreceipt:7\n\n^SEND\ndestination:/q\n\nlater^");
+        assertThat(reply)
                 .startsWith("ERROR\nmessage:no such place\nreceipt-id:7\n")
                 .contains("look elsewhere");
         assertThat(channel.isOpen()).isFalse();
-        assertThat(seen).containsExactly("closed: no such place");
+        assertThat(events).containsExactly("closed: no such place");
     }
 
     @Test
@@ -150,14 +152,14 @@
         send(
                 "BEGIN\ntransaction:t\n\n^SEND\ntransaction:t\ndestination:/q\n\na^"
                         + "BEGIN\ntransaction:u\n\n^SEND\ntransaction:u\ndestination:/q\n\nb^");
-        assertThat(seen).isEmpty();
+        assertThat(events).isEmpty();
         send("ABORT\ntransaction:u\n\n^COMMIT\ntransaction:t\n\n^");
-        assertThat(seen).containsExactly("sent /q a");
+        assertThat(events).containsExactly("sent /q a");
         assertThat(send("COMMIT\ntransaction:t\n\n^")).startsWith("ERROR");
     }
 
     @Test
-    void acknowledgesSingleAndCumulative() {
+    void acknowledgesMessagesIndividuallyAndCumulatively() {
         connect();
         send(
                 """
@@ -173,14 +175,14 @@
 
                 ^\
                 """);
-        for (String m : List.of("m1", "m2", "m3")) {
-            session.message("/a", m, Frame.of(StompCommand.MESSAGE));
+        for (String messageId : List.of("m1", "m2", "m3")) {
+            session.message("/a", messageId, Frame.of(StompCommand.MESSAGE));
         }
         session.message("/b", "m4", Frame.of(StompCommand.MESSAGE));
         session.message("/b", "m5", Frame.of(StompCommand.MESSAGE));
-        assertThat(out()).contains("ack:1-2").contains("ack:2-5").contains("subscription:2");
+        assertThat(sentFrames()).contains("ack:1-2").contains("ack:2-5").contains("subscription:2");
         send("ACK\nid:1-2\n\n^NACK\nid:2-5\n\n^");
-        assertThat(seen).endsWith("ack m1", "ack m2", "nack m5");
+        assertThat(events).endsWith("ack m1", "ack m2", "nack m5");
         assertThat(send("ACK\nid:1-2\n\n^")).startsWith("ERROR");
     }
 
@@ -189,16 +191,16 @@
         connect();
         send("SUBSCRIBE\nid:1\ndestination:/a\n\n^UNSUBSCRIBE\nid:1\n\n^");
         assertThat(session.message("/a", "m", Frame.of(StompCommand.MESSAGE))).isNull();
-        assertThat(seen).contains("unsubscribed /a");
+        assertThat(events).contains("unsubscribed /a");
     }
 
     @Test
-    void closesSlowReader() {
+    void disconnectsSlowReader() {
         connect();
         send("SUBSCRIBE\nid:1\ndestination:/a\n\n^");
         channel.unsafe().outboundBuffer().setUserDefinedWritability(1, false);
         assertThat(session.message("/a", "m", Frame.of(StompCommand.MESSAGE))).isNull();
-        assertThat(out()).contains("too slow a reader");
+        assertThat(sentFrames()).contains("too slow a reader");
         assertThat(session.open()).isFalse();
     }
 
@@ -207,7 +209,7 @@
         connect();
         assertThat(send("DISCONNECT\nreceipt:9\n\n^")).isEqualTo("RECEIPT\nreceipt-id:9\n\n^");
         assertThat(channel.isOpen()).isFalse();
-        assertThat(seen).containsExactly("closed: the peer disconnected");
+        assertThat(events).containsExactly("closed: the peer disconnected");
     }
 
     @Test
@@ -226,7 +228,7 @@
     }
 
     @Test
-    void namesMissingHeaders() {
+    void errorNamesMissingHeader() {
         connect();
         assertThat(send("SUBSCRIBE\nid:1\n\n^")).contains("SUBSCRIBE needs the header destination");
     }
