--- a/agent/src/main/java/thornferry/agent/AgentPool.java
+++ b/agent/src/main/java/thornferry/agent/AgentPool.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Many node agents in one process, spread over a few event loops. */
+/** Runs many node agents in one process, distributed over a few event loops. */
 public final class AgentPool implements AutoCloseable {
     private static final long SHUTDOWN_TIMEOUT_SECONDS = 2;
 
-    private final MultiThreadIoEventLoopGroup loops;
+    private final MultiThreadIoEventLoopGroup eventLoops;
     private final List<NodeAgent> nodes = new ArrayList<>();
     private final ZoneIdempotencyKeys keys = new ZoneIdempotencyKeys();
     private final SslContext tls;
@@ -25,14 +25,14 @@
      * Creates a pool.
      *
      * @param threads number of event loops
-     * @param tls for connections to placers; null for plain text
+     * @param tls TLS context of the connections to placers; null for plain text
      */
     public AgentPool(int threads, SslContext tls) {
         this.tls = tls;
-        loops = new MultiThreadIoEventLoopGroup(threads, NioIoHandler.newFactory());
+        eventLoops = new MultiThreadIoEventLoopGroup(threads, NioIoHandler.newFactory());
     }
 
-    /** Starts a node that has been up for long, so that it has no slow start. */
+    /** Starts a node that skips slow start, as if it had been up for a long time. */
     public NodeAgent add(
             NodeShape shape,
             NodeBehavior behavior,
@@ -43,11 +43,11 @@
     }
 
     /**
-     * Starts a node, which connects to each placer of {@code login}.
+     * Starts a node that connects to each placer of {@code login}.
      *
-     * @param seed of the random draws of the node
-     * @param watcher is notified of the node's messages
-     * @param warm the node has been up for long; else it begins with a slow start
+     * @param seed seed of the node's random number generators
+     * @param watcher observes the node's messages
+     * @param warm true to skip slow start, as if the node had been up for a long time
      */
     public NodeAgent add(
             NodeShape shape,
@@ -56,23 +56,24 @@
             long seed,
             NodeAgent.Watcher watcher,
             boolean warm) {
-        NodeAgent.Environment environment = new NodeAgent.Environment(loops.next(), keys, tls);
+        NodeAgent.Environment environment = new NodeAgent.Environment(eventLoops.next(), keys, tls);
         NodeAgent node = new NodeAgent(shape, behavior, login, environment, seed, watcher, warm);
         nodes.add(node);
         node.start();
         return node;
     }
 
-    /** The nodes in the order in which they were added. */
+    /** Returns the nodes in the order in which they were added. */
     public List<NodeAgent> nodes() {
         return List.copyOf(nodes);
     }
 
-    /** Closes all nodes without notice to the placers, and stops the event loops. */
+    /** Closes all nodes without notifying the placers, and stops the event loops. */
     @Override
     public void close() {
         nodes.forEach(NodeAgent::close);
-        loops.shutdownGracefully(0, SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS)
+        eventLoops
+                .shutdownGracefully(0, SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS)
                 .syncUninterruptibly();
     }
 }
--- a/agent/src/main/java/thornferry/agent/AttemptHistory.java
+++ b/agent/src/main/java/thornferry/agent/AttemptHistory.java
@@ -10,28 +10,31 @@
 import thornferry.protocol.v1.Register;
 
 /**
- * The finished attempts of one placer that a node reports when it registers. A placer that was
- * restarted learns from them which attempts ran, and concludes that an attempt which is <i>not</i>
- * reported was never accepted. That conclusion is only sound for the period in which no attempt was
- * dropped from the history, so the registration states for each effect how long ago the last
- * dropped attempt ended. No I/O and no clock; times are microseconds.
+ * The finished attempts of one placer that a node reports when it registers. A restarted placer
+ * learns from them which attempts ran, and concludes that an attempt which is <i>not</i> reported
+ * was never accepted. That conclusion is valid only for the period in which no attempt was dropped
+ * from the history, so the registration states for each effect how long ago the most recent dropped
+ * attempt ended. The class does no I/O and reads no clock; times are microseconds.
  */
 final class AttemptHistory {
-    /** Final answers of any kind are repeated this long, since some may have been lost. */
+    /** The period for which final answers of every kind are repeated, since some may be lost. */
     private static final long REPEAT_MICROS = 30_000_000;
 
     private static final int MAX_REPEATED = 2_000;
 
-    /** Attempts retained for one effect; the oldest are dropped first. */
+    /** The maximum number of attempts retained for one effect; the oldest are dropped first. */
     static final int MAX_RETAINED_PER_EFFECT = 20_000;
 
-    /** Size of the retained attempts in a registration: half of a frame; the inventory follows. */
+    /**
+     * The maximum size of the retained attempts in a registration: half of the largest frame body;
+     * the other half is for the inventory.
+     */
     static final int MAX_REGISTRATION_BYTES = 512 << 10;
 
-    /** Bytes of tag and length for each attempt in the registration. */
+    /** The bytes of the field tag and length for each attempt in a registration. */
     private static final int FIELD_OVERHEAD_BYTES = 4;
 
-    private static final long NOTHING_DROPPED = 0;
+    private static final long NONE_DROPPED = 0;
     private static final long MICROS_PER_MILLI = 1_000;
 
     private record Entry(long endedAtMicros, Answer answer) {
@@ -46,21 +49,21 @@
      * The newest retained attempts that fit into a registration.
      *
      * @param answers oldest first
-     * @param droppedMicros end of the newest attempt that is missing, or {@link #NOTHING_DROPPED}
-     * @param remainingBytes space left in the registration; negative if an attempt didn't fit
+     * @param droppedMicros when the newest missing attempt ended, or {@link #NONE_DROPPED}
+     * @param remainingBytes space left in the registration; negative if an attempt did not fit
      */
     private record Selection(List<Answer> answers, long droppedMicros, int remainingBytes) {
         long droppedMillisAgo(long now) {
-            return droppedMicros == NOTHING_DROPPED
+            return droppedMicros == NONE_DROPPED
                     ? 0
                     : Math.max(1, (now - droppedMicros) / MICROS_PER_MILLI);
         }
     }
 
-    /** The attempts of one effect, in the order of their ends. */
+    /** The retained attempts of one effect, in the order in which they ended. */
     private static final class RetainedAttempts {
         private final ArrayDeque<Entry> entries = new ArrayDeque<>();
-        private long droppedMicros = NOTHING_DROPPED;
+        private long droppedMicros = NONE_DROPPED;
 
         void add(Entry entry) {
             entries.add(entry);
@@ -100,21 +103,21 @@
 
         void clear() {
             entries.clear();
-            droppedMicros = NOTHING_DROPPED;
+            droppedMicros = NONE_DROPPED;
         }
     }
 
-    private final ArrayDeque<Entry> repeated = new ArrayDeque<>();
+    private final ArrayDeque<Entry> repeatedAnswers = new ArrayDeque<>();
     private final RetainedAttempts nonIdempotent = new RetainedAttempts();
     private final RetainedAttempts idempotentWithKey = new RetainedAttempts();
     private long retentionMicros = REPEAT_MICROS;
 
-    /** Sets how long the placer wants attempts with harmful effects to be retained. */
-    void retainFor(long micros) {
-        retentionMicros = Math.max(REPEAT_MICROS, micros);
+    /** Sets how long non-idempotent and keyed attempts are retained unless they were rejected. */
+    void retainFor(long requestedMicros) {
+        retentionMicros = Math.max(REPEAT_MICROS, requestedMicros);
     }
 
-    /** Adds a finished attempt; {@code answer} includes its owner, task and effect. */
+    /** Adds the final answer of an attempt; the answer includes owner, task and effect. */
     void add(long now, Answer answer) {
         Entry entry = new Entry(now, answer);
         boolean rejected = answer.getKind() == Answer.Kind.REFUSED;
@@ -123,17 +126,17 @@
         } else if (answer.getEffect() == Effect.KEYED && !rejected) {
             idempotentWithKey.add(entry);
         } else {
-            repeated.add(entry);
-            if (repeated.size() > MAX_REPEATED) {
-                repeated.removeFirst();
+            repeatedAnswers.add(entry);
+            if (repeatedAnswers.size() > MAX_REPEATED) {
+                repeatedAnswers.removeFirst();
             }
         }
     }
 
-    /** Adds the attempts that fit to a registration, the newest first if not all fit. */
+    /** Adds the retained attempts to a registration; if not all of them fit, the newest ones. */
     void addTo(long now, Register.Builder register) {
-        repeated.removeIf(entry -> entry.endedAtMicros() < now - REPEAT_MICROS);
-        repeated.forEach(entry -> register.addRecent(entry.withAge(now)));
+        repeatedAnswers.removeIf(entry -> entry.endedAtMicros() < now - REPEAT_MICROS);
+        repeatedAnswers.forEach(entry -> register.addRecent(entry.withAge(now)));
 
         nonIdempotent.dropEndedBefore(now - retentionMicros);
         Selection selectedNonIdempotent = nonIdempotent.select(now, MAX_REGISTRATION_BYTES);
@@ -147,9 +150,9 @@
         register.setForgotKeyedMs(selectedWithKey.droppedMillisAgo(now));
     }
 
-    /** Forgets everything: the attempts belonged to a former incarnation of the node. */
+    /** Discards all attempts when a new incarnation of the node begins. */
     void clear() {
-        repeated.clear();
+        repeatedAnswers.clear();
         nonIdempotent.clear();
         idempotentWithKey.clear();
     }
--- a/agent/src/main/java/thornferry/agent/AttemptReport.java
+++ b/agent/src/main/java/thornferry/agent/AttemptReport.java
@@ -10,11 +10,11 @@
  * @param attempt id of the attempt
  * @param kind what happened to the attempt
  * @param reason why an offer was rejected; {@code NONE} for other kinds
- * @param ran whether the attempt may have had effects
+ * @param ran true if the attempt may have had effects
  * @param coresUsed cores in use by the running task
  * @param memoryUsed memory units in use by the running task
- * @param offer the offer; the default instance if the node doesn't know the attempt
- * @param silent the report is recorded in the history but not sent
+ * @param offer the offer; the default instance if the node does not know the attempt
+ * @param silent true if the report is recorded in the history but not sent
  */
 record AttemptReport(
         String placer,
@@ -26,7 +26,10 @@
         double memoryUsed,
         Offer offer,
         boolean silent) {
-    /** Confirms the cancellation of an attempt that is unknown or finished on this node. */
+    /**
+     * Returns the confirmation of a cancellation if the attempt is unknown to or finished on the
+     * node.
+     */
     static AttemptReport cancellationOfUnknown(String placer, String attempt) {
         return new AttemptReport(
                 placer,
@@ -40,7 +43,7 @@
                 false);
     }
 
-    /** True if the attempt will send no more reports after this one. */
+    /** Returns true if this is the last report of the attempt. */
     boolean isFinal() {
         return kind != Answer.Kind.ACCEPTED && kind != Answer.Kind.RUNS && kind != Answer.Kind.USES;
     }
--- a/agent/src/main/java/thornferry/agent/EmulatedTask.java
+++ b/agent/src/main/java/thornferry/agent/EmulatedTask.java
@@ -5,31 +5,31 @@
 import thornferry.protocol.v1.Offer;
 import thornferry.protocol.v1.Task;
 
-/** One attempt on an emulated node, from its offer to its end. */
+/** An attempt on an emulated node, from its offer to its end. */
 final class EmulatedTask {
-    /** Stages of an attempt, in their order. */
+    /** The states of an attempt, in the order in which it passes through them. */
     enum State {
-        /** In the offer queue; no resources are reserved. */
+        /** The offer waits in the offer queue; no resources are reserved. */
         OFFERED,
-        /** Accepted with its resources reserved; waits for a start slot. */
+        /** The offer was accepted and resources are reserved; the task waits for a start slot. */
         ACCEPTED,
-        /** Occupies a start slot. */
+        /** The task is starting and occupies a start slot. */
         STARTING,
-        /** Runs until its deadline. */
+        /** The task runs until its deadline. */
         RUNNING
     }
 
     private final Offer offer;
-    private final boolean silentWhenOffered;
+    private final boolean mutedWhenOffered;
     private State state = State.OFFERED;
     private boolean cancelled;
     private long deadlineMicros;
     private double coresUsed;
     private double memoryUsed;
 
-    EmulatedTask(Offer offer, boolean silent) {
+    EmulatedTask(Offer offer, boolean muted) {
         this.offer = offer;
-        this.silentWhenOffered = silent;
+        this.mutedWhenOffered = muted;
     }
 
     String attempt() {
@@ -52,12 +52,12 @@
         return state == State.RUNNING;
     }
 
-    /** True if the start has begun, so the attempt may have had effects. */
+    /** Returns true if the start has begun, so that the attempt may have had effects. */
     boolean hasStarted() {
         return state == State.STARTING || state == State.RUNNING;
     }
 
-    /** When the start or the run completes; valid once {@link #hasStarted()}. */
+    /** Returns when the start or the run completes; valid only if {@link #hasStarted()}. */
     long deadlineMicros() {
         return deadlineMicros;
     }
@@ -75,7 +75,7 @@
         deadlineMicros = runningAtMicros;
     }
 
-    /** Starts the run with the given part of the requested resources in use. */
+    /** Starts the run, which uses the given fraction of the requested resources. */
     void run(double usageFraction, long endsAtMicros) {
         state = State.RUNNING;
         coresUsed = task().getCores() * usageFraction;
@@ -83,7 +83,7 @@
         deadlineMicros = endsAtMicros;
     }
 
-    /** Marks a cancellation, which is reported even if the class of the task is muted. */
+    /** Marks the attempt as cancelled, so that its end is reported even if its class is muted. */
     void cancel() {
         cancelled = true;
     }
@@ -98,10 +98,10 @@
                 coresUsed,
                 memoryUsed,
                 offer,
-                silentWhenOffered && !cancelled);
+                mutedWhenOffered && !cancelled);
     }
 
-    /** The entry of this attempt in the inventory of a registration. */
+    /** Returns the entry of this attempt in the inventory of a registration. */
     Held inventoryEntry() {
         return Held.newBuilder()
                 .setAttempt(attempt())
--- a/agent/src/main/java/thornferry/agent/NodeAgent.java
+++ b/agent/src/main/java/thornferry/agent/NodeAgent.java
@@ -18,29 +18,29 @@
 import thornferry.protocol.v1.Register;
 
 /**
- * One node: a connection to each of its placers, around a {@link NodeEmulator}. The node needs no
- * open port. Everything runs on one event loop; public methods may be called from any thread and
- * take effect asynchronously.
+ * The agent of one node: connects a {@link NodeEmulator} with each of the node's placers. The agent
+ * listens on no port. All state is confined to one event loop; public methods may be called from
+ * any thread and take effect asynchronously.
  */
 public final class NodeAgent {
     /** Observes the messages of a node, for measurements; called on the node's event loop. */
     public interface Watcher {
-        /** Ignores everything. */
+        /** A watcher that ignores all messages. */
         Watcher NONE = new Watcher() {};
 
-        /** The node has received an order from a placer. */
+        /** Called when the node has received an order from a placer. */
         default void orderReceived(String node, Order order) {}
 
-        /** The node is about to send an answer, which fault injection or a disconnect may drop. */
+        /** Called before the node sends an answer; fault injection or a disconnect may drop it. */
         default void answerSent(String node, Answer answer) {}
     }
 
     /**
-     * What a node shares with the other nodes of its pool.
+     * Objects that a node shares with other nodes of its pool.
      *
-     * @param loop the event loop of the node
+     * @param loop event loop of the node
      * @param keys idempotency keys of all zones
-     * @param tls for connections to placers; null for plain text
+     * @param tls TLS context of the connections to placers; null for plain text
      */
     record Environment(EventLoop loop, ZoneIdempotencyKeys keys, SslContext tls) {}
 
@@ -62,7 +62,7 @@
     private boolean closed;
     private boolean crashed;
     private long pausedUntilMicros;
-    private long timerMicros = NEVER;
+    private long timerDueMicros = NEVER;
     private double dropRate;
 
     NodeAgent(
@@ -81,13 +81,13 @@
         this.random = new SplittableRandom(seed);
         this.watcher = watcher;
         this.emulator = newEmulator(System.currentTimeMillis(), warm);
-        ConnectionView view = new ConnectionView();
+        ConnectedNode connectedNode = new ConnectedNode();
         login.placers()
                 .forEach(
                         placer ->
                                 connections.add(
                                         new PlacerConnection(
-                                                view,
+                                                connectedNode,
                                                 new ClientConnection.Target(
                                                         placer,
                                                         login.login(),
@@ -106,7 +106,7 @@
         return System.nanoTime() / NANOS_PER_MICRO;
     }
 
-    /** Identity, location and size of the node. */
+    /** Returns the identity, location and size of the node. */
     public NodeShape shape() {
         return shape;
     }
@@ -123,7 +123,7 @@
                 });
     }
 
-    /** Starts or ends a drain on the node's own initiative, and notifies its placers. */
+    /** Starts or ends a drain that the node itself initiates, and notifies its placers. */
     public void drain(boolean on) {
         loop.execute(
                 () -> {
@@ -135,8 +135,8 @@
 
     // ---- orders of placers ----
 
-    /** The part of this node that its connections use. */
-    private final class ConnectionView implements PlacerConnection.Node {
+    /** Gives the placer connections access to this node. */
+    private final class ConnectedNode implements PlacerConnection.Node {
         @Override
         public String name() {
             return shape.name();
@@ -181,7 +181,7 @@
         public void orderReceived(PlacerConnection from, Order order) {
             watcher.orderReceived(shape.name(), order);
             execute(from, order);
-            afterChange();
+            applyCrashOrScheduleTick();
         }
     }
 
@@ -193,7 +193,7 @@
         long now = nowMicros();
         switch (order.getOrderCase()) {
             case OFFER -> {
-                identify(from, order.getOffer().getPlacer());
+                setPlacerName(from, order.getOffer().getPlacer());
                 emulator.offer(now, order.getOffer(), this::report);
             }
             case WITHDRAW -> {
@@ -210,14 +210,14 @@
                                     .build());
             case DRAIN -> emulator.drain(now, order.getDrain().getOn(), this::report);
             case WELCOME -> {
-                identify(from, order.getWelcome().getPlacer());
+                setPlacerName(from, order.getWelcome().getPlacer());
                 from.history().retainFor(order.getWelcome().getRememberMs() * MICROS_PER_MILLI);
             }
-            default -> {} // of a later protocol version, which this node does not support
+            default -> {} // an order of a later protocol version, which this node does not support
         }
     }
 
-    private void identify(PlacerConnection connection, String placer) {
+    private void setPlacerName(PlacerConnection connection, String placer) {
         connection.setPlacerName(placer);
         connectionByPlacer.put(placer, connection);
     }
@@ -262,7 +262,10 @@
         return answer.build();
     }
 
-    /** Draws for each answer while answers are dropped, so that the draws don't depend on kinds. */
+    /**
+     * Returns true if fault injection drops the answer. A random number is drawn for answers of
+     * every kind, so that the sequence of random numbers does not depend on the kinds.
+     */
     private boolean isDropped(Answer.Kind kind) {
         return dropRate > 0
                 && random.nextDouble() < dropRate
@@ -271,27 +274,27 @@
 
     // ---- timer of the emulator ----
 
-    private void afterChange() {
+    private void applyCrashOrScheduleTick() {
         if (emulator.isCrashed()) {
             LOG.atWarn()
                     .addKeyValue("node", shape.name())
-                    .log("crashed: overloaded during slow start");
+                    .log("node crashed: it was offered too many tasks during slow start");
             crash(NEVER);
             return;
         }
-        long next = emulator.nextTick();
-        if (next < timerMicros) {
-            scheduleTimer(next, Math.max(0, next - nowMicros()));
+        long nextTickMicros = emulator.nextTick();
+        if (nextTickMicros < timerDueMicros) {
+            scheduleTimer(nextTickMicros, Math.max(0, nextTickMicros - nowMicros()));
         }
     }
 
     private void scheduleTimer(long atMicros, long delayMicros) {
-        timerMicros = atMicros;
+        timerDueMicros = atMicros;
         loop.schedule(this::timerExpired, delayMicros, TimeUnit.MICROSECONDS);
     }
 
     private void timerExpired() {
-        timerMicros = NEVER;
+        timerDueMicros = NEVER;
         if (!isUp()) {
             return;
         }
@@ -301,16 +304,16 @@
             return;
         }
         emulator.tick(now, this::report);
-        afterChange();
+        applyCrashOrScheduleTick();
     }
 
     // ---- fault injection ----
 
     /**
-     * Crashes the node without notice to its placers.
+     * Crashes the node without notifying its placers.
      *
-     * @param downMillis after this time a new incarnation begins with a slow start; MAX_VALUE for
-     *     never
+     * @param downMillis time after which a new incarnation begins in slow start; {@code
+     *     Long.MAX_VALUE} for never
      */
     public void crash(long downMillis) {
         loop.execute(
@@ -335,32 +338,39 @@
         connections.forEach(PlacerConnection::open);
     }
 
-    /** Processes no orders and does no work for a time, while its connections stay open. */
+    /**
+     * Pauses the node: for the given time, orders are not processed and tasks make no progress,
+     * while the connections stay open.
+     */
     public void pause(long millis) {
         loop.execute(() -> pausedUntilMicros = nowMicros() + millis * MICROS_PER_MILLI);
     }
 
-    /** Breaks all connections; the node and its tasks continue, and it reconnects. */
+    /** Breaks all connections; the tasks continue, and the node reconnects. */
     public void breakConnections() {
         loop.execute(() -> connections.forEach(PlacerConnection::abort));
     }
 
-    /** Accepts offers of one task class for a time, and sends no reports on them. */
+    /** For the given time, processes offers of one task class without sending reports on them. */
     public void mute(String taskClass, long millis) {
         loop.execute(() -> emulator.mute(taskClass, nowMicros() + millis * MICROS_PER_MILLI));
     }
 
-    /** Drops this fraction of the reports that a task was accepted or runs; 0 for none. */
+    /** Drops a fraction of the answers that a task was accepted or runs; 0 for none. */
     public void dropAnswers(double fraction) {
         loop.execute(() -> dropRate = fraction);
     }
 
-    /** Evicts the running tasks among the newest attempts. */
+    /**
+     * Evicts the running tasks among the newest attempts.
+     *
+     * @param maxAttempts number of newest attempts that are considered
+     */
     public void preempt(int maxAttempts) {
         loop.execute(
                 () -> {
                     emulator.preempt(nowMicros(), maxAttempts, this::report);
-                    afterChange();
+                    applyCrashOrScheduleTick();
                 });
     }
 }
--- a/agent/src/main/java/thornferry/agent/NodeBehavior.java
+++ b/agent/src/main/java/thornferry/agent/NodeBehavior.java
@@ -7,23 +7,24 @@
  *
  * @param minDecisionMicros shortest time to decide on an offer; one offer is decided at a time
  * @param maxDecisionMicros longest time to decide on an offer
- * @param offerQueueLength offers that may wait for a decision; more are rejected
- * @param concurrentStarts tasks that may start at the same time; others wait for a start slot
+ * @param offerQueueLength maximum number of offers that wait for a decision; further ones are
+ *     rejected
+ * @param concurrentStarts number of start slots: tasks that may start at the same time
  * @param startMicros duration of a start if the program of the service is present
- * @param coldProgramFactor multiplies the duration of a start if the program is absent
- * @param cachedPrograms unused programs are evicted when there are more programs than this
+ * @param coldProgramFactor factor by which a start takes longer if the program is absent
+ * @param cachedPrograms number of programs above which unused ones are evicted
  * @param slowStartMicros duration of the slow start of a node that has just started; 0 for none
- * @param slowStartInitialShare pace of starts at first, as a fraction of the full pace
- * @param slowStartMultiple in slow start the node crashes if it is offered more than this many
- *     times the tasks that it can start
- * @param slowStartWindowMicros sliding window in which these offers are counted
- * @param slowStartOffers number of offers in a window that never crash the node
- * @param minUsageFraction smallest used part of the resources that a task requests
- * @param maxUsageFraction largest used part; above 1 a node can run out of memory
- * @param defaultRunMicros run time of a task that specifies none
+ * @param slowStartInitialShare initial pace of starts, as a fraction of the full pace
+ * @param slowStartMultiple a node in slow start crashes if it is offered more than this multiple of
+ *     the tasks that it can start
+ * @param slowStartWindowMicros length of the sliding window in which these offers are counted
+ * @param slowStartOffers number of offers in a window that are always allowed
+ * @param minUsageFraction smallest fraction of its requested resources that a task uses
+ * @param maxUsageFraction largest fraction; above 1 a node can run out of memory
+ * @param defaultRunMicros run time of a task that does not specify one
  * @param usageReportMicros interval of the usage reports of running tasks; 0 for none
- * @param keyWindowMicrosByClass by task class, how long another attempt with the same idempotency
- *     key is rejected within the zone
+ * @param keyWindowMicrosByClass by task class, the time for which other attempts with the same
+ *     idempotency key are rejected within the zone
  */
 public record NodeBehavior(
         long minDecisionMicros,
@@ -43,32 +44,35 @@
         long defaultRunMicros,
         long usageReportMicros,
         Map<String, Long> keyWindowMicrosByClass) {
-    private static final long MILLI_MICROS = 1_000;
-    private static final long SECOND_MICROS = 1_000_000;
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
-    /** A typical production node: decisions in milliseconds, slow start, usage reports. */
+    /** Returns the behavior of a typical production node, with slow start and usage reports. */
     public static NodeBehavior usual(Map<String, Long> keyWindowMicrosByClass) {
         return new NodeBehavior(
-                2 * MILLI_MICROS,
-                8 * MILLI_MICROS,
+                2 * MICROS_PER_MILLI,
+                8 * MICROS_PER_MILLI,
                 32,
                 4,
-                60 * MILLI_MICROS,
+                60 * MICROS_PER_MILLI,
                 6,
                 8,
-                15 * SECOND_MICROS,
+                15 * MICROS_PER_SECOND,
                 0.25,
                 2,
-                3 * SECOND_MICROS,
+                3 * MICROS_PER_SECOND,
                 48,
                 0.5,
                 1.02,
-                20 * SECOND_MICROS,
-                5 * SECOND_MICROS,
+                20 * MICROS_PER_SECOND,
+                5 * MICROS_PER_SECOND,
                 keyWindowMicrosByClass);
     }
 
-    /** A node without delays, limits or slow start, to measure a placer rather than its nodes. */
+    /**
+     * Returns the behavior of a node without delays, limits or slow start, for measurements of a
+     * placer that the nodes must not slow down.
+     */
     public static NodeBehavior instant(Map<String, Long> keyWindowMicrosByClass) {
         return new NodeBehavior(
                 0,
@@ -81,11 +85,11 @@
                 0,
                 1,
                 1e9,
-                SECOND_MICROS,
+                MICROS_PER_SECOND,
                 Integer.MAX_VALUE,
                 0.5,
                 0.9,
-                SECOND_MICROS,
+                MICROS_PER_SECOND,
                 0,
                 keyWindowMicrosByClass);
     }
--- a/agent/src/main/java/thornferry/agent/NodeEmulator.java
+++ b/agent/src/main/java/thornferry/agent/NodeEmulator.java
@@ -16,13 +16,13 @@
 import thornferry.protocol.v1.Task;
 
 /**
- * One incarnation of a node: accepts or rejects offers and emulates the start, run and end of
- * tasks. It does no I/O and reads no clock; the same seed and the same calls give the same reports.
- * Times are microseconds. Each method that can change an attempt passes the reports of the change
- * to a consumer, in their order.
+ * An emulator of one incarnation of a node: accepts or rejects offers and emulates the start, run
+ * and end of tasks. The emulator does no I/O and reads no clock; the same seed and the same calls
+ * give the same reports. Times are microseconds. Each method that can change an attempt passes the
+ * reports of its changes to a consumer, in order.
  */
 final class NodeEmulator {
-    /** A node that is not in slow start has been up this long, and ten slow starts. */
+    /** The initial uptime of a warm node is this time plus ten times the duration of slow start. */
     private static final long WARM_UPTIME_MICROS = 3_600_000_000L;
 
     private static final int WARM_UPTIME_SLOW_STARTS = 10;
@@ -34,7 +34,7 @@
     private final SplittableRandom random;
     private final long startedAtMicros;
     private final long incarnation;
-    private final Map<String, EmulatedTask> tasks = new LinkedHashMap<>();
+    private final Map<String, EmulatedTask> taskByAttempt = new LinkedHashMap<>();
     private final OfferQueue offers;
     private final ArrayDeque<EmulatedTask> pendingStarts = new ArrayDeque<>();
     private final ProgramCache programs;
@@ -47,11 +47,11 @@
     private boolean crashed;
 
     /**
-     * Starts an incarnation without tasks.
+     * Creates an incarnation without tasks.
      *
-     * @param keys idempotency keys of the node's zone
-     * @param incarnation greater than that of any former incarnation of the node
-     * @param warm the node has been up for long and skips its slow start
+     * @param keys idempotency keys of all zones
+     * @param incarnation number greater than that of any former incarnation of the node
+     * @param warm true to skip slow start, as if the node had been up for a long time
      */
     NodeEmulator(
             NodeShape shape,
@@ -87,7 +87,7 @@
         return now - startedAtMicros;
     }
 
-    /** True once the node was overloaded in its slow start: this incarnation does nothing more. */
+    /** Returns true if an overload in slow start has crashed the node; it makes no more reports. */
     boolean isCrashed() {
         return crashed;
     }
@@ -96,16 +96,16 @@
         return draining;
     }
 
-    /** Number of offers and tasks on the node. */
+    /** Returns the number of attempts on the node: offered, accepted, starting or running. */
     int attemptCount() {
-        return tasks.size();
+        return taskByAttempt.size();
     }
 
     // ---- offers and cancellations ----
 
-    /** Takes an offer; a repeated offer of the same attempt is ignored. */
+    /** Queues or rejects an offer; a repeated offer of the same attempt is ignored. */
     void offer(long now, Offer offer, Consumer<AttemptReport> reports) {
-        if (crashed || tasks.containsKey(offer.getAttempt())) {
+        if (crashed || taskByAttempt.containsKey(offer.getAttempt())) {
             return;
         }
         if (slowStart.isOverloadedByOffer(now)) {
@@ -118,7 +118,7 @@
         } else if (offers.isFull()) {
             reject(task, Answer.Reason.OFFERS_WAIT, reports);
         } else {
-            tasks.put(task.attempt(), task);
+            taskByAttempt.put(task.attempt(), task);
             offers.add(now, task);
             tick(now, reports);
         }
@@ -142,7 +142,7 @@
         }
     }
 
-    /** False if the task has an idempotency key which another attempt has claimed. */
+    /** Returns false if the task has an idempotency key that another attempt has claimed. */
     private boolean claimKey(long now, EmulatedTask task) {
         long windowMicros =
                 behavior.keyWindowMicrosByClass().getOrDefault(task.task().getTaskClass(), 0L);
@@ -156,13 +156,15 @@
     }
 
     private void reject(EmulatedTask task, Answer.Reason reason, Consumer<AttemptReport> reports) {
-        tasks.remove(task.attempt());
+        taskByAttempt.remove(task.attempt());
         reports.accept(task.report(Answer.Kind.REFUSED, reason, false));
     }
 
-    /** Cancels an attempt in any state, and confirms it also if the attempt is unknown. */
+    /**
+     * Cancels an attempt in any state; the cancellation of an unknown attempt is confirmed as well.
+     */
     void cancel(long now, String placer, String attempt, Consumer<AttemptReport> reports) {
-        EmulatedTask task = tasks.get(attempt);
+        EmulatedTask task = taskByAttempt.get(attempt);
         if (task == null) {
             reports.accept(AttemptReport.cancellationOfUnknown(placer, attempt));
             return;
@@ -176,7 +178,9 @@
 
     // ---- progress of time ----
 
-    /** Does everything that is due; may be called at any time, and must be at {@link #nextTick}. */
+    /**
+     * Processes all due events; must be called at {@link #nextTick} and may be called at any time.
+     */
     void tick(long now, Consumer<AttemptReport> reports) {
         if (crashed) {
             return;
@@ -187,21 +191,21 @@
             start(now, pendingStarts.poll());
         }
         if (resources.isOutOfMemory()) {
-            evictNewest(now, tasks.size(), () -> !resources.isOutOfMemory(), reports);
+            evictNewest(now, taskByAttempt.size(), () -> !resources.isOutOfMemory(), reports);
         }
         reportUsageIfDue(now, reports);
     }
 
-    /** When {@link #tick} next has something to do; Long.MAX_VALUE for never. */
+    /** Returns when the next event is due for {@link #tick}; {@code Long.MAX_VALUE} for never. */
     long nextTick() {
-        long next = offers.nextDecisionMicros();
-        for (EmulatedTask task : tasks.values()) {
+        long nextMicros = offers.nextDecisionMicros();
+        for (EmulatedTask task : taskByAttempt.values()) {
             if (task.hasStarted()) {
-                next = Math.min(next, task.deadlineMicros());
+                nextMicros = Math.min(nextMicros, task.deadlineMicros());
             }
         }
-        boolean reportsUsage = behavior.usageReportMicros() > 0 && !tasks.isEmpty();
-        return reportsUsage ? Math.min(next, nextUsageReportMicros) : next;
+        boolean reportsUsage = behavior.usageReportMicros() > 0 && !taskByAttempt.isEmpty();
+        return reportsUsage ? Math.min(nextMicros, nextUsageReportMicros) : nextMicros;
     }
 
     private void decideDueOffers(long now, Consumer<AttemptReport> reports) {
@@ -214,7 +218,7 @@
 
     private void advanceDueTasks(long now, Consumer<AttemptReport> reports) {
         List<EmulatedTask> due =
-                tasks.values().stream()
+                taskByAttempt.values().stream()
                         .filter(task -> task.hasStarted() && task.deadlineMicros() <= now)
                         .toList();
         for (EmulatedTask task : due) {
@@ -257,7 +261,7 @@
             return;
         }
         nextUsageReportMicros = now + behavior.usageReportMicros();
-        tasks.values().stream()
+        taskByAttempt.values().stream()
                 .filter(EmulatedTask::isRunning)
                 .map(task -> task.report(Answer.Kind.USES, Answer.Reason.NONE, true))
                 .forEach(reports);
@@ -267,11 +271,11 @@
      * Evicts the running tasks among the newest attempts, newest first.
      *
      * @param maxAttempts number of newest attempts that are considered
-     * @param done stops the eviction once it is true
+     * @param done checked before each attempt; true ends the eviction
      */
     private void evictNewest(
             long now, int maxAttempts, BooleanSupplier done, Consumer<AttemptReport> reports) {
-        List<EmulatedTask> candidates = new ArrayList<>(tasks.values());
+        List<EmulatedTask> candidates = new ArrayList<>(taskByAttempt.values());
         int oldest = Math.max(0, candidates.size() - maxAttempts);
         for (int i = candidates.size() - 1; i >= oldest && !done.getAsBoolean(); i--) {
             EmulatedTask task = candidates.get(i);
@@ -282,9 +286,9 @@
         }
     }
 
-    /** Removes an attempt and frees what it occupied; its key only if it never ran. */
+    /** Removes an attempt and frees its resources; its key is released only if it never ran. */
     private void remove(long now, EmulatedTask task, boolean neverRan) {
-        tasks.remove(task.attempt());
+        taskByAttempt.remove(task.attempt());
         if (task.state() == EmulatedTask.State.OFFERED) {
             offers.remove(now, task);
             return;
@@ -307,13 +311,13 @@
 
     // ---- drain and fault injection ----
 
-    /** Starts or ends a drain; its start removes all attempts at once. */
+    /** Starts or ends a drain; the start of a drain removes all attempts immediately. */
     void drain(long now, boolean on, Consumer<AttemptReport> reports) {
         draining = on;
         if (!on) {
             return;
         }
-        for (EmulatedTask task : new ArrayList<>(tasks.values())) {
+        for (EmulatedTask task : new ArrayList<>(taskByAttempt.values())) {
             boolean offered = task.state() == EmulatedTask.State.OFFERED;
             boolean ran = task.hasStarted();
             remove(now, task, !ran);
@@ -324,19 +328,19 @@
         }
     }
 
-    /** Makes the reports of new offers of one task class silent until the given time. */
+    /** Mutes the reports of attempts of one task class that are offered before the given time. */
     void mute(String taskClass, long untilMicros) {
         mutedUntilMicrosByClass.put(taskClass, untilMicros);
     }
 
-    /** Evicts those of the newest attempts that run, as a wave of preemption would. */
+    /** Evicts the running tasks among the newest attempts, as a series of preemptions would. */
     void preempt(long now, int maxAttempts, Consumer<AttemptReport> reports) {
         evictNewest(now, maxAttempts, () -> false, reports);
     }
 
-    // ---- views for messages ----
+    // ---- contents of messages ----
 
-    /** The load report of this moment. */
+    /** Returns the current load report. */
     Load load() {
         return Load.newBuilder()
                 .setCoresFree(resources.freeCores())
@@ -345,9 +349,9 @@
                 .build();
     }
 
-    /** The attempts that a placer has on this node, for a registration. */
+    /** Returns the attempts of a placer on this node, for a registration. */
     List<Held> inventory(String placer) {
-        return tasks.values().stream()
+        return taskByAttempt.values().stream()
                 .filter(task -> task.placer().equals(placer))
                 .map(EmulatedTask::inventoryEntry)
                 .toList();
--- a/agent/src/main/java/thornferry/agent/OfferQueue.java
+++ b/agent/src/main/java/thornferry/agent/OfferQueue.java
@@ -4,8 +4,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Offers that wait for a decision, in the order of arrival. The node decides on one offer at a
- * time, after a random decision time within the configured range.
+ * The offers that wait for a decision, in the order of arrival. A node decides on one offer at a
+ * time; each decision takes a random time within the configured range.
  */
 final class OfferQueue {
     static final long NEVER = Long.MAX_VALUE;
@@ -13,7 +13,7 @@
     private final NodeBehavior behavior;
     private final SplittableRandom random;
     private final ArrayDeque<EmulatedTask> offers = new ArrayDeque<>();
-    private long decisionMicros = NEVER;
+    private long decisionDueMicros = NEVER;
 
     OfferQueue(NodeBehavior behavior, SplittableRandom random) {
         this.behavior = behavior;
@@ -35,37 +35,37 @@
         }
     }
 
-    /** Removes and returns the first offer if its decision is due, else returns null. */
+    /** Removes and returns the first offer if its decision is due; otherwise returns null. */
     EmulatedTask pollDue(long now) {
-        if (offers.isEmpty() || decisionMicros > now) {
+        if (offers.isEmpty() || decisionDueMicros > now) {
             return null;
         }
         EmulatedTask offer = offers.poll();
-        decisionMicros = NEVER;
+        decisionDueMicros = NEVER;
         if (!offers.isEmpty()) {
             scheduleDecision(now);
         }
         return offer;
     }
 
-    /** Removes an offer; if it was the first, the decision on the next one is due at once. */
+    /** Removes an offer; if it was the first, the decision on the next one is due immediately. */
     void remove(long now, EmulatedTask offer) {
         if (offers.peekFirst() == offer) {
-            decisionMicros = offers.size() > 1 ? now : NEVER;
+            decisionDueMicros = offers.size() > 1 ? now : NEVER;
         }
         offers.remove(offer);
     }
 
-    /** When the next decision is due, or {@link #NEVER}. */
+    /** Returns when the next decision is due, or {@link #NEVER}. */
     long nextDecisionMicros() {
-        return offers.isEmpty() ? NEVER : decisionMicros;
+        return offers.isEmpty() ? NEVER : decisionDueMicros;
     }
 
     private void scheduleDecision(long now) {
-        long spreadMicros = behavior.maxDecisionMicros() - behavior.minDecisionMicros();
-        decisionMicros =
+        long rangeMicros = behavior.maxDecisionMicros() - behavior.minDecisionMicros();
+        decisionDueMicros =
                 now
                         + behavior.minDecisionMicros()
-                        + (spreadMicros > 0 ? random.nextLong(spreadMicros) : 0);
+                        + (rangeMicros > 0 ? random.nextLong(rangeMicros) : 0);
     }
 }
--- a/agent/src/main/java/thornferry/agent/PlacerConnection.java
+++ b/agent/src/main/java/thornferry/agent/PlacerConnection.java
@@ -22,22 +22,22 @@
  * node after each connect. Runs on the node's event loop.
  */
 final class PlacerConnection implements ClientConnection.Listener {
-    /** The node, as its connections see it. */
+    /** The operations of a node that its placer connections use. */
     interface Node {
         String name();
 
-        /** False while the node is crashed, and once it is closed: it does not connect. */
+        /** Returns false if the node is crashed or closed, so that it must not connect. */
         boolean isUp();
 
         boolean isDraining();
 
-        /** How long the node still processes no orders; 0 or less if it is not paused. */
+        /** Returns the remaining time of a pause of the node; 0 or less if it is not paused. */
         long remainingPauseMicros();
 
-        /** The time of the node's monotonic clock. */
+        /** Returns the time of the node's monotonic clock. */
         long nowMicros();
 
-        /** A registration without the attempt history. */
+        /** Returns a registration without the attempt history. */
         Register.Builder registration(long now, String placer);
 
         void orderReceived(PlacerConnection from, Order order);
@@ -53,7 +53,7 @@
     private final SplittableRandom random;
     private final AttemptHistory history = new AttemptHistory();
     private String placerName = "";
-    private ClientConnection connection; // null while not connected or connecting
+    private ClientConnection connection; // null after a close, until the next attempt to connect
     private long backoffMillis = MIN_BACKOFF_MILLIS;
 
     PlacerConnection(
@@ -71,7 +71,9 @@
         }
     }
 
-    /** The name of the placer, empty until it has sent an order that contains it. */
+    /**
+     * Returns the name of the placer; empty until the placer has sent an order that contains it.
+     */
     String placerName() {
         return placerName;
     }
@@ -84,7 +86,7 @@
         return history;
     }
 
-    /** Sends an answer, if connected; else the answer is lost. */
+    /** Sends an answer if connected; otherwise the answer is lost. */
     void send(Answer answer) {
         if (isOpen()) {
             connection.sendBinary(Destinations.ANSWERS, answer);
@@ -98,7 +100,7 @@
         }
     }
 
-    /** Replies to a health check that came over the present connection. */
+    /** Replies to a health check that arrived on the current connection. */
     void send(ProbeReply reply) {
         connection.sendBinary(Destinations.PROBES, reply);
     }
@@ -107,14 +109,14 @@
         return connection != null && connection.open();
     }
 
-    /** Breaks the connection without a DISCONNECT; it is opened again after a backoff. */
+    /** Breaks the connection without DISCONNECT; the node reconnects after a backoff. */
     void abort() {
         if (connection != null) {
             connection.cut();
         }
     }
 
-    /** Breaks the connection without opening it again, and forgets the history. */
+    /** Breaks the connection without reconnecting, and clears the attempt history. */
     void abortAndForget() {
         ClientConnection aborted = connection;
         connection = null;
@@ -146,7 +148,7 @@
     @Override
     public void message(ClientConnection source, Frame frame) {
         if (source != connection) {
-            return; // of a former connection: the inventory sent since does not reflect it
+            return; // from a former connection; the inventory sent since then does not reflect it
         }
         long pauseMicros = node.remainingPauseMicros();
         try {
@@ -159,7 +161,7 @@
         } catch (ProtocolException invalid) {
             LOG.atWarn()
                     .addKeyValue("node", node.name())
-                    .log("ignored an invalid order: {}", invalid.getMessage());
+                    .log("ignored an order that cannot be decoded: {}", invalid.getMessage());
         }
     }
 
@@ -170,9 +172,9 @@
         }
         LOG.atDebug()
                 .addKeyValue("node", node.name())
-                .log("connection to {} closed: {}", target.address(), reason);
+                .log("connection to placer {} closed: {}", target.address(), reason);
         connection = null;
-        // jitter, so that the nodes of a restarted placer do not all reconnect at the same moment
+        // jitter prevents all nodes of a restarted placer from reconnecting at the same moment
         long jitteredMillis = backoffMillis / 2 + random.nextLong(backoffMillis / 2 + 1);
         backoffMillis = Math.min(MAX_BACKOFF_MILLIS, backoffMillis * 2);
         loop.schedule(this::open, jitteredMillis, TimeUnit.MILLISECONDS);
--- a/agent/src/main/java/thornferry/agent/PlacerLogin.java
+++ b/agent/src/main/java/thornferry/agent/PlacerLogin.java
@@ -10,7 +10,7 @@
  * @param placers addresses of the placers; the node keeps one connection to each
  * @param login user name; null if the client certificate identifies the node
  * @param passcode password; null if the client certificate identifies the node
- * @param heartbeat heartbeat intervals the node proposes
+ * @param heartbeat heartbeat intervals that the node proposes
  */
 public record PlacerLogin(
         List<SocketAddress> placers, String login, String passcode, Heartbeat heartbeat) {
--- a/agent/src/main/java/thornferry/agent/ProgramCache.java
+++ b/agent/src/main/java/thornferry/agent/ProgramCache.java
@@ -5,7 +5,7 @@
 
 /**
  * The programs (service images) present on a node, least recently started first. A program in use
- * is never evicted, so the cache may exceed its size.
+ * is never evicted, so the number of programs may exceed the size of the cache.
  */
 final class ProgramCache {
     private final int maxPrograms;
@@ -15,22 +15,22 @@
         this.maxPrograms = maxPrograms;
     }
 
-    /** Counts a task of the service; true if its program was already present. */
+    /** Adds a task of a service; returns true if the program of the service was already present. */
     boolean acquire(String service) {
         Integer taskCount = taskCountByService.remove(service);
         taskCountByService.put(service, taskCount == null ? 1 : taskCount + 1);
         if (taskCountByService.size() > maxPrograms) {
-            evictUnused();
+            evictOldestUnused();
         }
         return taskCount != null;
     }
 
-    /** A task of the service has left the node. */
+    /** Removes a task of a service; the program stays in the cache. */
     void release(String service) {
         taskCountByService.computeIfPresent(service, (name, count) -> Math.max(0, count - 1));
     }
 
-    private void evictUnused() {
+    private void evictOldestUnused() {
         taskCountByService.entrySet().stream()
                 .filter(entry -> entry.getValue() == 0)
                 .map(Map.Entry::getKey)
--- a/agent/src/main/java/thornferry/agent/ResourceUsage.java
+++ b/agent/src/main/java/thornferry/agent/ResourceUsage.java
@@ -3,9 +3,9 @@
 import thornferry.protocol.v1.Answer;
 import thornferry.protocol.v1.Task;
 
-/** Cores and memory that the tasks of a node have reserved, and the memory they really use. */
+/** The cores and memory that the tasks of a node have reserved, and the memory they use. */
 final class ResourceUsage {
-    /** Tolerance for the rounding errors of repeated additions and subtractions. */
+    /** The tolerance for rounding errors of repeated additions and subtractions. */
     private static final double ROUNDING_TOLERANCE = 1e-9;
 
     private final NodeShape shape;
@@ -17,7 +17,7 @@
         this.shape = shape;
     }
 
-    /** Why the task doesn't fit into the free resources; {@code NONE} if it does. */
+    /** Returns the resource that is too short for the task; {@code NONE} if the task fits. */
     Answer.Reason shortage(Task task) {
         if (task.getCores() + reservedCores > shape.cores() + ROUNDING_TOLERANCE) {
             return Answer.Reason.NO_CORES;
--- a/agent/src/main/java/thornferry/agent/SlowStartCapacity.java
+++ b/agent/src/main/java/thornferry/agent/SlowStartCapacity.java
@@ -3,31 +3,31 @@
 import java.util.ArrayDeque;
 
 /**
- * The reduced capacity of a node in its slow start: it starts tasks at a pace that rises linearly
- * to the full one, and crashes if it is offered far more than it can start.
+ * The reduced capacity of a node in slow start. Such a node starts tasks at a pace that rises
+ * linearly to the full pace, and crashes if it is offered far more tasks than it can start.
  */
 final class SlowStartCapacity {
     private static final double FULL_PACE = 1;
 
     private final NodeBehavior behavior;
     private final long startedAtMicros;
-    private final ArrayDeque<Long> recentOffers = new ArrayDeque<>();
+    private final ArrayDeque<Long> offerTimesInWindow = new ArrayDeque<>();
 
     SlowStartCapacity(NodeBehavior behavior, long startedAtMicros) {
         this.behavior = behavior;
         this.startedAtMicros = startedAtMicros;
     }
 
-    /** Counts an offer; true if the node is in slow start and the offer overloads it. */
+    /** Counts an offer; returns true if the node is in slow start and the offer overloads it. */
     boolean isOverloadedByOffer(long now) {
         if (now >= startedAtMicros + behavior.slowStartMicros()) {
             return false;
         }
-        recentOffers.add(now);
-        while (recentOffers.peekFirst() <= now - behavior.slowStartWindowMicros()) {
-            recentOffers.removeFirst();
+        offerTimesInWindow.add(now);
+        while (offerTimesInWindow.peekFirst() <= now - behavior.slowStartWindowMicros()) {
+            offerTimesInWindow.removeFirst();
         }
-        return recentOffers.size() > maxOffers(now);
+        return offerTimesInWindow.size() > maxOffers(now);
     }
 
     private double maxOffers(long now) {
@@ -40,7 +40,7 @@
                 behavior.slowStartMultiple() * pace(now) * startsPerWindow);
     }
 
-    /** The current pace of starts, as a fraction of the full pace. */
+    /** Returns the current pace of starts, as a fraction of the full pace. */
     double pace(long now) {
         double progress =
                 behavior.slowStartMicros() == 0
--- a/agent/src/test/java/thornferry/agent/AttemptHistoryTest.java
+++ b/agent/src/test/java/thornferry/agent/AttemptHistoryTest.java
@@ -8,9 +8,9 @@
 import thornferry.protocol.v1.Register;
 import thornferry.protocol.v1.Task;
 
-/** Retention of finished attempts, in virtual time. */
+/** Tests the retention of finished attempts, in virtual time. */
 class AttemptHistoryTest {
-    private static final long SECOND_MICROS = 1_000_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
     private final AttemptHistory history = new AttemptHistory();
 
@@ -35,16 +35,16 @@
     }
 
     @Test
-    void retainsHarmfulAttemptsAsConfiguredAndOthersForHalfAMinute() {
-        history.retainFor(600 * SECOND_MICROS);
-        history.add(SECOND_MICROS, answer("a", Effect.UNSAFE, Answer.Kind.ENDED));
-        history.add(SECOND_MICROS, answer("b", Effect.KEYED, Answer.Kind.WITHDRAWN));
-        history.add(SECOND_MICROS, answer("c", Effect.SAFE, Answer.Kind.ENDED));
-        history.add(SECOND_MICROS, answer("d", Effect.UNSAFE, Answer.Kind.REFUSED));
-        assertThat(registrationAt(2 * SECOND_MICROS).getRecentList())
+    void retainsNonIdempotentAndKeyedAttemptsAsConfiguredAndOthersForHalfAMinute() {
+        history.retainFor(600 * MICROS_PER_SECOND);
+        history.add(MICROS_PER_SECOND, answer("a", Effect.UNSAFE, Answer.Kind.ENDED));
+        history.add(MICROS_PER_SECOND, answer("b", Effect.KEYED, Answer.Kind.WITHDRAWN));
+        history.add(MICROS_PER_SECOND, answer("c", Effect.SAFE, Answer.Kind.ENDED));
+        history.add(MICROS_PER_SECOND, answer("d", Effect.UNSAFE, Answer.Kind.REFUSED));
+        assertThat(registrationAt(2 * MICROS_PER_SECOND).getRecentList())
                 .extracting(Answer::getAttempt)
                 .containsExactlyInAnyOrder("a", "b", "c", "d");
-        Register later = registrationAt(100 * SECOND_MICROS);
+        Register later = registrationAt(100 * MICROS_PER_SECOND);
         assertThat(later.getRecentList()).extracting(Answer::getAttempt).containsExactly("a", "b");
         assertThat(later.hasForgotUnsafeMs()).isTrue();
         assertThat(later.getForgotUnsafeMs()).isZero();
@@ -52,10 +52,10 @@
 
     @Test
     void reportsAgeOfNewestDroppedAttemptByEffect() {
-        history.retainFor(60 * SECOND_MICROS);
-        history.add(SECOND_MICROS, answer("a", Effect.UNSAFE, Answer.Kind.ENDED));
-        history.add(50 * SECOND_MICROS, answer("b", Effect.UNSAFE, Answer.Kind.ENDED));
-        Register registration = registrationAt(71 * SECOND_MICROS);
+        history.retainFor(60 * MICROS_PER_SECOND);
+        history.add(MICROS_PER_SECOND, answer("a", Effect.UNSAFE, Answer.Kind.ENDED));
+        history.add(50 * MICROS_PER_SECOND, answer("b", Effect.UNSAFE, Answer.Kind.ENDED));
+        Register registration = registrationAt(71 * MICROS_PER_SECOND);
         assertThat(registration.getRecentList())
                 .extracting(Answer::getAttempt)
                 .containsExactly("b");
@@ -65,12 +65,12 @@
 
     @Test
     void reportsNewestAttemptsThatFitAndCountsTheRestAsDropped() {
-        history.retainFor(600 * SECOND_MICROS);
+        history.retainFor(600 * MICROS_PER_SECOND);
         for (int i = 1; i <= AttemptHistory.MAX_RETAINED_PER_EFFECT + 10; i++) {
             history.add(i * 10_000L, answer("a" + i, Effect.KEYED, Answer.Kind.ENDED));
         }
-        history.add(SECOND_MICROS, answer("u", Effect.UNSAFE, Answer.Kind.ENDED));
-        Register registration = registrationAt(400 * SECOND_MICROS);
+        history.add(MICROS_PER_SECOND, answer("u", Effect.UNSAFE, Answer.Kind.ENDED));
+        Register registration = registrationAt(400 * MICROS_PER_SECOND);
         assertThat(registration.getSerializedSize())
                 .isLessThan(AttemptHistory.MAX_REGISTRATION_BYTES + 100);
         assertThat(registration.getRecentList())
@@ -93,9 +93,9 @@
 
     @Test
     void newIncarnationHasNoAttemptsAndNoneDropped() {
-        history.add(SECOND_MICROS, answer("a", Effect.UNSAFE, Answer.Kind.ENDED));
+        history.add(MICROS_PER_SECOND, answer("a", Effect.UNSAFE, Answer.Kind.ENDED));
         history.clear();
-        assertThat(registrationAt(2 * SECOND_MICROS).getRecentList()).isEmpty();
-        assertThat(registrationAt(2 * SECOND_MICROS).getForgotUnsafeMs()).isZero();
+        assertThat(registrationAt(2 * MICROS_PER_SECOND).getRecentList()).isEmpty();
+        assertThat(registrationAt(2 * MICROS_PER_SECOND).getForgotUnsafeMs()).isZero();
     }
 }
--- a/agent/src/test/java/thornferry/agent/NodeEmulatorTest.java
+++ b/agent/src/test/java/thornferry/agent/NodeEmulatorTest.java
@@ -11,34 +11,34 @@
 import thornferry.protocol.v1.Offer;
 import thornferry.protocol.v1.Task;
 
-/** An emulated node in virtual time. */
+/** Tests an emulated node in virtual time. */
 class NodeEmulatorTest {
-    private static final long MILLI_MICROS = 1_000;
-    private static final long SECOND_MICROS = 1_000_000;
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
     private final ZoneIdempotencyKeys keys = new ZoneIdempotencyKeys();
     private final List<AttemptReport> reports = new ArrayList<>();
-    private long now = 100 * SECOND_MICROS;
+    private long now = 100 * MICROS_PER_SECOND;
 
     private static NodeBehavior behavior(double usageFraction) {
         return new NodeBehavior(
-                5 * MILLI_MICROS,
-                5 * MILLI_MICROS,
+                5 * MICROS_PER_MILLI,
+                5 * MICROS_PER_MILLI,
                 3,
                 2,
-                100 * MILLI_MICROS,
+                100 * MICROS_PER_MILLI,
                 6,
                 2,
-                10 * SECOND_MICROS,
+                10 * MICROS_PER_SECOND,
                 0.25,
                 2,
-                3 * SECOND_MICROS,
+                3 * MICROS_PER_SECOND,
                 5,
                 usageFraction,
                 usageFraction,
-                20 * SECOND_MICROS,
+                20 * MICROS_PER_SECOND,
                 0,
-                Map.of("keyed", 5 * SECOND_MICROS));
+                Map.of("keyed", 5 * MICROS_PER_SECOND));
     }
 
     private NodeEmulator node(boolean warm) {
@@ -77,7 +77,7 @@
                 .toList();
     }
 
-    private Reason rejection(String attempt) {
+    private Reason rejectionReason(String attempt) {
         return reports.stream()
                 .filter(report -> report.attempt().equals(attempt) && report.kind() == Kind.REFUSED)
                 .map(AttemptReport::reason)
@@ -86,33 +86,33 @@
     }
 
     @Test
-    void acceptsRunsAndEndsFittingTaskOnce() {
+    void acceptsRunsAndEndsTaskOnceDespiteRepeatedOffer() {
         NodeEmulator node = node(true);
         node.offer(now, offer("a", "safe", 1, 1), reports::add);
-        node.offer(now, offer("a", "safe", 1, 1), reports::add); // a repeated offer is ignored
-        advance(node, 10 * SECOND_MICROS);
+        node.offer(now, offer("a", "safe", 1, 1), reports::add); // repeated
+        advance(node, 10 * MICROS_PER_SECOND);
         assertThat(kinds("a")).containsExactly(Kind.ACCEPTED, Kind.RUNS, Kind.ENDED);
         assertThat(node.load().getCoresFree()).isEqualTo(10);
     }
 
     @Test
-    void rejectsTaskThatDoesNotFitNamingTheResource() {
+    void rejectionOfTaskThatDoesNotFitNamesTheResource() {
         NodeEmulator node = node(true);
         node.offer(now, offer("a", "safe", 11, 1), reports::add);
         node.offer(now, offer("b", "safe", 1, 21), reports::add);
-        advance(node, SECOND_MICROS);
-        assertThat(rejection("a")).isEqualTo(Reason.NO_CORES);
-        assertThat(rejection("b")).isEqualTo(Reason.NO_MEMORY);
+        advance(node, MICROS_PER_SECOND);
+        assertThat(rejectionReason("a")).isEqualTo(Reason.NO_CORES);
+        assertThat(rejectionReason("b")).isEqualTo(Reason.NO_MEMORY);
     }
 
     @Test
-    void decidesOneOfferAtATimeAndLimitsItsQueue() {
+    void decidesOneOfferAtATimeAndRejectsOffersBeyondQueueLength() {
         NodeEmulator node = node(true);
         for (int i = 0; i < 5; i++) {
             node.offer(now, offer("a" + i, "safe", 1, 1), reports::add);
         }
-        assertThat(rejection("a3")).isEqualTo(Reason.OFFERS_WAIT);
-        advance(node, 6 * MILLI_MICROS);
+        assertThat(rejectionReason("a3")).isEqualTo(Reason.OFFERS_WAIT);
+        advance(node, 6 * MICROS_PER_MILLI);
         assertThat(kinds("a0")).startsWith(Kind.ACCEPTED);
         assertThat(kinds("a1")).isEmpty();
     }
@@ -121,11 +121,11 @@
     void startsSlowerWithoutCachedProgram() {
         NodeEmulator node = node(true);
         node.offer(now, offer("a", "safe", 1, 1), reports::add);
-        advance(node, 500 * MILLI_MICROS);
+        advance(node, 500 * MICROS_PER_MILLI);
         assertThat(kinds("a")).doesNotContain(Kind.RUNS);
-        advance(node, 200 * MILLI_MICROS);
+        advance(node, 200 * MICROS_PER_MILLI);
         node.offer(now, offer("b", "safe", 1, 1), reports::add);
-        advance(node, 200 * MILLI_MICROS);
+        advance(node, 200 * MICROS_PER_MILLI);
         assertThat(kinds("b")).contains(Kind.RUNS);
     }
 
@@ -134,13 +134,13 @@
         NodeEmulator first = node(true);
         NodeEmulator second = node(true);
         first.offer(now, offer("a", "keyed", 1, 1), reports::add);
-        advance(first, SECOND_MICROS);
+        advance(first, MICROS_PER_SECOND);
         second.offer(now, offer("b", "keyed", 1, 1), reports::add);
-        advance(second, SECOND_MICROS);
-        assertThat(rejection("b")).isEqualTo(Reason.KEY_HELD);
-        advance(second, 5 * SECOND_MICROS);
+        advance(second, MICROS_PER_SECOND);
+        assertThat(rejectionReason("b")).isEqualTo(Reason.KEY_HELD);
+        advance(second, 5 * MICROS_PER_SECOND);
         second.offer(now, offer("c", "keyed", 1, 1), reports::add);
-        advance(second, SECOND_MICROS);
+        advance(second, MICROS_PER_SECOND);
         assertThat(kinds("c")).contains(Kind.ACCEPTED);
     }
 
@@ -150,14 +150,15 @@
         node.offer(now, offer("x", "safe", 1, 1), reports::add);
         node.offer(now, offer("y", "safe", 1, 1), reports::add);
         node.offer(now, offer("a", "keyed", 1, 1), reports::add);
-        advance(node, 16 * MILLI_MICROS); // accepted, but waits for one of two start slots
+        advance(node, 16 * MICROS_PER_MILLI); // "a" is accepted but waits for a start slot, as "x"
+        // and "y" occupy both
         node.cancel(now, "p", "a", reports::add);
         assertThat(reports.get(reports.size() - 1))
                 .returns("a", AttemptReport::attempt)
                 .returns(Kind.WITHDRAWN, AttemptReport::kind)
                 .returns(false, AttemptReport::ran);
         node.offer(now, offer("b", "keyed", 1, 1), reports::add);
-        advance(node, SECOND_MICROS);
+        advance(node, MICROS_PER_SECOND);
         assertThat(kinds("b")).contains(Kind.ACCEPTED);
     }
 
@@ -165,26 +166,26 @@
     void startsSlowerInSlowStartAndCrashesWhenOverloaded() {
         NodeEmulator node = node(false);
         node.offer(now, offer("a", "safe", 1, 1), reports::add);
-        advance(node, 2 * SECOND_MICROS);
+        advance(node, 2 * MICROS_PER_SECOND);
         assertThat(kinds("a")).doesNotContain(Kind.RUNS);
         for (int i = 0; i < 20; i++) {
             node.offer(now, offer("b" + i, "safe", 0.1, 0.1), reports::add);
         }
         assertThat(node.isCrashed()).isTrue();
         int reportsBefore = reports.size();
-        advance(node, 20 * SECOND_MICROS);
-        assertThat(reports).hasSize(reportsBefore); // this incarnation does nothing more
+        advance(node, 20 * MICROS_PER_SECOND);
+        assertThat(reports).hasSize(reportsBefore); // a crashed node reports nothing
     }
 
     @Test
     void removesAllAttemptsAndRejectsOffersWhileDraining() {
         NodeEmulator node = node(true);
         node.offer(now, offer("a", "safe", 1, 1), reports::add);
-        advance(node, SECOND_MICROS);
+        advance(node, MICROS_PER_SECOND);
         node.drain(now, true, reports::add);
         node.offer(now, offer("b", "safe", 1, 1), reports::add);
         assertThat(kinds("a")).endsWith(Kind.SENT_AWAY);
-        assertThat(rejection("b")).isEqualTo(Reason.DRAINING);
+        assertThat(rejectionReason("b")).isEqualTo(Reason.DRAINING);
         assertThat(node.attemptCount()).isZero();
     }
 
@@ -200,20 +201,20 @@
                         5,
                         true);
         node.offer(now, offer("a", "safe", 1, 10), reports::add);
-        advance(node, 700 * MILLI_MICROS);
+        advance(node, 700 * MICROS_PER_MILLI);
         node.offer(now, offer("b", "safe", 1, 9), reports::add);
-        advance(node, 200 * MILLI_MICROS);
+        advance(node, 200 * MICROS_PER_MILLI);
         assertThat(kinds("b")).containsExactly(Kind.ACCEPTED, Kind.RUNS, Kind.EVICTED);
         assertThat(kinds("a")).doesNotContain(Kind.EVICTED);
     }
 
     @Test
-    void acceptsMutedClassWithoutReports() {
+    void runsTasksOfMutedClassWithoutReports() {
         NodeEmulator node = node(true);
-        node.mute("safe", now + SECOND_MICROS);
+        node.mute("safe", now + MICROS_PER_SECOND);
         node.offer(now, offer("a", "safe", 1, 1), reports::add);
         node.offer(now, offer("b", "other", 1, 1), reports::add);
-        advance(node, SECOND_MICROS);
+        advance(node, MICROS_PER_SECOND);
         assertThat(kinds("a")).isEmpty();
         assertThat(kinds("b")).contains(Kind.RUNS);
         assertThat(node.inventory("p")).hasSize(2);
--- a/client/src/main/java/thornferry/client/OutstandingRequest.java
+++ b/client/src/main/java/thornferry/client/OutstandingRequest.java
@@ -4,12 +4,14 @@
 import thornferry.protocol.v1.Task;
 import thornferry.protocol.v1.TaskNews;
 
-/** A submitted task without a result. */
+/** A request for a task that has been submitted and has no result yet. */
 final class OutstandingRequest {
-    /** How long a task that sets no maximum wait is requested; the placer has its own limit. */
+    /**
+     * The maximum wait assumed here for a task that sets none; the placer applies its own limit.
+     */
     private static final long DEFAULT_MAX_WAIT_MILLIS = 60_000;
 
-    /** The result may arrive this long after the maximum wait: the network's round trip. */
+    /** The time after the maximum wait in which a result may still arrive over the network. */
     private static final long GRACE_MILLIS = 2_000;
 
     private final Task task;
@@ -30,7 +32,7 @@
         return task.getId();
     }
 
-    /** Time from the submission until the request fails without a result. */
+    /** Returns the time after submission at which the request fails if there is no result. */
     long timeoutMillis() {
         return timeoutMillis(task);
     }
@@ -39,7 +41,9 @@
         return result;
     }
 
-    /** The task with its remaining maximum wait, so that a retry doesn't restart the wait. */
+    /**
+     * Returns the task with its remaining maximum wait, so that a retry does not restart the wait.
+     */
     Task taskToSend(long nowMillis) {
         if (!task.hasPatienceMs()) {
             return task;
--- a/client/src/main/java/thornferry/client/OutstandingRequests.java
+++ b/client/src/main/java/thornferry/client/OutstandingRequests.java
@@ -9,9 +9,9 @@
 import thornferry.protocol.Destinations;
 import thornferry.protocol.v1.TaskNews;
 
-/** The submitted tasks without a result, by task id in the order of submission. */
+/** The requests without a result, by task id and in the order of submission. */
 final class OutstandingRequests {
-    /** Begin of the placer's error for a task that it does not accept. */
+    /** The first words of the placer's error for a task that it does not accept. */
     private static final String NOT_ACCEPTED = "task not taken";
 
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -30,8 +30,8 @@
     /**
      * Adds a request.
      *
-     * @return false if the task is outstanding already; the request is then completed with the
-     *     outcome of the earlier one
+     * @return false if there is an earlier request for the same task; this request then completes
+     *     with the outcome of the earlier one
      */
     boolean add(OutstandingRequest request) {
         OutstandingRequest earlier = requestByTask.putIfAbsent(request.taskId(), request);
@@ -61,7 +61,7 @@
                 });
     }
 
-    /** Sends all requests again after a reconnect; the placer recognizes them by task id. */
+    /** Sends all requests again after a reconnect; the placer recognizes repeats by task id. */
     void sendAll(ClientConnection connection) {
         requestByTask.values().forEach(request -> send(connection, request));
     }
--- a/client/src/main/java/thornferry/client/PlacerConnection.java
+++ b/client/src/main/java/thornferry/client/PlacerConnection.java
@@ -15,14 +15,14 @@
 import thornferry.protocol.v1.Why;
 
 /**
- * The connection of a client to its placer: reconnects with exponential backoff, sends the
- * outstanding requests again, and dispatches received messages. Runs on the client's event loop.
+ * The connection of a client to its placer. After a close it reconnects with exponential backoff
+ * and sends the outstanding requests again. All methods run on the client's event loop.
  */
 final class PlacerConnection implements ClientConnection.Listener {
     private static final long MIN_BACKOFF_MILLIS = 50;
     private static final long MAX_BACKOFF_MILLIS = 2_000;
 
-    /** Begin of the reason of a close after which a reconnect cannot succeed. */
+    /** The first words of the close reason after which the client does not reconnect. */
     private static final String LOGIN_REJECTED = "login or passcode";
 
     private final ClientConnection.Target target;
@@ -30,7 +30,7 @@
     private final OutstandingRequests requests;
     private final QueryCalls queries;
     private final Consumer<TaskNews> events;
-    private Consumer<Why> reasonListener; // null while reasons are not watched
+    private Consumer<Why> reasonListener; // null if pending reasons are not watched
     private ClientConnection connection; // null before the first connect and after a close
     private long backoffMillis = MIN_BACKOFF_MILLIS;
     private boolean closed;
@@ -48,19 +48,19 @@
         this.events = events;
     }
 
-    /** Connects, unless it was closed. */
+    /** Connects, unless {@link #close} has been called. */
     void open() {
         if (!closed) {
             connection = ClientConnection.open(loop, target, FrameLimits.DEFAULTS, this);
         }
     }
 
-    /** The connection, if it is established. */
+    /** Returns the connection if it is established. */
     Optional<ClientConnection> openConnection() {
         return Optional.ofNullable(connection).filter(ClientConnection::open);
     }
 
-    /** Passes the reasons of the client's pending tasks to a listener, also after a reconnect. */
+    /** Passes the pending reasons of the client's tasks to a listener, also after reconnects. */
     void watchReasons(Consumer<Why> listener) {
         reasonListener = listener;
         openConnection().ifPresent(PlacerConnection::subscribeToReasons);
@@ -70,15 +70,15 @@
         connection.subscribe("waiting", Destinations.WAITING, "auto");
     }
 
-    /** Breaks the connection without a DISCONNECT; reconnects after about the given time. */
-    void abort(long awayMillis) {
-        backoffMillis = Math.max(1, awayMillis);
+    /** Breaks the connection without DISCONNECT; reconnects after about the given time. */
+    void abort(long reconnectDelayMillis) {
+        backoffMillis = Math.max(1, reconnectDelayMillis);
         if (connection != null) {
             connection.cut();
         }
     }
 
-    /** Disconnects for good. */
+    /** Disconnects and does not reconnect. */
     void close() {
         closed = true;
         if (connection != null) {
--- a/client/src/main/java/thornferry/client/QueryCalls.java
+++ b/client/src/main/java/thornferry/client/QueryCalls.java
@@ -14,9 +14,9 @@
 import thornferry.protocol.Frame;
 import thornferry.protocol.ProtocolException;
 
-/** Queries in flight, matched with their replies by correlation id. */
+/** The queries in flight; replies are matched to them by correlation id. */
 final class QueryCalls {
-    /** Destination of the replies. */
+    /** The {@code reply-to} destination of all queries. */
     static final String REPLIES = Destinations.REPLIES + "client";
 
     private static final String CORRELATION_ID = "correlation-id";
@@ -28,22 +28,22 @@
     /**
      * Sends a query.
      *
-     * @param answer completed with the reply, or exceptionally if there is none in time
-     * @param replyType builder for the message in the reply
+     * @param result completed with the reply, or exceptionally if no reply arrives in time
+     * @param replyPrototype default instance of the message type of the reply
      */
     <M extends Message> void send(
             ClientConnection connection,
             String destination,
             Message query,
-            M replyType,
-            CompletableFuture<M> answer) {
+            M replyPrototype,
+            CompletableFuture<M> result) {
         lastQueryNumber++;
         String id = "c" + lastQueryNumber;
         CompletableFuture<Frame> reply = new CompletableFuture<>();
         replyByCorrelationId.put(id, reply);
         reply.orTimeout(REPLY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
-                .whenComplete((frame, failure) -> complete(answer, frame, replyType, failure));
-        Frame header =
+                .whenComplete((frame, failure) -> complete(result, frame, replyPrototype, failure));
+        Frame queryFrame =
                 Frame.of(
                         StompCommand.SEND,
                         "destination",
@@ -53,7 +53,7 @@
                         CORRELATION_ID,
                         id);
         connection.request(
-                Bodies.write(header, query, false),
+                Bodies.write(queryFrame, query, false),
                 error -> {
                     if (error != null && replyByCorrelationId.remove(id) != null) {
                         reply.completeExceptionally(new RequestNotAcceptedException(error));
@@ -62,19 +62,19 @@
     }
 
     private static <M extends Message> void complete(
-            CompletableFuture<M> answer, Frame frame, M replyType, Throwable failure) {
+            CompletableFuture<M> result, Frame frame, M replyPrototype, Throwable failure) {
         if (failure instanceof RequestNotAcceptedException) {
-            answer.completeExceptionally(failure);
+            result.completeExceptionally(failure);
             return;
         }
         if (failure != null) {
-            answer.completeExceptionally(new RequestNotAcceptedException("no answer in time"));
+            result.completeExceptionally(new RequestNotAcceptedException("no answer in time"));
             return;
         }
         try {
-            answer.complete(Bodies.read(frame, replyType));
+            result.complete(Bodies.read(frame, replyPrototype));
         } catch (ProtocolException invalid) {
-            answer.completeExceptionally(invalid);
+            result.completeExceptionally(invalid);
         }
     }
 
--- a/client/src/main/java/thornferry/client/TaskClient.java
+++ b/client/src/main/java/thornferry/client/TaskClient.java
@@ -23,15 +23,15 @@
 import thornferry.protocol.v1.WhyQuery;
 
 /**
- * Submits tasks to one placer and receives their results. After a broken connection it reconnects
- * and retries the tasks without a result under the same id, which the placer treats as the same
- * task.
+ * Submits tasks to one placer and receives their results. When the connection breaks, the client
+ * reconnects and submits the tasks without a result again under the same ids, by which the placer
+ * recognizes them as the same tasks.
  *
- * <p>A client never fails over to another placer: that one doesn't know the tasks submitted before,
+ * <p>A client never fails over to another placer, which does not know the tasks submitted before
  * and could start them twice. Methods may be called from any thread.
  */
 public final class TaskClient implements AutoCloseable {
-    /** The placer did not accept a request, or its reply did not arrive in time. */
+    /** Thrown if the placer did not accept a request or its reply did not arrive in time. */
     public static final class RequestNotAcceptedException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -45,9 +45,10 @@
     private static final long SHUTDOWN_TIMEOUT_MILLIS = 2_000;
 
     private final EventLoop loop;
-    private final MultiThreadIoEventLoopGroup ownLoops; // null if the loop is the caller's
+    private final MultiThreadIoEventLoopGroup
+            ownLoops; // null if the caller provides the event loop
     private final OutstandingRequests requests;
-    private final QueryCalls queries = new QueryCalls();
+    private final QueryCalls queryCalls = new QueryCalls();
     private final PlacerConnection placerConnection;
 
     private TaskClient(
@@ -58,14 +59,14 @@
         this.loop = loop;
         this.ownLoops = ownLoops;
         requests = new OutstandingRequests(loop);
-        placerConnection = new PlacerConnection(target, loop, requests, queries, events);
+        placerConnection = new PlacerConnection(target, loop, requests, queryCalls, events);
         loop.execute(placerConnection::open);
     }
 
     /**
-     * Connects in plain text, with an event loop of the client's own.
+     * Connects in plain text, on an event loop that the client owns.
      *
-     * @param events receives the events of tasks after their results, on the event loop
+     * @param events receives the events of placed tasks, on the event loop
      */
     public static TaskClient connect(
             SocketAddress placer, String login, String passcode, Consumer<TaskNews> events) {
@@ -73,7 +74,7 @@
                 new ClientConnection.Target(placer, login, passcode, DEFAULT_HEARTBEAT), events);
     }
 
-    /** Connects to a target that may use TLS, with an event loop of the client's own. */
+    /** Connects to a target that may use TLS, on an event loop that the client owns. */
     public static TaskClient connect(ClientConnection.Target target, Consumer<TaskNews> events) {
         MultiThreadIoEventLoopGroup loops =
                 new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -105,7 +106,9 @@
         return request.result();
     }
 
-    /** Stops one of the client's tasks; the future completes when the placer has accepted this. */
+    /**
+     * Stops one of the client's tasks; the future completes when the placer has accepted the stop.
+     */
     public CompletableFuture<Void> stop(String task) {
         CompletableFuture<Void> accepted = new CompletableFuture<>();
         StopTask request = StopTask.newBuilder().setId(task).build();
@@ -128,8 +131,8 @@
 
     /**
      * Queries why one of the client's tasks is pending, or its outcome, with the history of its
-     * reasons. The state is {@code unknown} if the placer knows no such task of this client; the
-     * kinds of reasons are listed in the specification of the protocol.
+     * pending reasons. The state is {@code unknown} if the placer knows no such task of this
+     * client; the kinds of reasons are listed in the specification of the protocol.
      */
     public CompletableFuture<Why> why(String task) {
         return query(
@@ -156,24 +159,25 @@
     }
 
     /**
-     * Watches the client's pending tasks: the listener receives the present reason of each and then
-     * every change, on the event loop and also after a reconnect. If reasons change faster than
-     * this side reads, intermediate ones are skipped.
+     * Watches the client's pending tasks: the listener receives the current reason of each task and
+     * then every change, on the event loop and also after a reconnect. If reasons change faster
+     * than the client reads them, intermediate ones are skipped.
      */
     public void watchReasons(Consumer<Why> listener) {
         loop.execute(() -> placerConnection.watchReasons(listener));
     }
 
     private <M extends Message> CompletableFuture<M> query(
-            String destination, Message query, M replyType) {
-        CompletableFuture<M> answer = new CompletableFuture<>();
+            String destination, Message query, M replyPrototype) {
+        CompletableFuture<M> result = new CompletableFuture<>();
         whenConnected(
-                answer,
-                connection -> queries.send(connection, destination, query, replyType, answer));
-        return answer;
+                result,
+                connection ->
+                        queryCalls.send(connection, destination, query, replyPrototype, result));
+        return result;
     }
 
-    /** Runs an action on the event loop, or fails its future if there is no open connection. */
+    /** Runs an action on the event loop, or fails the future if there is no open connection. */
     private void whenConnected(CompletableFuture<?> future, Consumer<ClientConnection> action) {
         loop.execute(
                 () -> {
@@ -188,14 +192,14 @@
     }
 
     /**
-     * Fault injection: breaks the connection without notice, as a crashed client would, and
-     * reconnects after about {@code awayMillis}.
+     * Breaks the connection without notice, as a crashed client would, and reconnects after about
+     * {@code reconnectDelayMillis}. For fault injection.
      */
-    public void vanish(long awayMillis) {
-        loop.execute(() -> placerConnection.abort(awayMillis));
+    public void vanish(long reconnectDelayMillis) {
+        loop.execute(() -> placerConnection.abort(reconnectDelayMillis));
     }
 
-    /** Disconnects, and shuts down the event loop if it is the client's own. */
+    /** Disconnects, and shuts down the event loop if the client owns it. */
     @Override
     public void close() {
         loop.execute(placerConnection::close);
