--- a/app/src/main/java/thornferry/app/ConfigCommand.java
+++ b/app/src/main/java/thornferry/app/ConfigCommand.java
@@ -10,16 +10,18 @@
 /** Groups the commands on configuration files. */
 @Command(
         name = "config",
-        description = "Work with configuration files.",
+        description = "Groups the commands on configuration files.",
         subcommands = ConfigCommand.Check.class)
 final class ConfigCommand extends CommandGroup {
     /** Checks a site's configuration file. */
     @Command(
             name = "check",
-            description = "Check a site's file; every complaint names file, line and key.",
+            description =
+                    "Checks a site's configuration file and prints each error with file, line and"
+                            + " key.",
             footer = {"", "Example:", "  thornferry config check examples/site.toml"})
     static final class Check implements Callable<Integer> {
-        @Parameters(paramLabel = "FILE")
+        @Parameters(paramLabel = "FILE", description = "Configuration file of a site, in TOML.")
         private Path file;
 
         @Override
@@ -27,11 +29,11 @@
             Site site = SiteFile.read(file).site();
             System.out.println(
                     file
-                            + ": good; "
+                            + ": valid; "
                             + site.placement().classes().size()
-                            + " classes, "
+                            + " task classes, "
                             + site.placement().machineKinds().size()
-                            + " kinds, "
+                            + " machine kinds, "
                             + site.accounts().size()
                             + " accounts");
             return ExitCode.OK;
--- a/app/src/test/java/thornferry/app/ConfigCommandTest.java
+++ b/app/src/test/java/thornferry/app/ConfigCommandTest.java
@@ -12,7 +12,7 @@
     @TempDir Path folder;
 
     @Test
-    void namesFileLineAndKeyOfInvalidLimitsAndCertificates() throws Exception {
+    void namesKeyOfEachInvalidValue() throws Exception {
         String site = Files.readString(Path.of("../examples/site.toml"));
         Path file = folder.resolve("limits.toml");
         Files.writeString(
@@ -37,17 +37,17 @@
                         "limit[0].tasks: must be a number from 1",
                         "line.oldest-turn",
                         "class[0].at-limit: must be one of wait, refuse",
-                        "account[1].passcode-hash: must be what",
+                        "account[1].passcode-hash: must be a hash printed by",
                         "limit[2].tenant: no tenant nobody",
-                        "limit[3].owner: a limit names one of",
+                        "limit[3].owner: a limit must set exactly one of",
                         "tls.certificate: no such file",
                         "tls.key: is missing");
     }
 
     @Test
-    void acceptsExamples() throws Exception {
+    void acceptsExampleFiles() throws Exception {
         assertThat(CommandRunner.run("config", "check", "../examples/site.toml").out())
-                .contains("good; 3 classes, 2 kinds, 3 accounts");
+                .contains("valid; 3 task classes, 2 machine kinds, 3 accounts");
         for (String scenario : new String[] {"short", "long"}) {
             ScenarioFile.read(Path.of("../examples/days/" + scenario + ".toml"));
         }
--- a/config/src/main/java/thornferry/config/AccountTables.java
+++ b/config/src/main/java/thornferry/config/AccountTables.java
@@ -13,7 +13,7 @@
 import thornferry.placer.Account;
 import thornferry.security.Passcodes;
 
-/** The tables {@code [[account]]}: who may connect, and as what. */
+/** The tables {@code [[account]]}: the logins that may connect, and their roles. */
 final class AccountTables {
     private static final Map<String, Account.Role> ROLES =
             NamedValues.of(
@@ -33,16 +33,18 @@
         for (Section section : root.tables("account")) {
             Account account = account(section);
             if (!logins.add(account.login())) {
-                section.complain("login", "account " + account.login() + " stands already");
+                section.complain("login", "account " + account.login() + " is already defined");
             }
             if (!account.tenant().isEmpty() && !tenants.contains(account.tenant())) {
                 section.complain(
-                        "tenant", "no tenant " + account.tenant() + " stands in this file");
+                        "tenant", "no tenant " + account.tenant() + " is defined in this file");
             }
             accounts.add(account);
         }
         if (accounts.isEmpty()) {
-            root.complain("account", "at least one is needed, or nobody can connect");
+            root.complain(
+                    "account",
+                    "at least one is required, as nobody could connect without an account");
         }
         return accounts;
     }
@@ -56,17 +58,18 @@
     }
 
     /**
-     * The hash of a passcode, or the passcode itself for trials; null if the account must log in
-     * with a certificate, as {@link Account#secret} has it.
+     * Returns the hash of the passcode, or the passcode itself, which is meant for trials; null if
+     * the account must log in with a certificate. See {@link Account#secret}.
      */
     private static String secret(Section section) {
         String hash = section.text("passcode-hash", "");
         String plain = section.text("passcode", "");
         if (!hash.isEmpty() && !Passcodes.isHash(hash)) {
-            section.complain("passcode-hash", "must be what `thornferry keys passcode` prints");
+            section.complain(
+                    "passcode-hash", "must be a hash printed by `thornferry keys passcode`");
         }
         if (!hash.isEmpty() && !plain.isEmpty()) {
-            section.complain("passcode", "stands beside passcode-hash; only one may");
+            section.complain("passcode", "must not be set together with passcode-hash");
         }
         if (!hash.isEmpty()) {
             return hash;
--- a/config/src/main/java/thornferry/config/AdmissionSection.java
+++ b/config/src/main/java/thornferry/config/AdmissionSection.java
@@ -12,16 +12,16 @@
 import thornferry.decisions.placement.Placement;
 
 /**
- * The table {@code [line]}: the admission queue. Quotas, the shares of tenants and what classes do
- * at a limit come from other tables.
+ * The table {@code [line]}: the admission queue. Other tables contain the quotas, the shares of
+ * tenants, and what happens to the tasks of a class at a quota.
  */
 final class AdmissionSection {
     private static final double MICROS_PER_MILLI = 1e3;
 
-    /** A tenant's weight must be above 0. */
+    /** The smallest share of a tenant. The admission queue requires shares above 0. */
     private static final double MIN_TENANT_SHARE = 1e-6;
 
-    /** What the tasks of a class do when they would exceed a quota. */
+    /** The treatment of tasks that would exceed a quota. */
     private enum AtLimit {
         WAIT,
         SHED
--- a/config/src/main/java/thornferry/config/ClassTables.java
+++ b/config/src/main/java/thornferry/config/ClassTables.java
@@ -15,7 +15,7 @@
 import thornferry.decisions.placement.Placement.TaskClass;
 import thornferry.decisions.placement.Placement.TopologyScope;
 
-/** The tables {@code [[class]]}: the classes of tasks. */
+/** The tables {@code [[class]]}: the task classes. */
 final class ClassTables {
     private static final Map<String, Idempotency> IDEMPOTENCIES =
             NamedValues.of(
@@ -29,7 +29,9 @@
     private ClassTables() {}
 
     /**
-     * @param kinds to which a class may be restricted
+     * Reads the tables.
+     *
+     * @param kinds the machine kinds, to one of which a class may be restricted
      */
     static List<TaskClass> read(Section root, List<MachineKind> kinds) {
         List<String> kindNames = kinds.stream().map(MachineKind::name).toList();
@@ -38,7 +40,7 @@
         for (Section section : root.tables("class")) {
             String name = section.requiredText("name");
             if (!names.add(name)) {
-                section.complain("name", "class " + name + " stands already");
+                section.complain("name", "class " + name + " is already defined");
             }
             classes.add(taskClass(section, name, kindNames));
         }
@@ -83,7 +85,7 @@
     private static long deadlineMicros(Section section, long latencyObjectiveMicros) {
         long deadlineMicros = section.requiredMillis("deadline-ms", 1, DAY_MILLIS);
         if (deadlineMicros < latencyObjectiveMicros) {
-            section.complain("deadline-ms", "must not be under aim-ms");
+            section.complain("deadline-ms", "must not be less than aim-ms");
         }
         return Math.max(1, deadlineMicros);
     }
@@ -95,7 +97,7 @@
             return index;
         }
         if (!kind.equals(ANY_KIND)) {
-            section.complain("kind", "no kind " + kind + " stands in this file");
+            section.complain("kind", "no kind " + kind + " is defined in this file");
         }
         return ANY_KIND_INDEX;
     }
@@ -103,12 +105,12 @@
     private static int maxTasksPerScope(Section section, TopologyScope spreadScope) {
         int maxTasks = section.whole("spread-most", 0, 1_000_000, 0);
         if (spreadScope != TopologyScope.NONE && maxTasks == 0) {
-            section.complain("spread-most", "must be above 0 where spread is set");
+            section.complain("spread-most", "must be greater than 0 if spread is set");
         }
         return maxTasks;
     }
 
-    /** Substitute for the classes of a file that has none, so that reading can go on. */
+    /** Returns a substitute for the classes of a file without any, so that reading can continue. */
     static TaskClass placeholder() {
         return new TaskClass(
                 "none",
--- a/config/src/main/java/thornferry/config/ConfigException.java
+++ b/config/src/main/java/thornferry/config/ConfigException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Everything that is wrong with a file, each complaint with file, line and key. */
+/** Thrown if a configuration file is invalid; lists all errors with file, line and key. */
 public final class ConfigException extends Exception {
     private static final long serialVersionUID = 1;
     private final transient List<String> complaints;
@@ -12,7 +12,7 @@
         this.complaints = List.copyOf(complaints);
     }
 
-    /** The complaints, in the order in which the values were read. */
+    /** Returns the errors, in the order in which the values were read. */
     public List<String> complaints() {
         return complaints;
     }
--- a/config/src/main/java/thornferry/config/ConnectionsSection.java
+++ b/config/src/main/java/thornferry/config/ConnectionsSection.java
@@ -4,10 +4,11 @@
 import thornferry.protocol.Heartbeat;
 
 /**
- * The table {@code [connections]}.
+ * The table {@code [connections]}: heartbeats and limits of connections.
  *
- * @param handshakeMillis a peer that has not sent CONNECT by then is disconnected
- * @param maxConnections open at once, for each instance
+ * @param heartbeat intervals that the placer proposes
+ * @param handshakeMillis time after which a peer that has not sent CONNECT is disconnected
+ * @param maxConnections maximum number of open connections of each instance
  */
 record ConnectionsSection(Heartbeat heartbeat, int handshakeMillis, int maxConnections) {
     private static final int MAX_HEARTBEAT_MILLIS = (int) Durations.HOUR_MILLIS;
--- a/config/src/main/java/thornferry/config/Durations.java
+++ b/config/src/main/java/thornferry/config/Durations.java
@@ -1,6 +1,6 @@
 package thornferry.config;
 
-/** Upper bounds of durations in the file. */
+/** The upper bounds of durations in the configuration. */
 final class Durations {
     static final long MINUTE_MILLIS = 60_000;
     static final long HOUR_MILLIS = 60 * MINUTE_MILLIS;
--- a/config/src/main/java/thornferry/config/FramesSection.java
+++ b/config/src/main/java/thornferry/config/FramesSection.java
@@ -3,7 +3,7 @@
 import thornferry.config.TomlFile.Section;
 import thornferry.protocol.FrameLimits;
 
-/** The table {@code [frames]}: the sizes that a peer may use. */
+/** The table {@code [frames]}: the size limits of frames and of unwritten output. */
 final class FramesSection {
     private static final int KIBIBYTE = 1 << 10;
     private static final int MEBIBYTE = 1 << 20;
--- a/config/src/main/java/thornferry/config/KindTables.java
+++ b/config/src/main/java/thornferry/config/KindTables.java
@@ -7,9 +7,9 @@
 import thornferry.config.TomlFile.Section;
 import thornferry.decisions.placement.Placement.MachineKind;
 
-/** The tables {@code [[kind]]}: the kinds of nodes and their sizes. */
+/** The tables {@code [[kind]]}: the machine kinds and their capacities. */
 final class KindTables {
-    private static final double MIN_SIZE = 1e-3;
+    private static final double MIN_CAPACITY = 1e-3;
 
     private KindTables() {}
 
@@ -20,17 +20,17 @@
             MachineKind kind =
                     new MachineKind(
                             section.requiredText("name"),
-                            section.requiredNumber("cores", MIN_SIZE, 1e6),
-                            section.requiredNumber("memory", MIN_SIZE, 1e9));
+                            section.requiredNumber("cores", MIN_CAPACITY, 1e6),
+                            section.requiredNumber("memory", MIN_CAPACITY, 1e9));
             if (!names.add(kind.name())) {
-                section.complain("name", "kind " + kind.name() + " stands already");
+                section.complain("name", "kind " + kind.name() + " is already defined");
             }
             kinds.add(kind);
         }
         return kinds;
     }
 
-    /** Substitute for the kinds of a file that has none, so that reading can go on. */
+    /** Returns a substitute for the kinds of a file without any, so that reading can continue. */
     static MachineKind placeholder() {
         return new MachineKind("none", 1, 1);
     }
--- a/config/src/main/java/thornferry/config/LimitsSection.java
+++ b/config/src/main/java/thornferry/config/LimitsSection.java
@@ -5,7 +5,7 @@
 import thornferry.config.TomlFile.Section;
 import thornferry.decisions.placement.Placement.Limits;
 
-/** The table {@code [limits]}: what the placement module may do for a request. */
+/** The table {@code [limits]}: the actions that the placement module may take for a request. */
 final class LimitsSection {
     private LimitsSection() {}
 
--- a/config/src/main/java/thornferry/config/MembershipSection.java
+++ b/config/src/main/java/thornferry/config/MembershipSection.java
@@ -5,7 +5,7 @@
 import thornferry.config.TomlFile.Section;
 import thornferry.decisions.membership.Membership;
 
-/** The table {@code [membership]}: when nodes count as gone or flapping. */
+/** The table {@code [membership]}: when nodes are considered gone or flapping. */
 final class MembershipSection {
     private MembershipSection() {}
 
--- a/config/src/main/java/thornferry/config/NamedValues.java
+++ b/config/src/main/java/thornferry/config/NamedValues.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import thornferry.decisions.placement.Placement.TopologyScope;
 
-/** Values by their names in the file, in the order in which complaints list the names. */
+/** Maps names in the file to values, in the order in which error messages list the names. */
 final class NamedValues {
     /** The values of {@code key-scope} and {@code spread}. */
     static final Map<String, TopologyScope> SCOPES =
@@ -20,7 +20,7 @@
 
     private NamedValues() {}
 
-    /** A map that, unlike {@link Map#ofEntries}, keeps the order. */
+    /** Returns an unmodifiable map that, unlike {@link Map#ofEntries}, keeps the order. */
     @SafeVarargs
     static <T> Map<String, T> of(Map.Entry<String, T>... entries) {
         Map<String, T> valuesByName = new LinkedHashMap<>();
--- a/config/src/main/java/thornferry/config/PlacementTables.java
+++ b/config/src/main/java/thornferry/config/PlacementTables.java
@@ -13,7 +13,7 @@
 import thornferry.decisions.placement.Placement.TaskClass;
 import thornferry.decisions.placement.Placement.Tenant;
 
-/** The table {@code [asks]}, and all tables that make up the settings of the placement module. */
+/** The table {@code [asks]} and all other tables with settings of the placement module. */
 final class PlacementTables {
     private PlacementTables() {}
 
@@ -26,7 +26,7 @@
         Rules rules = RulesSection.read(root);
         Limits limits = LimitsSection.read(root);
         if (classes.isEmpty() || kinds.isEmpty()) {
-            root.complain(classes.isEmpty() ? "class" : "kind", "at least one is needed");
+            root.complain(classes.isEmpty() ? "class" : "kind", "at least one is required");
         }
         return new Placement.Settings(
                 /* seed= */ 0,
--- a/config/src/main/java/thornferry/config/PlacerSection.java
+++ b/config/src/main/java/thornferry/config/PlacerSection.java
@@ -3,10 +3,11 @@
 import thornferry.config.TomlFile.Section;
 
 /**
- * The table {@code [placer]}.
+ * The table {@code [placer]}: the identity, address and number of placer instances.
  *
- * @param instances run by this process
- * @param placers all instances of the site, in whatever process
+ * @param section the table itself, for the keys that are read later
+ * @param instances number of instances that this process runs
+ * @param placers number of instances of the site, in all processes
  */
 record PlacerSection(
         Section section, String name, String host, int port, int instances, int placers) {
@@ -14,7 +15,7 @@
     private static final int MAX_PORT = 65_535;
     private static final int MAX_INSTANCES = 10_000;
     private static final int MAX_PLACERS = 1_000_000;
-    private static final double MAX_SEED = 9e15; // below 2^53, so that it is exact as a double
+    private static final double MAX_SEED = 9e15; // less than 2^53, therefore exact as a double
 
     static PlacerSection read(Section root) {
         Section section = root.table("placer");
@@ -25,17 +26,18 @@
         int placers = section.whole("placers", 1, MAX_PLACERS, instances);
         if (placers < instances) {
             section.complain(
-                    "placers", "counts all placers of the site, so it cannot be under instances");
+                    "placers",
+                    "must not be less than instances, because it counts all placers of the site");
         }
         return new PlacerSection(section, name, host, port, instances, placers);
     }
 
-    /** The zone that the placer is in. */
+    /** Reads the zone in which the placer runs. */
     String readZone() {
         return section.text("zone", "local");
     }
 
-    /** The seed from which those of the instances are derived. */
+    /** Reads the random seed from which the seeds of the instances are derived. */
     long readSeed() {
         return (long) section.number("seed", 0, MAX_SEED, 1);
     }
--- a/config/src/main/java/thornferry/config/QuotaTables.java
+++ b/config/src/main/java/thornferry/config/QuotaTables.java
@@ -13,7 +13,7 @@
 /** The tables {@code [[limit]]}: the quotas of owners, of tenants and of the site. */
 final class QuotaTables {
     private static final String EACH = "*";
-    private static final double NO_LIMIT = Double.POSITIVE_INFINITY;
+    private static final double UNLIMITED = Double.POSITIVE_INFINITY;
 
     private final List<String> logins;
     private final List<String> tenantNames;
@@ -25,10 +25,11 @@
     private final Map<String, Quota> byTenant = new HashMap<>();
 
     /**
-     * Whom a table limits: exactly one of the three.
+     * The subject of a quota. In a valid table, exactly one of the components is set.
      *
-     * @param owner a login, {@link #EACH}, or empty
-     * @param tenant a name, {@link #EACH}, or empty
+     * @param owner login of an owner, {@link #EACH}, or empty
+     * @param tenant name of a tenant, {@link #EACH}, or empty
+     * @param site true if the quota applies to all tasks of the site together
      */
     private record Subject(String owner, String tenant, boolean site) {
         static Subject read(Section section) {
@@ -40,7 +41,7 @@
 
         boolean isValid() {
             return Stream.of(!owner.isEmpty(), !tenant.isEmpty(), site)
-                            .filter(named -> named)
+                            .filter(isSet -> isSet)
                             .count()
                     == 1;
         }
@@ -89,45 +90,46 @@
         if (!subject.isValid()) {
             section.complain(
                     "owner",
-                    "a limit names one of owner = \"LOGIN\", tenant = \"NAME\" (or \"*\" for"
-                            + " each) and site = true");
+                    "a limit must set exactly one of owner = \"LOGIN\", tenant = \"NAME\" (\"*\""
+                            + " for each) and site = true");
         } else if (!isKnown(subject.owner(), logins)) {
-            section.complain("owner", "no account " + subject.owner() + " stands in this file");
+            section.complain("owner", "no account " + subject.owner() + " is defined in this file");
         } else if (!isKnown(subject.tenant(), tenantNames)) {
-            section.complain("tenant", "no tenant " + subject.tenant() + " stands in this file");
+            section.complain(
+                    "tenant", "no tenant " + subject.tenant() + " is defined in this file");
         } else if (!subjects.add(subject)) {
-            section.complain(subject.key(), "its limit stands already");
+            section.complain(subject.key(), "a limit for the same subject is already defined");
         }
     }
 
-    private static boolean isKnown(String name, List<String> known) {
-        return name.isEmpty() || name.equals(EACH) || known.contains(name);
+    private static boolean isKnown(String name, List<String> knownNames) {
+        return name.isEmpty() || name.equals(EACH) || knownNames.contains(name);
     }
 
     private static Quota quota(Section section) {
-        double perSecond = section.number("per-second", 1e-3, 1e9, NO_LIMIT);
-        double defaultBurst = Math.max(1, perSecond); // no limit where the rate has none
+        double perSecond = section.number("per-second", 1e-3, 1e9, UNLIMITED);
+        double defaultBurst = Math.max(1, perSecond); // unlimited if the rate is unlimited
         double burst = section.number("burst", 1, 1e9, defaultBurst);
         return new Quota(
-                section.number("waiting", 0, 1e9, NO_LIMIT),
-                section.number("tasks", 1, 1e9, NO_LIMIT),
+                section.number("waiting", 0, 1e9, UNLIMITED),
+                section.number("tasks", 1, 1e9, UNLIMITED),
                 perSecond,
                 burst,
-                section.number("cores", 1e-3, 1e9, NO_LIMIT),
-                section.number("memory", 1e-3, 1e9, NO_LIMIT));
+                section.number("cores", 1e-3, 1e9, UNLIMITED),
+                section.number("memory", 1e-3, 1e9, UNLIMITED));
     }
 
-    /** The quota of each owner that has none of its own. */
+    /** Returns the quota of each owner without a quota of its own. */
     Quota eachOwner() {
         return eachOwner;
     }
 
-    /** The quota of each tenant that has none of its own. */
+    /** Returns the quota of each tenant without a quota of its own. */
     Quota eachTenant() {
         return eachTenant;
     }
 
-    /** The quota of all together. */
+    /** Returns the quota of all tasks of the site together. */
     Quota site() {
         return site;
     }
--- a/config/src/main/java/thornferry/config/SiteFile.java
+++ b/config/src/main/java/thornferry/config/SiteFile.java
@@ -9,27 +9,28 @@
 /**
  * The configuration of a placer process. {@code examples/site.toml} explains every key.
  *
- * @param host on which to listen
- * @param port of the first instance; instance i listens on port + i. 0 for any free ports
- * @param instances how many instances of the placement module to run
+ * @param site settings of the placer
+ * @param host host name or IP address to listen on
+ * @param port TCP port of the first instance; instance i listens on port + i. 0 for any free ports
+ * @param instances number of instances of the placement module to run
  */
 public record SiteFile(Site site, String host, int port, int instances) {
     /**
      * Reads a configuration.
      *
-     * @throws ConfigException with everything that is wrong with it
+     * @throws ConfigException if the file is invalid, with all errors
      */
     public static SiteFile read(Path path) throws ConfigException {
         return of(TomlFile.read(path));
     }
 
     /**
-     * The configuration in a file, all keys of which must be known.
+     * Returns the configuration in a file. Unknown keys are errors.
      *
-     * @throws ConfigException with everything that is wrong with it
+     * @throws ConfigException if the file is invalid, with all errors
      */
     public static SiteFile of(TomlFile file) throws ConfigException {
-        // Tables and keys are read in a fixed order, which is that of the complaints.
+        // The order in which tables and keys are read is the order of the error messages.
         Section root = file.root();
         PlacerSection placer = PlacerSection.read(root);
         ConnectionsSection connections = ConnectionsSection.read(root);
--- a/config/src/main/java/thornferry/config/StateSection.java
+++ b/config/src/main/java/thornferry/config/StateSection.java
@@ -8,7 +8,7 @@
 import thornferry.placer.Site;
 import thornferry.state.Durability;
 
-/** The table {@code [state]}: what outlasts a restart, and where it is stored. */
+/** The table {@code [state]}: the durability and the folder of the journal. */
 final class StateSection {
     private static final Map<String, Durability> DURABILITIES =
             NamedValues.of(
@@ -21,7 +21,7 @@
     /**
      * Reads the table.
      *
-     * @param directory to which the folder is relative
+     * @param directory directory to which the folder is relative
      */
     static Site.State read(Section root, Path directory) {
         Section section = root.table("state");
--- a/config/src/main/java/thornferry/config/TenantTables.java
+++ b/config/src/main/java/thornferry/config/TenantTables.java
@@ -5,7 +5,7 @@
 import thornferry.config.TomlFile.Section;
 import thornferry.decisions.placement.Placement.Tenant;
 
-/** The tables {@code [[tenant]]}: who shares the site, and in which proportions. */
+/** The tables {@code [[tenant]]}: the tenants of the site and their fair shares. */
 final class TenantTables {
     private TenantTables() {}
 
--- a/config/src/main/java/thornferry/config/TlsSection.java
+++ b/config/src/main/java/thornferry/config/TlsSection.java
@@ -10,8 +10,8 @@
 import thornferry.security.Tls;
 
 /**
- * The table {@code [tls]}; without it, connections are plain text. Paths are relative to the folder
- * of the file.
+ * The table {@code [tls]}. Without it, connections are plain text. Paths are relative to the folder
+ * of the configuration file.
  */
 final class TlsSection {
     private static final Map<String, Tls.Clients> CLIENT_CERTIFICATES =
@@ -25,7 +25,8 @@
     /**
      * Reads the table.
      *
-     * @return null without the table, as {@link Site#tls} has it
+     * @param directory directory to which paths are relative
+     * @return the files, or null if the table is absent, as {@link Site#tls} defines
      */
     static Site.TlsFiles read(Section root, Path directory) {
         if (!root.has("tls")) {
--- a/config/src/main/java/thornferry/config/TomlFile.java
+++ b/config/src/main/java/thornferry/config/TomlFile.java
@@ -16,22 +16,23 @@
 import java.util.Set;
 
 /**
- * A TOML file that is read value by value. Each value is checked as it is read. Complaints name
- * file, line and key; {@link #check} throws them all together, among them one for each key that was
- * never read.
+ * A TOML file whose values are validated as they are read. Each error names file, line and key.
+ * {@link #check} throws all errors together, including one for each key that was never read.
  */
 public final class TomlFile {
     private static final TomlMapper MAPPER = new TomlMapper();
     private static final int MICROS_PER_MILLI = 1_000;
 
-    /** Whole numbers up to this one are printed without a fraction or an exponent. */
+    /** Whole numbers below this one are printed without a fraction or an exponent. */
     private static final double MAX_PLAIN_NUMBER = 1e15;
 
     private final String fileName;
     private final TomlLineIndex lineIndex;
     private final List<String> complaints = new ArrayList<>();
-    private final Map<String, Section> sectionsByPath =
-            new LinkedHashMap<>(); // those that were read
+
+    /** The sections that have been read, in the order of their first use. */
+    private final Map<String, Section> sectionsByPath = new LinkedHashMap<>();
+
     private final Section root;
 
     private TomlFile(String fileName, String text) throws ConfigException {
@@ -50,7 +51,7 @@
     /**
      * Reads a file.
      *
-     * @throws ConfigException if it cannot be read or is not TOML
+     * @throws ConfigException if the file cannot be read or is not TOML
      */
     public static TomlFile read(Path path) throws ConfigException {
         try {
@@ -65,44 +66,48 @@
     /**
      * Parses a text.
      *
-     * @param file the name that complaints give the text
-     * @throws ConfigException if it is not TOML
+     * @param file name of the text in error messages
+     * @throws ConfigException if the text is not TOML
      */
     public static TomlFile parse(String file, String text) throws ConfigException {
         return new TomlFile(file, text);
     }
 
-    /** The folder to which paths in the file are relative; the working directory for a text. */
+    /**
+     * Returns the directory to which paths in the file are relative. For a text without a file,
+     * this is the working directory.
+     */
     Path directory() {
         Path parent = Path.of(fileName).toAbsolutePath().getParent();
         return parent == null ? Path.of("") : parent;
     }
 
-    /** The keys and tables at the top of the file. */
+    /** Returns the section with the top-level keys and tables. */
     public Section root() {
         return root;
     }
 
     /**
-     * To be called after everything was read.
+     * Throws all errors that were found. Call this method after all values have been read, because
+     * a key that has not been read counts as unknown.
      *
-     * @throws ConfigException with all complaints, if there are any
+     * @throws ConfigException if there are any errors
      */
     public void check() throws ConfigException {
-        sectionsByPath.values().forEach(Section::complainOfUnknownKeys);
+        sectionsByPath.values().forEach(Section::complainAboutUnknownKeys);
         if (!complaints.isEmpty()) {
             throw new ConfigException(complaints);
         }
     }
 
-    /** The same section each time, so that several readers may share the keys of a table. */
+    /** Returns the same section for the same path, so that several readers can share a table. */
     private Section section(String path, JsonNode node) {
         return sectionsByPath.computeIfAbsent(path, newPath -> new Section(newPath, node));
     }
 
     /**
-     * One table of the file. The methods that read a value complain of one that is missing or out
-     * of range, and then return a substitute so that reading can go on until {@link #check}.
+     * One table of the file. A method that reads a missing or invalid value records an error and
+     * returns a substitute, so that reading can continue until {@link #check}.
      */
     public final class Section {
         private final String path;
@@ -118,25 +123,29 @@
             return path.isEmpty() ? key : path + "." + key;
         }
 
-        /** Records what is wrong with a key of this table. */
-        public void complain(String key, String what) {
+        /**
+         * Records an error at a key of this table.
+         *
+         * @param problem what is wrong with the value, or what is expected of it
+         */
+        public void complain(String key, String problem) {
             String keyPath = pathOf(key);
             int line = lineIndex.lineOf(keyPath, path);
-            complaints.add(fileName + ":" + line + ": " + keyPath + ": " + what);
+            complaints.add(fileName + ":" + line + ": " + keyPath + ": " + problem);
         }
 
-        /** The value of a key, which is known from now on; null if the table does not have it. */
+        /** Marks a key as known and returns its value; null if the key is absent. */
         private JsonNode value(String key) {
             knownKeys.add(key);
             return node.get(key);
         }
 
-        /** Whether the table has a key. */
+        /** Returns whether the table has a key. */
         public boolean has(String key) {
             return node.has(key);
         }
 
-        /** A table within this one; an empty one if the file does not have it. */
+        /** Returns a table within this one; an empty table if it is absent. */
         public Section table(String key) {
             JsonNode value = value(key);
             boolean isTable = value != null && value.isObject();
@@ -146,7 +155,7 @@
             return section(pathOf(key), isTable ? value : MAPPER.createObjectNode());
         }
 
-        /** The tables of an array of tables; none if the file does not have it. */
+        /** Returns the tables of an array of tables; an empty list if it is absent. */
         public List<Section> tables(String key) {
             List<Section> tables = new ArrayList<>();
             JsonNode value = value(key);
@@ -161,9 +170,9 @@
         }
 
         /**
-         * A text.
+         * Returns a string.
          *
-         * @param defaultValue the default; null if the key is required
+         * @param defaultValue value if the key is absent; null if the key is required
          */
         public String text(String key, String defaultValue) {
             if (defaultValue == null) {
@@ -173,7 +182,7 @@
             return value == null ? defaultValue : checkedText(key, value, true);
         }
 
-        /** A text that must be there and not be empty. */
+        /** Returns a string that is required and must not be empty. */
         String requiredText(String key) {
             JsonNode value = value(key);
             if (value == null) {
@@ -185,16 +194,16 @@
 
         private String checkedText(String key, JsonNode value, boolean mayBeEmpty) {
             if (!value.isTextual() || (value.textValue().isEmpty() && !mayBeEmpty)) {
-                complain(key, "must be a text that is not empty");
+                complain(key, "must be a non-empty string");
                 return "";
             }
             return value.textValue();
         }
 
         /**
-         * A number within bounds.
+         * Returns a number within bounds.
          *
-         * @param defaultValue the default; NaN if the key is required
+         * @param defaultValue value if the key is absent; NaN if the key is required
          */
         public double number(String key, double min, double max, double defaultValue) {
             if (Double.isNaN(defaultValue)) {
@@ -204,7 +213,7 @@
             return value == null ? defaultValue : checkedNumber(key, value, min, max);
         }
 
-        /** A number within bounds that must be there. */
+        /** Returns a required number within bounds. */
         double requiredNumber(String key, double min, double max) {
             JsonNode value = value(key);
             if (value == null) {
@@ -217,14 +226,14 @@
         private double checkedNumber(String key, JsonNode value, double min, double max) {
             double number = value.doubleValue();
             if (!value.isNumber() || !(number >= min && number <= max)) {
-                String range = "from " + plain(min) + " to " + plain(max);
+                String range = "from " + formatNumber(min) + " to " + formatNumber(max);
                 complain(key, "must be a number " + range + ", not " + value.asText());
                 return min;
             }
             return number;
         }
 
-        /** A whole number within bounds. */
+        /** Returns an integer within bounds. */
         public int whole(String key, int min, int max, int defaultValue) {
             JsonNode value = value(key);
             if (value != null && value.isNumber() && !value.isIntegralNumber()) {
@@ -235,22 +244,23 @@
         }
 
         /**
-         * A duration: milliseconds in the file, returned in microseconds.
+         * Returns a duration in microseconds, which the file contains in milliseconds.
          *
          * @param min the minimum, in milliseconds
          * @param max the maximum, in milliseconds
-         * @param defaultValue the default, in milliseconds; NaN if the key is required
+         * @param defaultValue value if the key is absent, in milliseconds; NaN if the key is
+         *     required
          */
         public long millis(String key, long min, long max, double defaultValue) {
             return millisToMicros(number(key, (double) min, (double) max, defaultValue));
         }
 
-        /** A duration that must be there: milliseconds in the file, returned in microseconds. */
+        /** Returns a required duration in microseconds, which the file contains in milliseconds. */
         long requiredMillis(String key, long minMillis, long maxMillis) {
             return millisToMicros(requiredNumber(key, (double) minMillis, (double) maxMillis));
         }
 
-        /** True or false. */
+        /** Returns a boolean. */
         public boolean flag(String key, boolean defaultValue) {
             JsonNode value = value(key);
             if (value != null && !value.isBoolean()) {
@@ -260,9 +270,9 @@
         }
 
         /**
-         * One of the constants of an enum, written in lower case with hyphens.
+         * Returns a constant of an enum, whose name the file contains in lower case with hyphens.
          *
-         * @param defaultValue the default; null if the key is required
+         * @param defaultValue value if the key is absent; null if the key is required
          */
         public <E extends Enum<E>> E choice(String key, Class<E> type, E defaultValue) {
             Map<String, E> valuesByName = new LinkedHashMap<>();
@@ -273,10 +283,10 @@
         }
 
         /**
-         * One of some named values; the first one if the file has another name.
+         * Returns one of several named values; the first one if the name in the file is unknown.
          *
-         * @param valuesByName in the order in which complaints list them
-         * @param defaultValue the default; null if the key is required
+         * @param valuesByName values by name, in the order in which error messages list them
+         * @param defaultValue value if the key is absent; null if the key is required
          */
         public <T> T choice(String key, Map<String, T> valuesByName, T defaultValue) {
             if (defaultValue == null) {
@@ -286,33 +296,35 @@
             return value == null ? defaultValue : checkedChoice(key, value, valuesByName);
         }
 
-        /** One of some named values, which must be there. */
+        /** Returns one of several named values; the key is required. */
         <T> T requiredChoice(String key, Map<String, T> valuesByName) {
             JsonNode value = value(key);
             if (value == null) {
-                complain(key, "is missing; one of " + String.join(", ", valuesByName.keySet()));
+                complain(
+                        key,
+                        "is missing; must be one of " + String.join(", ", valuesByName.keySet()));
                 return valuesByName.values().iterator().next();
             }
             return checkedChoice(key, value, valuesByName);
         }
 
         private <T> T checkedChoice(String key, JsonNode value, Map<String, T> valuesByName) {
-            T chosen = value.isTextual() ? valuesByName.get(value.textValue()) : null;
-            if (chosen == null) {
-                String known = String.join(", ", valuesByName.keySet());
-                complain(key, "must be one of " + known + ", not " + value.asText());
+            T selected = value.isTextual() ? valuesByName.get(value.textValue()) : null;
+            if (selected == null) {
+                String validNames = String.join(", ", valuesByName.keySet());
+                complain(key, "must be one of " + validNames + ", not " + value.asText());
                 return valuesByName.values().iterator().next();
             }
-            return chosen;
+            return selected;
         }
 
-        private void complainOfUnknownKeys() {
-            String known = String.join(", ", knownKeys.stream().sorted().toList());
+        private void complainAboutUnknownKeys() {
+            String knownKeyNames = String.join(", ", knownKeys.stream().sorted().toList());
             node.fieldNames()
                     .forEachRemaining(
                             key -> {
                                 if (!knownKeys.contains(key)) {
-                                    complain(key, "is not known; known here: " + known);
+                                    complain(key, "is not known; known keys: " + knownKeyNames);
                                 }
                             });
         }
@@ -326,7 +338,7 @@
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    private static String plain(double number) {
+    private static String formatNumber(double number) {
         boolean whole = number == Math.rint(number) && Math.abs(number) < MAX_PLAIN_NUMBER;
         return whole ? Long.toString((long) number) : Double.toString(number);
     }
--- a/config/src/main/java/thornferry/config/TomlLineIndex.java
+++ b/config/src/main/java/thornferry/config/TomlLineIndex.java
@@ -7,8 +7,8 @@
 
 /**
  * The line numbers of the tables and keys of a TOML file. The parser does not report them, so they
- * are found by the look of headers and keys; keys that this misses, such as those of inline tables,
- * have none.
+ * are found by matching each line against patterns. Keys that no pattern matches, such as those of
+ * inline tables, have no line number.
  */
 final class TomlLineIndex {
     private static final Pattern HEADER =
@@ -17,7 +17,7 @@
     private static final String ARRAY_BRACKET = "[[";
 
     private final Map<String, Integer> linesByPath = new HashMap<>();
-    private final Map<String, Integer> tableCounts = new HashMap<>(); // of arrays of tables
+    private final Map<String, Integer> tableCountsByArray = new HashMap<>();
 
     TomlLineIndex(String text) {
         String table = "";
@@ -41,11 +41,11 @@
         if (!header.group("bracket").equals(ARRAY_BRACKET)) {
             return table;
         }
-        int index = tableCounts.merge(table, 1, Integer::sum) - 1;
+        int index = tableCountsByArray.merge(table, 1, Integer::sum) - 1;
         return table + "[" + index + "]";
     }
 
-    /** The line of a key or else of its table, from 1; 0 if neither was found. */
+    /** Returns the line of a key, or else of its table, counted from 1; 0 if neither was found. */
     int lineOf(String keyPath, String tablePath) {
         return linesByPath.getOrDefault(keyPath, linesByPath.getOrDefault(tablePath, 0));
     }
--- a/config/src/main/java/thornferry/config/package-info.java
+++ b/config/src/main/java/thornferry/config/package-info.java
@@ -6,7 +6,7 @@
  * configuration; each table of the file has a class of its own, such as {@code PlacerSection} for
  * {@code [placer]} and {@code ClassTables} for the tables {@code [[class]]}.
  *
- * <p>Keys and named values of the file are fixed, and occur in these classes alone. Durations are
+ * <p>The keys and named values of the file are fixed and occur only in these classes. Durations are
  * milliseconds in the file and microseconds in the objects that are read from it. Each value is
  * checked against the range given beside its key; {@code examples/site.toml} explains them.
  */
