--- a/app/src/main/java/thornferry/app/Addresses.java
+++ b/app/src/main/java/thornferry/app/Addresses.java
@@ -6,7 +6,7 @@
 import java.util.stream.IntStream;
 import picocli.CommandLine;
 
-/** Parses addresses of placers: HOST:PORT, or HOST:PORT-PORT for a range. */
+/** Parses addresses of placers: HOST:PORT, or HOST:PORT-PORT for a range of ports. */
 final class Addresses {
     private static final int MAX_PORT = 65_535;
 
@@ -15,6 +15,7 @@
     /**
      * Parses the value of an option.
      *
+     * @param spec command that the option belongs to, for the error message
      * @throws CommandLine.ParameterException if the text is neither an address nor a range
      */
     static List<SocketAddress> parse(
@@ -24,7 +25,7 @@
         } catch (IllegalArgumentException e) {
             throw new CommandLine.ParameterException(
                     spec.commandLine(),
-                    option + " " + text + ": HOST:PORT or HOST:PORT-PORT is expected",
+                    option + " " + text + ": expected HOST:PORT or HOST:PORT-PORT",
                     e);
         }
     }
--- a/app/src/main/java/thornferry/app/AgentCommand.java
+++ b/app/src/main/java/thornferry/app/AgentCommand.java
@@ -18,13 +18,13 @@
 import thornferry.agent.PlacerLogin;
 import thornferry.protocol.Heartbeat;
 
-/** Runs agents of emulated nodes in the foreground. */
+/** Runs the agents of emulated nodes in the foreground. */
 @Command(
         name = "agent",
-        description = "Run one or many nodes with stand-in work until interrupted.",
+        description = "Runs one or more emulated nodes until interrupted.",
         footer = {
             "",
-            "Example, 100 nodes over three halls:",
+            "Example: 100 nodes in three zones",
             "  thornferry agent --placer 127.0.0.1:61613 --node n --count 100 --zone"
                     + " hall-a,hall-b,hall-c \\",
             "    --kind std-node --cores 24 --memory 48 --login node --passcode change-me-too"
@@ -37,22 +37,28 @@
             required = true,
             split = ",",
             paramLabel = "HOST:PORT",
-            description = "Each placer to dial; HOST:PORT-PORT for a range.")
+            description =
+                    "Addresses of the placers to connect to; HOST:PORT-PORT for a range of ports.")
     private List<String> placers;
 
     @Option(
             names = "--node",
             required = true,
-            description = "Its name, or the start of their names with --count.")
+            description =
+                    "Name of the node; with --count above 1, the prefix of the names, which end in"
+                            + " -1, -2 and so on.")
     private String node;
 
     @Option(
             names = "--count",
             defaultValue = "1",
-            description = "How many nodes; ${DEFAULT-VALUE}.")
+            description = "Number of nodes; default: ${DEFAULT-VALUE}.")
     private int count;
 
-    @Option(names = "--kind", required = true, description = "A kind of the site's configuration.")
+    @Option(
+            names = "--kind",
+            required = true,
+            description = "Machine kind of the nodes, as named in the site's configuration.")
     private String kind;
 
     @Option(
@@ -60,22 +66,29 @@
             required = true,
             split = ",",
             paramLabel = "<zones>",
-            description = "Its zone; several are used in turn.")
+            description = "Zone of the nodes; several zones are assigned to the nodes in turn.")
     private List<String> zones;
 
-    @Option(names = "--cores", required = true)
+    @Option(names = "--cores", required = true, description = "CPU cores of each node.")
     private double cores;
 
-    @Option(names = "--memory", required = true)
+    @Option(
+            names = "--memory",
+            required = true,
+            description = "Memory of each node, in the unit of the site's configuration.")
     private double memory;
 
-    @Option(names = "--login", description = "With --cert the certificate tells.")
+    @Option(
+            names = "--login",
+            description = "Login of the nodes' account; with --cert, taken from the certificate.")
     private String login;
 
     @Option(
             names = "--passcode",
             defaultValue = "${env:THORNFERRY_PASSCODE:-}",
-            description = "THORNFERRY_PASSCODE.")
+            description =
+                    "Passcode of the nodes' account; default: environment variable"
+                            + " THORNFERRY_PASSCODE.")
     private String passcode;
 
     @Mixin private TlsOptions tls;
@@ -84,29 +97,40 @@
             names = "--heart-beat-ms",
             paramLabel = "<beat>",
             defaultValue = "2000",
-            description = "Offered both ways; ${DEFAULT-VALUE}.")
+            description =
+                    "Heartbeat interval that the nodes propose for both directions, in"
+                            + " milliseconds; default: ${DEFAULT-VALUE}.")
     private int heartbeatMillis;
 
     @Option(
             names = "--key-window",
             split = ",",
             paramLabel = "CLASS=MS",
-            description = "Repeats of a key of this class are dropped in a hall for so long.")
+            description =
+                    "Deduplication window of a task class, in milliseconds: the time during which a"
+                            + " zone drops further tasks of the class with the same key.")
     private Map<String, Long> keyWindowMillisByClass = new HashMap<>();
 
     @Option(
             names = "--instant",
-            description = "Answer and start without delay: to measure a placer.")
+            description =
+                    "Makes the nodes answer offers and start tasks without delay, to measure a"
+                            + " placer.")
     private boolean instant;
 
-    @Option(names = "--seed", defaultValue = "1")
+    @Option(
+            names = "--seed",
+            defaultValue = "1",
+            description =
+                    "Random seed of the first node; each further node adds 1; default:"
+                            + " ${DEFAULT-VALUE}.")
     private long seed;
 
     @Override
     public Integer call() throws Exception {
         if (!tls.hasCertificate() && (login == null || passcode.isEmpty())) {
             throw new CommandLine.ParameterException(
-                    spec.commandLine(), "--login and --passcode, or --cert, are needed");
+                    spec.commandLine(), "either --login and --passcode or --cert is required");
         }
         List<SocketAddress> targets =
                 placers.stream()
@@ -116,10 +140,10 @@
         AgentPool pool = new AgentPool(threads, tls.context());
         startNodes(pool, targets);
         System.out.println(
-                counted(count, "node", "nodes")
+                formatCount(count, "node", "nodes")
                         + " for "
-                        + counted(targets.size(), "placer", "placers"));
-        UntilShutdown.await(pool::close);
+                        + formatCount(targets.size(), "placer", "placers"));
+        JvmShutdown.await(pool::close);
         return ExitCode.OK;
     }
 
@@ -155,7 +179,7 @@
                 : NodeBehavior.usual(keyWindowMicrosByClass);
     }
 
-    private static String counted(int number, String singular, String plural) {
+    private static String formatCount(int number, String singular, String plural) {
         return number + " " + (number == 1 ? singular : plural);
     }
 }
--- a/app/src/main/java/thornferry/app/AuditCommand.java
+++ b/app/src/main/java/thornferry/app/AuditCommand.java
@@ -7,23 +7,23 @@
 import picocli.CommandLine.Parameters;
 import thornferry.testbed.audit.TraceAuditor;
 
-/** {@code thornferry audit}: checks the five rules from a capture and prints each violation. */
+/** Checks a capture against the five rules and prints each violation. */
 @Command(
         name = "audit",
-        description = "Judge the five rules from a capture alone.",
+        description = "Checks a recorded capture against the five rules and prints each violation.",
         footer = {
             "",
             "Example:",
             "  thornferry audit day.jsonl",
             "",
-            "Exit codes: 0 clean, 1 a rule is broken."
+            "Exit codes: 0 no violation, 1 at least one violation."
         })
 final class AuditCommand implements Callable<Integer> {
     private static final int MAX_PRINTED_VIOLATIONS = 50;
     private static final long MICROS_PER_MILLI = 1_000;
     private static final double MICROS_PER_SECOND = 1e6;
 
-    @Parameters(paramLabel = "CAPTURE")
+    @Parameters(paramLabel = "CAPTURE", description = "Capture file, in JSON lines.")
     Path capture;
 
     @Option(
@@ -31,7 +31,8 @@
             paramLabel = "<slack>",
             defaultValue = "250",
             description =
-                    "How much later than the rule's grace a result may be seen; ${DEFAULT-VALUE}.")
+                    "Tolerance for results recorded after the rule's grace period, in milliseconds;"
+                            + " default: ${DEFAULT-VALUE}.")
     long slackMillis;
 
     @Override
@@ -40,7 +41,7 @@
     }
 
     /**
-     * Prints a verdict.
+     * Prints the violations, at most {@value #MAX_PRINTED_VIOLATIONS}, and a summary.
      *
      * @return the exit code
      */
@@ -49,7 +50,7 @@
                 .limit(MAX_PRINTED_VIOLATIONS)
                 .forEach(violation -> print(capture, violation));
         System.out.printf(
-                "%s: %d frames and marks, %d asks, %d results, %d offers, %d starts: %s%n",
+                "%s: %d frames and marks, %d requests, %d results, %d offers, %d starts: %s%n",
                 capture,
                 verdict.lines(),
                 verdict.requests(),
--- a/app/src/main/java/thornferry/app/CommandGroup.java
+++ b/app/src/main/java/thornferry/app/CommandGroup.java
@@ -3,9 +3,9 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine;
 
-/** A command that only groups others; without one of them it is used incorrectly. */
+/** A command that only groups subcommands; running it without a subcommand is an error. */
 abstract class CommandGroup implements Callable<Integer> {
-    private static final String SUBCOMMAND_MISSING = "a command is needed";
+    private static final String SUBCOMMAND_MISSING = "a subcommand is required";
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
--- a/app/src/main/java/thornferry/app/DemoCluster.java
+++ b/app/src/main/java/thornferry/app/DemoCluster.java
@@ -17,7 +17,7 @@
 import thornferry.placer.Placer;
 import thornferry.protocol.Heartbeat;
 
-/** A placer and three emulated nodes in this process, on loopback. */
+/** A placer and three emulated nodes in this process, connected over the loopback interface. */
 final class DemoCluster implements AutoCloseable {
     private static final String CONFIGURATION = "demo.toml";
     private static final List<String> ZONES = List.of("hall-a", "hall-b", "hall-c");
@@ -40,7 +40,7 @@
     /**
      * Starts the placer and its nodes.
      *
-     * @param port of the placer; 0 for any free port
+     * @param port TCP port of the placer; 0 for any free port
      */
     static DemoCluster start(int port) throws IOException, ConfigException {
         SiteFile file = SiteFile.of(TomlFile.parse(CONFIGURATION, readConfiguration()));
@@ -72,7 +72,7 @@
         }
     }
 
-    /** The address of the placer. */
+    /** Returns the address of the placer. */
     InetSocketAddress address() {
         return placer.addresses().get(0);
     }
--- a/app/src/main/java/thornferry/app/JournalFolder.java
+++ b/app/src/main/java/thornferry/app/JournalFolder.java
@@ -8,30 +8,30 @@
 import java.util.stream.Stream;
 import thornferry.state.JournalFile;
 
-/** Finds journals in the state folder of a placer, or in that of one of its instances. */
+/** Finds journals in the state folder of a placer or of one of its instances. */
 final class JournalFolder {
     private JournalFolder() {}
 
     /**
-     * The newest journal in the folder itself and in each folder below it.
+     * Returns the newest journal in the folder itself and in each of its direct subfolders.
      *
      * @throws IOException if there is none, or the folder cannot be read
      */
     static List<Path> newestJournals(Path folder) throws IOException {
         if (!Files.isDirectory(folder)) {
-            throw new IOException(folder + " is no folder");
+            throw new IOException(folder + " is not a folder");
         }
-        List<Path> newest = new ArrayList<>();
-        for (Path instance : withSubfolders(folder)) {
-            List<Path> journals = JournalFile.files(instance);
+        List<Path> newestJournals = new ArrayList<>();
+        for (Path instanceFolder : withSubfolders(folder)) {
+            List<Path> journals = JournalFile.files(instanceFolder);
             if (!journals.isEmpty()) {
-                newest.add(journals.get(journals.size() - 1));
+                newestJournals.add(journals.get(journals.size() - 1));
             }
         }
-        if (newest.isEmpty()) {
-            throw new IOException("no journal in " + folder + ", nor in a folder below it");
+        if (newestJournals.isEmpty()) {
+            throw new IOException("no journal in " + folder + " or its direct subfolders");
         }
-        return newest;
+        return newestJournals;
     }
 
     private static List<Path> withSubfolders(Path folder) throws IOException {
--- a/app/src/main/java/thornferry/app/JournalReplay.java
+++ b/app/src/main/java/thornferry/app/JournalReplay.java
@@ -4,9 +4,9 @@
 import thornferry.decisions.recovery.JournalRecord;
 import thornferry.decisions.recovery.Recovery;
 
-/** Replays a journal as a starting placer does, but without forgetting anything by its age. */
+/** Replays a journal as a placer does on startup, but without expiring old records. */
 final class JournalReplay {
-    /** Far beyond any real setting, and still safe to add to a time. */
+    /** Exceeds any practical setting, and does not overflow when added to a time. */
     private static final long UNLIMITED_MICROS = Long.MAX_VALUE / 8;
 
     private static final Recovery.Limits UNLIMITED =
@@ -15,7 +15,7 @@
 
     private JournalReplay() {}
 
-    /** The records that are still in effect after all others. */
+    /** Returns the records that are still in effect after all records have been applied. */
     static List<JournalRecord> snapshot(List<JournalRecord> records) {
         Recovery recovery = new Recovery(UNLIMITED);
         records.forEach(recovery::apply);
--- a/app/src/main/java/thornferry/app/JournaledTask.java
+++ b/app/src/main/java/thornferry/app/JournaledTask.java
@@ -8,7 +8,7 @@
 import thornferry.state.JournalWords;
 
 /**
- * A task that a journal holds; the names of the components are those of the JSON output.
+ * A task recorded in a journal. The component names are the keys of the JSON output.
  *
  * @param state {@code offered}, its result, or the cause of its termination
  * @param node the machine of its last attempt; empty if unknown
@@ -16,20 +16,20 @@
 record JournaledTask(String owner, String task, String taskClass, String state, String node) {
     private static final String OFFERED = "offered";
 
-    /** Identifies a task: ids are unique for each owner only. */
+    /** The identity of a task; task ids are unique only within an owner. */
     private record Key(String owner, String task) {}
 
-    /** The tasks of a snapshot, each in its last state. */
-    static List<JournaledTask> in(List<JournalRecord> snapshot) {
+    /** Returns the tasks of a snapshot, each in its last state. */
+    static List<JournaledTask> fromSnapshot(List<JournalRecord> snapshot) {
         Map<Key, JournaledTask> tasks = new LinkedHashMap<>();
         for (JournalRecord record : snapshot) {
             if (record instanceof JournalRecord.Offered offered) {
-                put(tasks, of(offered));
+                put(tasks, fromOffered(offered));
             } else if (record instanceof JournalRecord.Completed completed) {
-                put(tasks, of(completed));
+                put(tasks, fromCompleted(completed));
             } else if (record instanceof JournalRecord.Finished finished) {
                 Key key = new Key(finished.owner(), finished.task());
-                put(tasks, of(finished, tasks.get(key)));
+                put(tasks, fromFinished(finished, tasks.get(key)));
             }
         }
         return List.copyOf(tasks.values());
@@ -39,7 +39,7 @@
         tasks.put(new Key(task.owner, task.task), task);
     }
 
-    private static JournaledTask of(JournalRecord.Offered offered) {
+    private static JournaledTask fromOffered(JournalRecord.Offered offered) {
         return new JournaledTask(
                 offered.owner(),
                 offered.spec().id(),
@@ -48,7 +48,7 @@
                 offered.machine());
     }
 
-    private static JournaledTask of(JournalRecord.Completed completed) {
+    private static JournaledTask fromCompleted(JournalRecord.Completed completed) {
         return new JournaledTask(
                 completed.owner(),
                 completed.spec().id(),
@@ -57,8 +57,14 @@
                 completed.machine());
     }
 
-    /** Only earlier records, of which there may be none, tell the class and the machine. */
-    private static JournaledTask of(JournalRecord.Finished finished, JournaledTask earlier) {
+    /**
+     * Creates the task of a finished record. The record itself contains neither task class nor
+     * machine.
+     *
+     * @param earlier the task as recorded earlier, with both; null if there is no earlier record
+     */
+    private static JournaledTask fromFinished(
+            JournalRecord.Finished finished, JournaledTask earlier) {
         return new JournaledTask(
                 finished.owner(),
                 finished.task(),
--- a/app/src/main/java/thornferry/app/KeyDirectoryCommand.java
+++ b/app/src/main/java/thornferry/app/KeyDirectoryCommand.java
@@ -5,13 +5,13 @@
 import picocli.CommandLine.Option;
 import thornferry.security.Keys;
 
-/** A command on the certificates in one directory. */
+/** A command that works on the certificates in one directory. */
 abstract class KeyDirectoryCommand implements Callable<Integer> {
     @Option(
             names = "--dir",
             paramLabel = "<directory>",
             defaultValue = "keys",
-            description = "Where the files are; ${DEFAULT-VALUE}.")
+            description = "Directory of certificates and keys; default: ${DEFAULT-VALUE}.")
     private Path directory;
 
     Keys keys() {
--- a/app/src/main/java/thornferry/app/KeysCommand.java
+++ b/app/src/main/java/thornferry/app/KeysCommand.java
@@ -9,10 +9,10 @@
 /** Groups the commands on a site's certificates and passcodes. */
 @Command(
         name = "keys",
-        description = "A site's certificates, and hashes of passcodes.",
+        description = "Manages the certificates of a site and hashes passcodes.",
         footer = {
             "",
-            "Example:",
+            "Examples:",
             "  thornferry keys init --dir keys",
             "  thornferry keys server placer-0 --dir keys --host 127.0.0.1,localhost",
             "  thornferry keys owner depot1 --dir keys",
@@ -34,29 +34,38 @@
     /** Creates the certificate authority of a site. */
     @Command(
             name = "init",
-            description = "Make the site's authority: ca.pem and ca.key. Guard the key.")
+            description =
+                    "Creates the certificate authority of a site, as ca.pem and ca.key. Keep ca.key"
+                            + " secret.")
     static final class Init extends KeyDirectoryCommand {
-        @Option(names = "--site", defaultValue = "thornferry")
+        @Option(
+                names = "--site",
+                defaultValue = "thornferry",
+                description = "Name of the site in the certificate; default: ${DEFAULT-VALUE}.")
         private String site;
 
-        @Option(names = "--days", defaultValue = "3650")
+        @Option(
+                names = "--days",
+                defaultValue = "3650",
+                description = "Validity, in days; default: ${DEFAULT-VALUE}.")
         private int days;
 
         @Override
         public Integer call() throws IOException {
             keys().init(site, Duration.ofDays(days));
-            System.out.println(keys().authority() + " made; good for " + days + " days");
+            System.out.println(keys().authority() + " created; valid for " + days + " days");
             return ExitCode.OK;
         }
     }
 
-    /** Issues a certificate again. */
+    /** Renews a certificate. */
     @Command(
             name = "renew",
             description =
-                    "The same certificate anew, for as long as before; its key stays. Then reload.")
+                    "Renews a certificate for the same validity period and with the same key. The"
+                            + " program that uses it must reload it.")
     static final class Renew extends KeyDirectoryCommand {
-        @Parameters(paramLabel = "NAME")
+        @Parameters(paramLabel = "NAME", description = "Name under which it was issued.")
         private String name;
 
         @Override
--- a/app/src/main/java/thornferry/app/KeysIssueCommand.java
+++ b/app/src/main/java/thornferry/app/KeysIssueCommand.java
@@ -9,18 +9,25 @@
 import thornferry.security.CertificateRequest;
 import thornferry.security.Keys;
 
-/** Issues a certificate; there is one command for each use of certificates. */
+/** Issues a certificate; there is one subcommand for each use of certificates. */
 abstract class KeysIssueCommand extends KeyDirectoryCommand {
-    @Parameters(paramLabel = "NAME", description = "The login it stands for; of a server any name.")
+    @Parameters(
+            paramLabel = "NAME",
+            description =
+                    "Login of the account that the certificate authenticates; for a server, any"
+                            + " name.")
     private String name;
 
-    @Option(names = "--days", defaultValue = "365", description = "${DEFAULT-VALUE}.")
+    @Option(
+            names = "--days",
+            defaultValue = "365",
+            description = "Validity, in days; default: ${DEFAULT-VALUE}.")
     private int days;
 
-    /** What the certificate is for. */
+    /** Returns the use of the certificate. */
     abstract Keys.Use use();
 
-    /** Names and addresses in the certificate. */
+    /** Returns the host names and IP addresses that the certificate is valid for. */
     List<String> hosts() {
         return List.of();
     }
@@ -33,21 +40,23 @@
                 keys.certificate(name)
                         + " and "
                         + keys.key(name)
-                        + " made; good for "
+                        + " created; valid for "
                         + days
                         + " days");
         return ExitCode.OK;
     }
 
     /** Issues a certificate for a placer. */
-    @Command(name = "server", description = "A certificate for a placer.")
+    @Command(name = "server", description = "Issues a server certificate for a placer.")
     static final class Server extends KeysIssueCommand {
         @Option(
                 names = "--host",
                 split = ",",
                 paramLabel = "<hosts>",
                 defaultValue = "localhost,127.0.0.1",
-                description = "Names and addresses that clients dial; ${DEFAULT-VALUE}.")
+                description =
+                        "Host names and IP addresses that clients connect to; default:"
+                                + " ${DEFAULT-VALUE}.")
         private List<String> hosts;
 
         @Override
@@ -62,7 +71,9 @@
     }
 
     /** Issues a certificate for node agents. */
-    @Command(name = "agent", description = "A certificate for a node agent's account.")
+    @Command(
+            name = "agent",
+            description = "Issues a client certificate for a node agent's account.")
     static final class Agent extends KeysIssueCommand {
         @Override
         Keys.Use use() {
@@ -71,7 +82,7 @@
     }
 
     /** Issues a certificate for an owner of tasks. */
-    @Command(name = "owner", description = "A certificate for an owner's account.")
+    @Command(name = "owner", description = "Issues a client certificate for an owner's account.")
     static final class Owner extends KeysIssueCommand {
         @Override
         Keys.Use use() {
@@ -80,7 +91,9 @@
     }
 
     /** Issues a certificate for an operator. */
-    @Command(name = "operator", description = "A certificate for an operator's account.")
+    @Command(
+            name = "operator",
+            description = "Issues a client certificate for an operator's account.")
     static final class Operator extends KeysIssueCommand {
         @Override
         Keys.Use use() {
--- a/app/src/main/java/thornferry/app/KeysShowCommand.java
+++ b/app/src/main/java/thornferry/app/KeysShowCommand.java
@@ -8,12 +8,12 @@
 import picocli.CommandLine.Option;
 import thornferry.security.CertificateStatus;
 
-/** Prints the certificates of a site, and checks that none expires soon. */
+/** Prints the certificates of a site and checks that none is about to expire. */
 @Command(
         name = "show",
         description =
-                "All certificates and when they expire. Exit code 1 where one has, or soon"
-                        + " will.")
+                "Lists all certificates and when they expire. The exit code is 1 if one has"
+                        + " expired, expires soon or is not signed by the authority.")
 final class KeysShowCommand extends KeyDirectoryCommand {
     private static final String ROW_FORMAT = "%-20s %-10s %-17s %-17s %s%n";
     private static final DateTimeFormatter TIME =
@@ -23,7 +23,9 @@
             names = "--soon-days",
             paramLabel = "<soon>",
             defaultValue = "30",
-            description = "${DEFAULT-VALUE}.")
+            description =
+                    "Remaining validity, in days, below which a certificate is reported as expiring"
+                            + " soon; default: ${DEFAULT-VALUE}.")
     private int soonDays;
 
     @Override
--- a/app/src/main/java/thornferry/app/LimitsCommand.java
+++ b/app/src/main/java/thornferry/app/LimitsCommand.java
@@ -8,11 +8,12 @@
 import thornferry.protocol.v1.LimitsQuery;
 import thornferry.protocol.v1.Reload;
 
-/** Prints quotas and their usage, if requested after a reload of the configuration. */
+/** Prints quotas and their usage; first reloads the placer's configuration if requested. */
 @Command(
         name = "limits",
         description =
-                "One's own limits and their use; for operators the tenants' and the site's too.",
+                "Lists the quotas of your account and their usage; for operators, those of all"
+                        + " tenants and of the site too.",
         footer = {"", "Examples:", "  thornferry limits", "  thornferry limits --reload"})
 final class LimitsCommand extends QueryCommand<Limits> {
     private static final String ABSENT = "-";
@@ -20,7 +21,8 @@
     @Option(
             names = "--reload",
             description =
-                    "First have the placer read its file anew; a mistake in it keeps the former.")
+                    "Makes the placer reload its configuration file first; if the file is invalid,"
+                            + " the configuration in force is kept.")
     private boolean reload;
 
     @Override
@@ -61,16 +63,16 @@
                 usage(use.getTasks(), use.hasMostTasks(), use.getMostTasks()),
                 usage(use.getCores(), use.hasMostCores(), use.getMostCores()),
                 usage(use.getMemory(), use.hasMostMemory(), use.getMostMemory()),
-                use.hasMostPerSecond() ? "of " + number(use.getMostPerSecond()) : ABSENT,
+                use.hasMostPerSecond() ? "of " + formatNumber(use.getMostPerSecond()) : ABSENT,
                 100 * use.getShare());
     }
 
     private static String usage(double used, boolean limited, double limit) {
-        return number(used) + (limited ? " of " + number(limit) : "");
+        return formatNumber(used) + (limited ? " of " + formatNumber(limit) : "");
     }
 
-    /** A number without decimals if it has none, else with two. */
-    private static String number(double value) {
+    /** Formats a whole number without decimals, and any other with two. */
+    private static String formatNumber(double value) {
         boolean isWhole = value == Math.rint(value);
         return isWhole ? Long.toString((long) value) : String.format("%.2f", value);
     }
--- a/app/src/main/java/thornferry/app/LineChart.java
+++ b/app/src/main/java/thornferry/app/LineChart.java
@@ -14,11 +14,11 @@
 import org.jfree.data.xy.XYSeriesCollection;
 
 /**
- * A line chart, written as a PNG file without a display.
+ * A line chart that is written to a PNG file. No display is needed.
  *
- * @param title above the chart
- * @param horizontalLabel of the x axis
- * @param verticalLabel of the y axis
+ * @param title text above the chart
+ * @param horizontalLabel label of the x axis
+ * @param verticalLabel label of the y axis
  * @param series the lines, in the order of the legend
  */
 record LineChart(String title, String horizontalLabel, String verticalLabel, List<Series> series) {
@@ -49,7 +49,7 @@
         series = List.copyOf(series);
     }
 
-    /** Writes the chart, replacing an existing file. */
+    /** Writes the chart to a file and replaces it if it exists. */
     void write(Path file) throws IOException {
         XYSeriesCollection data = new XYSeriesCollection();
         series.forEach(line -> data.addSeries(line.toXySeries()));
--- a/app/src/main/java/thornferry/app/LoadCommand.java
+++ b/app/src/main/java/thornferry/app/LoadCommand.java
@@ -14,10 +14,10 @@
 import thornferry.state.Durability;
 import thornferry.testbed.load.LoadStep;
 
-/** Measures a placer under open-loop load. */
+/** Measures a placer under open-loop load, which does not slow down when the placer does. */
 @Command(
         name = "load",
-        description = "Measure a placer, in a process of its own, under open-loop load.",
+        description = "Measures a placer, in a process of its own, under open-loop load.",
         footer = {
             "",
             "Examples:",
@@ -29,52 +29,68 @@
             names = "--rate",
             split = ",",
             defaultValue = "130",
-            description = "Tasks a second; several are steps, one after the other.")
+            description =
+                    "Load, in tasks per second; several rates are run as consecutive steps;"
+                            + " default: ${DEFAULT-VALUE}.")
     List<Double> rates;
 
     @Option(
             names = "--seconds",
             defaultValue = "60",
-            description = "Of each step; ${DEFAULT-VALUE}.")
+            description = "Duration of each step, in seconds; default: ${DEFAULT-VALUE}.")
     int seconds;
 
     @Option(
             names = "--nodes",
             defaultValue = "100",
-            description = "Stand-in nodes; ${DEFAULT-VALUE}.")
+            description = "Number of emulated nodes; default: ${DEFAULT-VALUE}.")
     int nodes;
 
     @Option(
             names = "--clients",
             defaultValue = "20",
-            description = "Each an owner of its own; ${DEFAULT-VALUE}.")
+            description =
+                    "Number of clients, each with an owner account of its own; default:"
+                            + " ${DEFAULT-VALUE}.")
     int clients;
 
     @Option(
             names = "--vanish-every",
             paramLabel = "<vanishEvery>",
             defaultValue = "0",
-            description = "Seconds between clients that break off.")
+            description =
+                    "Mean time between abrupt disconnections of clients, in seconds; 0 for none;"
+                            + " default: ${DEFAULT-VALUE}.")
     double vanishIntervalSeconds;
 
     @Option(
             names = "--instances",
             defaultValue = "1",
-            description = "Of the placer, one client in turn for each.")
+            description =
+                    "Number of placer instances, among which the clients are distributed in turn;"
+                            + " default: ${DEFAULT-VALUE}.")
     int instances;
 
-    @Option(names = "--heart-beat-ms", paramLabel = "<beat>", defaultValue = "2000")
+    @Option(
+            names = "--heart-beat-ms",
+            paramLabel = "<beat>",
+            defaultValue = "2000",
+            description =
+                    "Heartbeat interval that clients and nodes propose, in milliseconds; default:"
+                            + " ${DEFAULT-VALUE}.")
     int heartbeatMillis;
 
     @Option(
             names = "--audit",
-            description = "Pass everything through a recording relay and audit the capture.")
+            description = "Records all traffic through a recording proxy and audits the capture.")
     boolean audit;
 
     @Option(
             names = "--heap",
             defaultValue = "512m",
-            description = "Of the placer's process; ${DEFAULT-VALUE}.")
+            description =
+                    "Maximum heap size of the placer's JVM, as -Xmx takes it; default:"
+                            + " ${DEFAULT-VALUE}.")
     String heap;
 
     @Option(
@@ -82,40 +98,47 @@
             split = ",",
             paramLabel = "HOST:PORT-PORT",
             description =
-                    "Load these running placers, with the configuration that --print-site prints,"
-                            + " and start none.")
+                    "Addresses of running placers to measure instead of starting one; they must use"
+                            + " the configuration that --print-site prints.")
     List<String> attachedPlacers = new ArrayList<>();
 
     @Option(
             names = "--print-site",
-            description = "Print the site's configuration for so many clients and end.")
+            description =
+                    "Prints the site's configuration for the given numbers of clients and"
+                            + " instances, and exits.")
     boolean printSite;
 
     @Option(
             names = "--jvm",
             paramLabel = "OPTION",
-            description = "A further option for the placer's JVM; repeatable.")
+            description = "Additional option for the placer's JVM; may be repeated.")
     List<String> jvmOptions = new ArrayList<>();
 
     @Option(
             names = "--waiting",
             paramLabel = "<waiting>",
             defaultValue = "0",
-            description = "Tasks that wait in vain meanwhile, larger than any node.")
+            description =
+                    "Number of tasks larger than any node, which stay pending throughout the"
+                            + " measurement; default: ${DEFAULT-VALUE}.")
     int unplaceableTasks;
 
     @Option(
             names = "--no-line",
-            description = "Without waiting line and reasons, to see what they cost.")
+            description =
+                    "Disables the admission queue and pending reasons, to measure their cost.")
     boolean withoutAdmissionQueue;
 
     @Option(
             names = "--durability",
             defaultValue = "none",
-            description = "Of the placer's promises: ${COMPLETION-CANDIDATES}; ${DEFAULT-VALUE}.")
+            description =
+                    "Durability of the placer's journal, one of ${COMPLETION-CANDIDATES}; default:"
+                            + " ${DEFAULT-VALUE}.")
     Durability durability;
 
-    @Option(names = "--json", description = "A line of JSON for each step.")
+    @Option(names = "--json", description = "Prints one line of JSON for each step.")
     boolean json;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
--- a/app/src/main/java/thornferry/app/LoadPlan.java
+++ b/app/src/main/java/thornferry/app/LoadPlan.java
@@ -11,7 +11,7 @@
 /**
  * The load to generate.
  *
- * @param steps one after the other
+ * @param steps the steps, which run one after the other
  * @param clientCount number of clients, each with an account of its own
  * @param fleet the emulated nodes
  * @param heartbeat heartbeat intervals that clients and nodes propose
@@ -21,7 +21,7 @@
         steps = List.copyOf(steps);
     }
 
-    /** These placers with the accounts of {@link MeasurementSite}. */
+    /** Returns a target of these placers with the accounts of {@link MeasurementSite}. */
     LoadTarget target(List<SocketAddress> placers) {
         List<String> owners =
                 IntStream.range(0, clientCount).mapToObj(MeasurementSite::ownerLogin).toList();
--- a/app/src/main/java/thornferry/app/LoadReportPrinter.java
+++ b/app/src/main/java/thornferry/app/LoadReportPrinter.java
@@ -25,7 +25,7 @@
      * Creates a printer.
      *
      * @param nodeCount number of emulated nodes
-     * @param durability of the placer's journal
+     * @param durability durability of the placer's journal
      * @param json whether to print JSON
      */
     LoadReportPrinter(PrintStream out, int nodeCount, Durability durability, boolean json) {
@@ -80,8 +80,9 @@
     private void printCounts(LoadReport report) {
         TaskCounts counts = report.counts();
         out.printf(
-                "rate %.0f/s, %d nodes: %d asked, %d placed, %d refused, %d failed, %d unanswered,"
-                        + " %d excluded from latencies, %d levy-run started twice%n",
+                "rate %.0f/s, %d nodes: %d requests, %d placed, %d rejected, %d failed,"
+                        + " %d unanswered, %d excluded from latencies, %d duplicate"
+                        + " starts of levy-run%n",
                 report.tasksPerSecond(),
                 nodeCount,
                 counts.requested(),
@@ -98,7 +99,7 @@
         if (report.toOffer().samples() > 0) {
             out.printf("  SEND to offer  %s%n", format(report.toOffer()));
             out.printf(
-                    "    keyed and unsafe, promised first (durability %s): %s%n",
+                    "    keyed and unsafe, journaled first (durability %s): %s%n",
                     durability.name().toLowerCase(Locale.ROOT), format(report.toJournaledOffer()));
         }
     }
@@ -107,14 +108,14 @@
         OptionalLong megabytes = usage.residentMegabytes();
         if (megabytes.isPresent()) {
             out.printf(
-                    "  placer: %.0f us CPU a task, %d MB resident%n",
+                    "  placer: %.0f us CPU per task, %d MB resident%n",
                     usage.cpuMicrosPerTask(report.counts().requested()), megabytes.getAsLong());
         }
     }
 
     private static String format(LatencySummary latencies) {
         return String.format(
-                "p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms, most %.2f ms",
+                "p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms, max %.2f ms",
                 latencies.p50Micros() / MICROS_PER_MILLI,
                 latencies.p99Micros() / MICROS_PER_MILLI,
                 latencies.p999Micros() / MICROS_PER_MILLI,
--- a/app/src/main/java/thornferry/app/Logging.java
+++ b/app/src/main/java/thornferry/app/Logging.java
@@ -10,7 +10,10 @@
 import ch.qos.logback.core.encoder.Encoder;
 import org.slf4j.LoggerFactory;
 
-/** Logs to standard error, as lines of text or of JSON; standard output is for results. */
+/**
+ * Configures logging to standard error, as lines of text or of JSON. Standard output is reserved
+ * for the results of commands.
+ */
 final class Logging {
     private static final String TEXT_PATTERN = "%d{HH:mm:ss.SSS} %-5level %kvp{NONE} %msg%n%ex";
     private static final String STANDARD_ERROR = "System.err";
@@ -26,7 +29,7 @@
         context.getLogger(NETTY_LOGGER).setLevel(Level.WARN);
     }
 
-    /** Sets the level of the log; an unknown name sets the default, INFO. */
+    /** Sets the log level; an unknown name sets INFO, the default. */
     static void setLevel(String level) {
         context().getLogger(Logger.ROOT_LOGGER_NAME).setLevel(Level.toLevel(level, Level.INFO));
     }
--- a/app/src/main/java/thornferry/app/Main.java
+++ b/app/src/main/java/thornferry/app/Main.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.ScopeType;
 import thornferry.config.ConfigException;
 
-/** The command line: runs one command and exits with its code, see {@link ExitCode}. */
+/** The root command of the command line; runs one command and exits with its {@link ExitCode}. */
 @Command(
         name = "thornferry",
         scope = ScopeType.INHERIT,
@@ -23,7 +23,7 @@
             "  thornferry demo",
             "  thornferry submit --class gauge-relay",
             "",
-            "Exit codes: 0 good, 1 the run failed, 2 bad use or configuration."
+            "Exit codes: 0 success, 1 the command failed, 2 invalid usage or configuration."
         },
         subcommands = {
             DemoCommand.class,
@@ -57,7 +57,9 @@
             scope = ScopeType.INHERIT,
             paramLabel = "<log>",
             defaultValue = "text",
-            description = "Form of the log on standard error: ${COMPLETION-CANDIDATES}.")
+            description =
+                    "Format of the log on standard error, one of ${COMPLETION-CANDIDATES}; default:"
+                            + " ${DEFAULT-VALUE}.")
     void setLogFormat(LogFormat format) {
         Logging.setFormat(format);
     }
@@ -67,7 +69,7 @@
             scope = ScopeType.INHERIT,
             paramLabel = "<level>",
             defaultValue = DEFAULT_LOG_LEVEL,
-            description = "error, warn, info or debug.")
+            description = "Log level: error, warn, info or debug; default: ${DEFAULT-VALUE}.")
     void setLogLevel(String level) {
         Logging.setLevel(level);
     }
@@ -95,12 +97,12 @@
         }
         Object message = failure.getMessage() == null ? failure : failure.getMessage();
         command.getErr().println("thornferry: " + message);
-        LOG.debug("the command failed", failure);
+        LOG.debug("command failed", failure);
         return ExitCode.FAILED;
     }
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a command is needed");
+        throw new CommandLine.ParameterException(spec.commandLine(), "a command is required");
     }
 }
--- a/app/src/main/java/thornferry/app/ManagedPlacerLoad.java
+++ b/app/src/main/java/thornferry/app/ManagedPlacerLoad.java
@@ -21,17 +21,17 @@
 import thornferry.testbed.load.LoadReport;
 import thornferry.testbed.load.LoadStep;
 
-/** Measures a placer that is started for this purpose and stopped afterwards. */
+/** Starts a placer in a process of its own, measures it and stops it. */
 final class ManagedPlacerLoad {
     /**
-     * How the placer is started and observed.
+     * The options for starting and observing the placer.
      *
-     * @param siteToml its configuration, without the section on its state
-     * @param instanceCount number of its instances
-     * @param durability of its journal
-     * @param heap maximum heap size, as the JVM's option {@code -Xmx} takes it
-     * @param jvmOptions further options of the JVM
-     * @param unplaceableTasks number of tasks that wait throughout the measurement
+     * @param siteToml configuration of the placer, without the table {@code [state]}
+     * @param instanceCount number of placer instances
+     * @param durability durability of the journal
+     * @param heap maximum heap size, in the syntax of the JVM option {@code -Xmx}
+     * @param jvmOptions additional options of the JVM
+     * @param unplaceableTasks number of tasks that stay pending throughout the measurement
      * @param audit whether to record all traffic and audit it
      */
     record Options(
@@ -118,7 +118,7 @@
             }
             try (LoadGenerator generator = new LoadGenerator(plan.target(targets), plan.fleet())) {
                 int exitCode = runSteps(placer, generator);
-                capture.close(); // the end of the connections is not part of the capture
+                capture.close(); // excludes the closing of the connections
                 return exitCode;
             }
         } finally {
@@ -147,7 +147,7 @@
         Thread.sleep(CONNECT_MILLIS + connections / CONNECTIONS_PER_MILLI);
     }
 
-    /** A step without measurement, in which the JVMs compile what they run often. */
+    /** Returns a step without measurement that lets the JVMs compile frequently executed code. */
     private LoadStep warmUp() {
         double rate = Math.min(MAX_WARM_UP_RATE, plan.steps().get(0).tasksPerSecond());
         return new LoadStep(rate, WARM_UP, OptionalDouble.empty());
--- a/app/src/main/java/thornferry/app/MeasurementSite.java
+++ b/app/src/main/java/thornferry/app/MeasurementSite.java
@@ -8,14 +8,14 @@
 import thornferry.testbed.load.TenantAccount;
 
 /**
- * The configuration, as TOML, of the site that the commands {@code load} and {@code overload}
- * measure: a resource with its task classes, to which accounts and options are added.
+ * Builds the configuration, in TOML, of the site that the commands {@code load} and {@code
+ * overload} measure. The task classes come from a resource; accounts and options are added to it.
  */
 final class MeasurementSite {
-    /** Passcode of all accounts. */
+    /** The passcode of all accounts. */
     static final String PASSCODE = "load";
 
-    /** Login of the emulated nodes. */
+    /** The login of the emulated nodes. */
     static final String AGENT_LOGIN = "load-node";
 
     private static final String RESOURCE = "/load.toml";
@@ -35,7 +35,7 @@
     }
 
     /**
-     * The site of {@code load}.
+     * Returns the configuration for {@code load}.
      *
      * @param clientCount number of owner accounts
      * @param instanceCount number of placer instances
@@ -56,7 +56,7 @@
         return site.toml.toString().replace(ZONE_LINE, ZONE_LINE + instanceLines);
     }
 
-    /** The site of {@code overload}, with an owner account for each tenant. */
+    /** Returns the configuration for {@code overload}, with an owner account for each tenant. */
     static String forTenants(List<TenantAccount> tenants) throws IOException {
         MeasurementSite site = new MeasurementSite();
         for (TenantAccount tenant : tenants) {
@@ -66,12 +66,12 @@
         return site.toml.toString();
     }
 
-    /** Login of the client with this index. */
+    /** Returns the login of the client with this index. */
     static String ownerLogin(int client) {
         return "owner-" + client;
     }
 
-    /** A number of nodes of the site's machine kind. */
+    /** Returns a fleet of nodes of the site's only machine kind. */
     static NodeFleet fleet(int nodeCount) {
         return new NodeFleet(nodeCount, MACHINE_KIND, MACHINE_CORES, MACHINE_MEMORY);
     }
--- a/app/src/main/java/thornferry/app/NodesCommand.java
+++ b/app/src/main/java/thornferry/app/NodesCommand.java
@@ -6,10 +6,10 @@
 import thornferry.protocol.v1.NodeView;
 import thornferry.protocol.v1.Nodes;
 
-/** Prints the nodes of the cluster. */
+/** Prints the nodes that the placer knows. */
 @Command(
         name = "nodes",
-        description = "List the nodes as the placer sees them.",
+        description = "Lists the nodes that the placer knows, with their state and tasks.",
         footer = {"", "Example:", "  thornferry nodes --json"})
 final class NodesCommand extends QueryCommand<Nodes> {
     @Override
--- a/app/src/main/java/thornferry/app/OverloadCharts.java
+++ b/app/src/main/java/thornferry/app/OverloadCharts.java
@@ -9,7 +9,9 @@
 import thornferry.testbed.load.OverloadOutcome;
 import thornferry.testbed.load.RecoveryOutcome;
 
-/** The charts of {@code overload}: one line with the admission queue and one without it. */
+/**
+ * The charts of {@code overload}. Each has one line with the admission queue and one without it.
+ */
 final class OverloadCharts {
     private static final double MICROS_PER_MILLI = 1e3;
 
@@ -19,36 +21,36 @@
         this.folder = folder;
     }
 
-    /** Writes all charts; creates the folder if it doesn't exist. */
+    /** Writes all charts as PNG files and creates the folder if it does not exist. */
     void write(List<OverloadOutcome> outcomes, List<RecoveryOutcome> recoveries, int burst)
             throws IOException {
         Files.createDirectories(folder);
         overloadChart(
-                        "Worth placed a second",
+                        "Priority weight placed per second",
                         "worth/s",
                         outcomes,
                         OverloadOutcome::priorityWeightPerSecond)
                 .write(folder.resolve("worth.png"));
         overloadChart(
-                        "Jain's index over served of entitled",
+                        "Jain's index of served over entitled",
                         "index",
                         outcomes,
                         outcome -> outcome.fairness().jainIndex())
                 .write(folder.resolve("fairness.png"));
         overloadChart(
-                        "p99 of the time to an answer",
+                        "p99 of the time to a result",
                         "ms",
                         outcomes,
                         outcome -> outcome.answers().p99Micros() / MICROS_PER_MILLI)
                 .write(folder.resolve("answers.png"));
         overloadChart(
-                        "Refusals after nine tenths of patience",
+                        "Rejections after nine tenths of the maximum wait",
                         "refusals",
                         outcomes,
                         outcome -> outcome.answers().lateRejections())
                 .write(folder.resolve("late.png"));
         overloadChart(
-                        "Refusals within half of patience",
+                        "Rejections within half of the maximum wait",
                         "refusals",
                         outcomes,
                         outcome -> outcome.answers().earlyRejections())
@@ -56,15 +58,15 @@
         recoveryChart(recoveries, burst).write(folder.resolve("recovery.png"));
     }
 
-    /** A chart of one figure over the offered load. */
+    /** Returns a chart of one figure over the offered load. */
     static LineChart overloadChart(
             String title,
             String unit,
             List<OverloadOutcome> outcomes,
             ToDoubleFunction<OverloadOutcome> figure) {
         return new LineChart(
-                title + " (simulated nodes)",
-                "offered load, of what the nodes bear",
+                title + " (emulated nodes)",
+                "offered load, as a multiple of the nodes' capacity",
                 unit,
                 Stream.of(false, true)
                         .map(queue -> overloadSeries(queue, outcomes, figure))
@@ -83,11 +85,11 @@
         return new LineChart.Series(seriesName(admissionQueue), points);
     }
 
-    /** The chart of the fraction of new tasks placed in time after a burst. */
+    /** Returns the chart of the fraction of new tasks that are placed in time after a burst. */
     static LineChart recoveryChart(List<RecoveryOutcome> recoveries, int burst) {
         return new LineChart(
-                "Fresh tasks placed within a second, after a storm of " + burst,
-                "seconds after the storm",
+                "New tasks placed within one second, after a burst of " + burst,
+                "seconds after the burst",
                 "part",
                 recoveries.stream().map(OverloadCharts::recoverySeries).toList());
     }
@@ -105,6 +107,6 @@
     }
 
     private static String seriesName(boolean admissionQueue) {
-        return "line " + OverloadPrinter.onOrOff(admissionQueue);
+        return "admission queue " + OverloadPrinter.onOrOff(admissionQueue);
     }
 }
--- a/app/src/main/java/thornferry/app/OverloadCommand.java
+++ b/app/src/main/java/thornferry/app/OverloadCommand.java
@@ -18,14 +18,15 @@
 import thornferry.testbed.load.RetryStormExperiment;
 import thornferry.testbed.load.TenantAccount;
 
-/** Measures what the admission queue does under overload. */
+/** Measures a placer under overload with and without its admission queue. */
 @Command(
         name = "overload",
         description =
-                "Measure what the waiting line does under overload, against none; with charts.",
+                "Measures a placer under overload with and without its admission queue, and draws"
+                        + " charts.",
         footer = {"", "Example:", "  thornferry overload --charts charts"})
 final class OverloadCommand implements Callable<Integer> {
-    /** How long a recovery from a burst is waited for. */
+    /** The longest time to wait for the recovery from a burst. */
     static final Duration RECOVERY_TIME = Duration.ofSeconds(30);
 
     private static final List<TenantAccount> TENANTS =
@@ -39,26 +40,30 @@
             names = "--load",
             split = ",",
             defaultValue = "0.5,1,2,4",
-            description = "Of what the nodes bear.")
+            description =
+                    "Offered loads, as multiples of the nodes' capacity; default:"
+                            + " ${DEFAULT-VALUE}.")
     List<Double> loads;
 
     @Option(
             names = "--seconds",
             defaultValue = "10",
-            description = "Of each step; ${DEFAULT-VALUE}.")
+            description = "Duration of each step, in seconds; default: ${DEFAULT-VALUE}.")
     int seconds;
 
     @Option(
             names = "--nodes",
             defaultValue = "20",
-            description = "Stand-in nodes; ${DEFAULT-VALUE}.")
+            description = "Number of emulated nodes; default: ${DEFAULT-VALUE}.")
     int nodes;
 
     @Option(
             names = "--storm",
             paramLabel = "<storm>",
             defaultValue = "3000",
-            description = "Tasks that come in one moment; ${DEFAULT-VALUE}.")
+            description =
+                    "Number of tasks in the burst from which the placer must recover; default:"
+                            + " ${DEFAULT-VALUE}.")
     int burst;
 
     @Option(
@@ -67,11 +72,14 @@
             split = ",",
             defaultValue = "1,2",
             description =
-                    "Loads at which large tasks are asked for too, with room gathered for them and"
-                            + " without.")
+                    "Offered loads at which large tasks are submitted too, with and without"
+                            + " reservations for them; default: ${DEFAULT-VALUE}.")
     List<Double> largeTaskLoads;
 
-    @Option(names = "--charts", paramLabel = "DIR", description = "Write charts there.")
+    @Option(
+            names = "--charts",
+            paramLabel = "DIR",
+            description = "Folder for charts; none are drawn if absent.")
     Path chartFolder;
 
     @Override
--- a/app/src/main/java/thornferry/app/OverloadPrinter.java
+++ b/app/src/main/java/thornferry/app/OverloadPrinter.java
@@ -24,7 +24,7 @@
     /** Prints the capacity of the nodes. */
     void printSetup(OverloadSetup setup) {
         out.printf(
-                "%d nodes bear about %.0f tasks a second%n",
+                "%d nodes have a capacity of about %.0f tasks per second%n",
                 setup.nodeCount(), setup.capacityTasksPerSecond());
     }
 
@@ -69,11 +69,11 @@
                 .collect(Collectors.joining(" "));
     }
 
-    /** Prints what became of large tasks. */
+    /** Prints how many large tasks were placed. */
     void print(ReservationOutcome outcome) {
         out.printf(
-                "load %.1f, room gathered for large tasks %s: %d of %d placed, worth of all"
-                        + " %.0f/s%n",
+                "load %.1f, reservations for large tasks %s: %d of %d placed, total priority"
+                        + " weight %.0f/s%n",
                 outcome.load(),
                 onOrOff(outcome.reservations()),
                 outcome.placed(),
@@ -84,7 +84,7 @@
     /** Prints how long the recovery from a burst took. */
     void print(RecoveryOutcome outcome) {
         out.printf(
-                "storm of %d, line %s: %s%n",
+                "burst of %d, admission queue %s: %s%n",
                 outcome.burst(),
                 onOrOff(outcome.admissionQueue()),
                 formatRecovery(outcome.recoverySeconds()));
@@ -92,17 +92,17 @@
 
     private static String formatRecovery(OptionalDouble seconds) {
         return seconds.isPresent()
-                ? String.format("fresh tasks served as before after %.1f s", seconds.getAsDouble())
+                ? String.format("recovered after %.1f s", seconds.getAsDouble())
                 : String.format(
                         "not recovered within %d s", OverloadCommand.RECOVERY_TIME.toSeconds());
     }
 
-    /** Prints where the charts are. */
+    /** Prints the folder of the charts. */
     void printChartFolder(Path folder) {
         out.println("charts are in " + folder);
     }
 
-    /** How the output shows whether something is enabled. */
+    /** Returns the printed form of an option that is enabled or disabled. */
     static String onOrOff(boolean enabled) {
         return enabled ? "on" : "off";
     }
--- a/app/src/main/java/thornferry/app/PasscodeCommand.java
+++ b/app/src/main/java/thornferry/app/PasscodeCommand.java
@@ -8,11 +8,12 @@
 import picocli.CommandLine.Command;
 import thornferry.security.Passcodes;
 
-/** Prints the hash of a passcode. */
+/** Prints the hash of a passcode, for an account of the site's configuration. */
 @Command(
         name = "passcode",
         description =
-                "Hash a passcode for passcode-hash; read from the terminal or standard input.")
+                "Reads a passcode from the terminal or standard input and prints its hash, for the"
+                        + " key passcode-hash.")
 final class PasscodeCommand implements Callable<Integer> {
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -22,7 +23,7 @@
         if (passcode.isEmpty() || passcode.length() > Passcodes.MOST_LENGTH) {
             throw new CommandLine.ParameterException(
                     spec.commandLine(),
-                    "a passcode has 1 to " + Passcodes.MOST_LENGTH + " characters");
+                    "a passcode must have 1 to " + Passcodes.MOST_LENGTH + " characters");
         }
         System.out.println(Passcodes.hash(passcode));
         return ExitCode.OK;
@@ -30,7 +31,7 @@
 
     /** Reads from the terminal without echo, or from standard input if there is no terminal. */
     @SuppressWarnings(
-            "SystemConsoleNull") // holds up to Java 21; from 22 on, see Console.isTerminal
+            "SystemConsoleNull") // correct up to Java 21; from 22 on, use Console.isTerminal
     private static String readPasscode() throws IOException {
         Console console = System.console();
         if (console != null) {
--- a/app/src/main/java/thornferry/app/PlacerClient.java
+++ b/app/src/main/java/thornferry/app/PlacerClient.java
@@ -11,15 +11,22 @@
 import thornferry.protocol.Destinations;
 import thornferry.protocol.Frame;
 
-/** Single requests, queries and subscriptions of commands, each over a connection of its own. */
+/**
+ * Sends the requests and queries of commands to a placer and subscribes to its messages, each time
+ * over a new connection.
+ */
 final class PlacerClient {
-    /** Provides where and as whom to connect. */
+    /** Provides the address and the credentials for a connection. */
     interface TargetSource {
-        /** Reads the certificates of the target, if there are any. */
+        /**
+         * Returns the target.
+         *
+         * @throws IOException if a certificate of the target cannot be read
+         */
         ClientConnection.Target target() throws IOException;
     }
 
-    private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(10);
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(10);
     private static final String REPLIES = Destinations.REPLIES + "cli";
     private static final String AUTOMATIC_ACK = "auto";
 
@@ -27,9 +34,9 @@
     private final String address;
 
     /**
-     * A client of one placer.
+     * Creates a client of one placer.
      *
-     * @param address of the placer, for messages
+     * @param address address of the placer, for error messages
      */
     PlacerClient(TargetSource targets, String address) {
         this.targets = targets;
@@ -50,7 +57,7 @@
                                         request,
                                         error -> outcome.complete(Optional.ofNullable(error))),
                         ignored -> Optional.empty());
-        Optional<String> error = run(exchange, ANSWER_TIMEOUT);
+        Optional<String> error = run(exchange, RESPONSE_TIMEOUT);
         if (error.isPresent()) {
             System.err.println("thornferry: " + error.get());
             return ExitCode.FAILED;
@@ -69,7 +76,7 @@
                             connection.write(Bodies.write(header, query, false));
                         },
                         frame -> Optional.of(Bodies.read(frame, replyType)));
-        return run(exchange, ANSWER_TIMEOUT);
+        return run(exchange, RESPONSE_TIMEOUT);
     }
 
     /** Subscribes to a destination and waits for its first message. */
@@ -78,11 +85,11 @@
         return subscribe(
                 subscription,
                 destination,
-                ANSWER_TIMEOUT,
+                RESPONSE_TIMEOUT,
                 frame -> Optional.of(Bodies.read(frame, messageType)));
     }
 
-    /** Subscribes to a destination until the handler returns a result. */
+    /** Subscribes to a destination and waits until the handler returns a result. */
     <T> T subscribe(
             String subscription,
             String destination,
@@ -102,7 +109,7 @@
             return exchange.run(targets.target(), timeout);
         } catch (TimeoutException e) {
             throw new IOException(
-                    "no answer from " + address + " within " + timeout.toMillis() + " ms", e);
+                    "no response from " + address + " within " + timeout.toMillis() + " ms", e);
         }
     }
 }
--- a/app/src/main/java/thornferry/app/PlacerCommand.java
+++ b/app/src/main/java/thornferry/app/PlacerCommand.java
@@ -16,23 +16,25 @@
 /** Runs the placer of a site in the foreground. */
 @Command(
         name = "placer",
-        description = "Run a placer until interrupted.",
+        description = "Runs the placer of a site until interrupted.",
         footer = {
             "",
             "Example:",
             "  thornferry placer examples/site.toml",
             "",
-            "SIGHUP has it read the file anew: limits, shares, accounts and certificates."
+            "SIGHUP reloads quotas, tenant shares, accounts and certificates from the file."
         })
 final class PlacerCommand implements Callable<Integer> {
     private static final Logger LOG = LoggerFactory.getLogger(PlacerCommand.class);
 
     @Parameters(
             paramLabel = "CONFIG",
-            description = "The site's TOML file; examples/site.toml explains the keys.")
+            description = "Configuration file of the site; examples/site.toml explains its keys.")
     private Path config;
 
-    @Option(names = "--port", description = "In place of the file's.")
+    @Option(
+            names = "--port",
+            description = "TCP port to listen on; default: the port in the configuration file.")
     private Integer port;
 
     @Override
@@ -45,9 +47,9 @@
                         port == null ? file.port() : port,
                         file.instances());
         placer.reloadFrom(() -> SiteFile.read(config).site());
-        reloadOnHangUp(placer);
+        reloadOnSighup(placer);
         printAddresses(placer);
-        UntilShutdown.await(placer::close);
+        JvmShutdown.await(placer::close);
         return ExitCode.OK;
     }
 
@@ -58,12 +60,12 @@
                 "listens on " + addresses.get(0) + (others > 0 ? " and " + others + " more" : ""));
     }
 
-    /** Reloads the configuration on SIGHUP, if the operating system has that signal. */
-    private static void reloadOnHangUp(Placer placer) {
+    /** Makes SIGHUP reload the configuration, if the operating system has that signal. */
+    private static void reloadOnSighup(Placer placer) {
         try {
             Signal.handle(new Signal("HUP"), signal -> placer.reload());
         } catch (IllegalArgumentException e) {
-            LOG.info("no reload on a signal here; use thornferry limits --reload");
+            LOG.info("SIGHUP is not available here; reload with thornferry limits --reload");
         }
     }
 }
--- a/app/src/main/java/thornferry/app/PlacerExchange.java
+++ b/app/src/main/java/thornferry/app/PlacerExchange.java
@@ -16,7 +16,7 @@
 import thornferry.protocol.ProtocolException;
 
 /**
- * One exchange with a placer over a connection of its own, which is closed at the end.
+ * One exchange of messages with a placer over a new connection, which is closed afterwards.
  *
  * @param <T> the result of the exchange
  */
@@ -40,9 +40,10 @@
     private final CompletableFuture<T> result = new CompletableFuture<>();
 
     /**
-     * An exchange that is run by {@link #run}.
+     * Creates an exchange; {@link #run} performs it.
      *
-     * @param start sends the first frames once connected; may complete the result later
+     * @param start sends the first frames after the connection is established; may keep the future
+     *     and complete it with the result
      * @param handler receives the messages that follow
      */
     PlacerExchange(
@@ -55,7 +56,7 @@
      * Connects and waits for the result.
      *
      * @throws IOException if the connection is closed before the result, or a message is invalid
-     * @throws TimeoutException if there is no result in time
+     * @throws TimeoutException if there is no result within the timeout
      */
     T run(ClientConnection.Target target, Duration timeout) throws IOException, TimeoutException {
         MultiThreadIoEventLoopGroup loops =
@@ -70,7 +71,7 @@
             throw new IOException(e.getCause().getMessage(), e.getCause());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted", e);
+            throw new IOException("interrupted while waiting for the placer", e);
         } finally {
             loops.shutdownGracefully(
                             SHUTDOWN_QUIET_MILLIS, SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
--- a/app/src/main/java/thornferry/app/PlacerOptions.java
+++ b/app/src/main/java/thornferry/app/PlacerOptions.java
@@ -7,7 +7,7 @@
 import thornferry.protocol.ClientConnection;
 import thornferry.protocol.Heartbeat;
 
-/** Options of all client commands: the address of the placer, and the login to use there. */
+/** The options of all client commands: the address of the placer and the credentials. */
 final class PlacerOptions {
     private static final String DEFAULT_LOGIN = "demo";
     private static final Heartbeat HEARTBEAT = new Heartbeat(2_000, 2_000);
@@ -15,30 +15,34 @@
     @Option(
             names = "--host",
             defaultValue = "127.0.0.1",
-            description = "Of the placer; ${DEFAULT-VALUE}.")
+            description = "Host name or IP address of the placer; default: ${DEFAULT-VALUE}.")
     private String host;
 
     @Option(
             names = "--port",
             defaultValue = "61613",
-            description = "Of the placer; ${DEFAULT-VALUE}.")
+            description = "TCP port of the placer; default: ${DEFAULT-VALUE}.")
     private int port;
 
     @Option(
             names = "--login",
             defaultValue = "${env:THORNFERRY_LOGIN:-}",
-            description = "THORNFERRY_LOGIN; else that of --cert, else demo.")
+            description =
+                    "Login of your account; default: environment variable THORNFERRY_LOGIN, or else"
+                            + " the login in the certificate of --cert, or else demo.")
     private String login;
 
     @Option(
             names = "--passcode",
             defaultValue = "${env:THORNFERRY_PASSCODE:-demo}",
-            description = "THORNFERRY_PASSCODE, else demo.")
+            description =
+                    "Passcode of your account; default: environment variable THORNFERRY_PASSCODE,"
+                            + " or else demo.")
     private String passcode;
 
     @Mixin private TlsOptions tls;
 
-    /** Where and as whom to connect. */
+    /** Returns the address and the credentials for a connection. */
     ClientConnection.Target target() throws IOException {
         return new ClientConnection.Target(
                 new InetSocketAddress(host, port),
@@ -48,7 +52,7 @@
                 tls.context());
     }
 
-    /** The login; null if the certificate alone identifies the client. */
+    /** Returns the login; null if the certificate alone identifies the client. */
     private String loginOrNull() {
         if (login != null && !login.isEmpty()) {
             return login;
@@ -56,7 +60,7 @@
         return tls.hasCertificate() ? null : DEFAULT_LOGIN;
     }
 
-    /** A client for single requests and queries. */
+    /** Returns a client for requests, queries and subscriptions. */
     PlacerClient client() {
         return new PlacerClient(this::target, host + ":" + port);
     }
--- a/app/src/main/java/thornferry/app/PlacerProcess.java
+++ b/app/src/main/java/thornferry/app/PlacerProcess.java
@@ -31,9 +31,9 @@
     /**
      * Starts a placer.
      *
-     * @param config its configuration file
-     * @param heap maximum heap size, as the JVM's option {@code -Xmx} takes it
-     * @param jvmOptions further options of the JVM
+     * @param config configuration file of the placer
+     * @param heap maximum heap size, in the syntax of the JVM option {@code -Xmx}
+     * @param jvmOptions additional options of the JVM
      */
     static PlacerProcess start(Path config, String heap, List<String> jvmOptions)
             throws IOException, URISyntaxException {
@@ -55,7 +55,7 @@
     /**
      * Waits until the placer listens.
      *
-     * @param instances number of its instances, which listen on consecutive ports
+     * @param instances number of the placer's instances, which listen on consecutive ports
      * @return the address of each instance
      */
     List<SocketAddress> awaitListening(int instances) throws IOException {
@@ -67,7 +67,10 @@
         return addresses;
     }
 
-    /** The port in the line that the placer prints; the JVM may print others before it. */
+    /**
+     * Reads the port from the line in which the placer prints its address; the JVM may print other
+     * lines before it.
+     */
     private int readPort() throws IOException {
         BufferedReader output =
                 new BufferedReader(
@@ -77,18 +80,18 @@
             line = output.readLine();
         }
         if (line == null) {
-            throw new IOException("the placer did not start");
+            throw new IOException("the placer exited without listening on a port");
         }
         String address = line.split(" ", -1)[ADDRESS_WORD];
         return Integer.parseInt(address.substring(address.lastIndexOf(':') + 1));
     }
 
-    /** CPU time since the start; zero if unknown. */
+    /** Returns the CPU time since the start; zero if unknown. */
     Duration cpuTime() {
         return process.info().totalCpuDuration().orElse(Duration.ZERO);
     }
 
-    /** Resident memory; empty if the operating system doesn't report it in {@code /proc}. */
+    /** Returns the resident memory; empty if it is not reported in {@code /proc}. */
     OptionalLong residentMegabytes() {
         try {
             return Files.readAllLines(Path.of("/proc/" + process.pid() + "/status")).stream()
@@ -101,7 +104,7 @@
         }
     }
 
-    /** Terminates the process and waits for its end. */
+    /** Terminates the process and waits until it exits. */
     @Override
     public void close() throws InterruptedException {
         process.destroy();
--- a/app/src/main/java/thornferry/app/QueryCommand.java
+++ b/app/src/main/java/thornferry/app/QueryCommand.java
@@ -8,21 +8,21 @@
 import thornferry.protocol.Bodies;
 
 /**
- * A command that queries the placer once and prints the answer, as a table or as JSON.
+ * A command that queries the placer once and prints the response as a table or as JSON.
  *
- * @param <M> the answer
+ * @param <M> type of the response
  */
 abstract class QueryCommand<M extends Message> implements Callable<Integer> {
     @Mixin private PlacerOptions placer;
 
-    @Option(names = "--json", description = "Print one line of JSON.")
+    @Option(names = "--json", description = "Prints the response as one line of JSON.")
     private boolean json;
 
-    /** Sends the query and waits for its answer. */
+    /** Sends the query and waits for the response. */
     abstract M query(PlacerClient client) throws IOException;
 
-    /** Prints the answer as a table. */
-    abstract void printTable(M answer);
+    /** Prints the response as a table. */
+    abstract void printTable(M response);
 
     PlacerClient client() {
         return placer.client();
@@ -30,11 +30,11 @@
 
     @Override
     public Integer call() throws IOException {
-        M answer = query(client());
+        M response = query(client());
         if (json) {
-            System.out.println(Bodies.json(answer));
+            System.out.println(Bodies.json(response));
         } else {
-            printTable(answer);
+            printTable(response);
         }
         return ExitCode.OK;
     }
--- a/app/src/main/java/thornferry/app/ReasonNames.java
+++ b/app/src/main/java/thornferry/app/ReasonNames.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 import thornferry.protocol.v1.Reason;
 
-/** How the kinds of reasons of pending tasks are printed. */
+/** Formats the kinds of pending reasons for printing. */
 final class ReasonNames {
     private ReasonNames() {}
 
--- a/app/src/main/java/thornferry/app/RunningPlacerLoad.java
+++ b/app/src/main/java/thornferry/app/RunningPlacerLoad.java
@@ -6,7 +6,7 @@
 import thornferry.testbed.load.LoadReport;
 import thornferry.testbed.load.LoadStep;
 
-/** Measures placers that already run, in processes that are not this command's. */
+/** Measures placers that are already running and that this command has not started. */
 final class RunningPlacerLoad {
     private static final long CONNECT_MILLIS = 5_000;
 
--- a/app/src/main/java/thornferry/app/ScenarioCommand.java
+++ b/app/src/main/java/thornferry/app/ScenarioCommand.java
@@ -14,24 +14,24 @@
 import thornferry.testbed.scenario.ScenarioFile;
 import thornferry.testbed.scenario.ScenarioRunner;
 
-/** Plays scripted scenarios; the command and its words on the command line are {@code day}. */
+/** Groups the commands that play scenarios. On the command line a scenario is a {@code day}. */
 @Command(
         name = "day",
-        description = "Scripted days on loopback.",
+        description = "Plays scenarios on the loopback interface.",
         subcommands = {ScenarioCommand.Run.class, ScenarioCommand.Reasons.class})
 final class ScenarioCommand extends CommandGroup {
-    /** Checks for each pending reason that it is shown when it is the true one. */
+    /** Checks that each pending reason is shown when it applies. */
     @Command(
             name = "reasons",
             description =
-                    "For each reason a site in which it is the true one: is it shown, and how"
-                            + " soon.",
+                    "Plays one scenario for each pending reason and prints whether and how soon the"
+                            + " reason is shown.",
             footer = {
                 "",
                 "Example:",
                 "  thornferry day reasons",
                 "",
-                "Exit codes: 0 all true, 1 one is not."
+                "Exit codes: 0 every reason is shown, 1 a reason is not shown."
             })
     static final class Reasons implements Callable<Integer> {
         @Override
@@ -50,7 +50,7 @@
             }
             long[] medians = PendingReasonScenarios.timing(2_000);
             System.out.printf(
-                    "asked about another's task: median %d us; about one that there is not: %d"
+                    "median response time for another owner's task: %d us; for an unknown task: %d"
                             + " us%n",
                     medians[0], medians[1]);
             return 0;
@@ -60,37 +60,41 @@
     /** Plays one scenario and audits its capture. */
     @Command(
             name = "run",
-            description = "Play a scripted day and audit what passed on its sockets.",
+            description = "Plays a scenario and audits a capture of its traffic.",
             footer = {
                 "",
                 "Example:",
                 "  thornferry day run examples/days/short.toml --capture day.jsonl"
             })
     static final class Run implements Callable<Integer> {
-        @Parameters(paramLabel = "SCRIPT")
+        @Parameters(paramLabel = "SCRIPT", description = "Scenario file, in TOML.")
         Path script;
 
         @Option(
                 names = "--capture",
-                description = "Keep the capture here; a temporary file where absent.")
+                description =
+                        "File for the capture; default: a temporary file, which is deleted if the"
+                                + " audit finds no violation.")
         Path capture;
 
-        @Option(names = "--seed", description = "In place of the script's.")
+        @Option(
+                names = "--seed",
+                description = "Random seed; default: the seed in the scenario file.")
         Long seed;
 
         @Option(
                 names = "--durability",
                 description =
-                        "Of the placers' promises, in place of the script's:"
-                                + " ${COMPLETION-CANDIDATES}.")
+                        "Durability of the placers' journals, one of ${COMPLETION-CANDIDATES};"
+                                + " default: the durability in the scenario file.")
         Durability durability;
 
         @Option(
                 names = "--slack-ms",
                 defaultValue = "250",
                 description =
-                        "How much later than the rule's grace a result may be seen;"
-                                + " ${DEFAULT-VALUE}.")
+                        "Tolerance for results recorded after the rule's grace period, in"
+                                + " milliseconds; default: ${DEFAULT-VALUE}.")
         long slackMillis;
 
         @Override
@@ -121,8 +125,9 @@
 
         private static void printOutcome(long seed, ScenarioRunner.Outcome outcome) {
             System.out.printf(
-                    "seed %d: %d tasks, %d asks: %d placed, %d refused, %d failed, %d unanswered;"
-                            + " then %d ended, %d evicted, %d lost; module failures %d%n",
+                    "seed %d: %d tasks, %d requests: %d placed, %d rejected, %d failed,"
+                            + " %d unanswered; afterwards %d ended, %d evicted, %d lost;"
+                            + " module failures %d%n",
                     seed,
                     outcome.tasks(),
                     outcome.requests(),
--- a/app/src/main/java/thornferry/app/ServeCommand.java
+++ b/app/src/main/java/thornferry/app/ServeCommand.java
@@ -4,12 +4,13 @@
 import picocli.CommandLine.Command;
 import thornferry.platform.PlatformServer;
 
-/** Runs the placer of the platform in the foreground. */
+/** Runs a placer of the platform in the foreground. */
 @Command(
         name = "serve",
         description = {
-            "Serve as a real placer on the platform, in the foreground, until SIGTERM.",
-            "ROUTER_CONFIG names the configuration (JSON); SIGHUP reads it again."
+            "Runs a placer on the platform in the foreground until SIGTERM.",
+            "The environment variable ROUTER_CONFIG names the configuration file, in JSON;"
+                    + " SIGHUP reloads it."
         })
 final class ServeCommand implements Callable<Integer> {
     @Override
--- a/app/src/main/java/thornferry/app/SimHostCommand.java
+++ b/app/src/main/java/thornferry/app/SimHostCommand.java
@@ -7,7 +7,7 @@
 /** Hosts the placement policy for the simulator, over standard input and output. */
 @Command(
         name = "simhost",
-        description = "Host the module for the simulator on standard input and output.")
+        description = "Hosts the placement policy for the simulator on standard input and output.")
 final class SimHostCommand implements Callable<Integer> {
     @Override
     public Integer call() {
--- a/app/src/main/java/thornferry/app/StateCommand.java
+++ b/app/src/main/java/thornferry/app/StateCommand.java
@@ -5,11 +5,12 @@
 /** Groups the commands on the journals of placers. */
 @Command(
         name = "state",
-        description = "Look at, check or compact what a placer keeps over restarts.",
+        description = "Shows, verifies or compacts the journals of placers.",
         subcommands = {StateShowCommand.class, StateVerifyCommand.class, StateCompactCommand.class},
         footer = {
             "",
-            "FOLDER is that of the configuration's [state] table, or of one instance below it.",
+            "FOLDER is the state folder of the configuration's table [state], or the folder of one"
+                    + " instance below it.",
             "",
             "Examples:",
             "  thornferry state show state --tasks",
--- a/app/src/main/java/thornferry/app/StateCompactCommand.java
+++ b/app/src/main/java/thornferry/app/StateCompactCommand.java
@@ -11,14 +11,14 @@
 import thornferry.state.JournalContents;
 import thornferry.state.JournalFile;
 
-/** Replaces the journal of a stopped instance by a snapshot of it. */
+/** Replaces the journal of a stopped instance with a snapshot of its records. */
 @Command(
         name = "compact",
         description =
-                "Write one instance's journal anew with only what still counts; not while it"
-                        + " runs.")
+                "Rewrites the journal of one instance with only the records in effect. The instance"
+                        + " must be stopped.")
 final class StateCompactCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "FOLDER", description = "Of one instance.")
+    @Parameters(paramLabel = "FOLDER", description = "State folder of one instance.")
     private Path folder;
 
     @Override
@@ -32,9 +32,9 @@
                     folder
                             + ": "
                             + journal.records().size()
-                            + " lines before, "
+                            + " records before, "
                             + snapshot.size()
-                            + " now");
+                            + " after");
         }
         return ExitCode.OK;
     }
@@ -44,17 +44,17 @@
         if (!file.getParent().equals(folder)) {
             throw new IOException(
                     folder
-                            + " holds folders of instances; name one of them, such as "
+                            + " contains the folders of instances; specify one of them, such as "
                             + file.getParent());
         }
         JournalContents contents = JournalContents.of(file, null);
         if (contents.foreign() || !contents.complete()) {
-            throw new IOException(file + " " + contents.problem() + "; it is left as it is");
+            throw new IOException(file + " " + contents.problem() + "; the journal is not changed");
         }
         return contents;
     }
 
-    /** The durability with which the journal was last written. */
+    /** Returns the durability with which the journal was last written. */
     private static Durability durability(JournalContents contents) {
         return contents.lastIncarnation() == null
                 ? Durability.OS
--- a/app/src/main/java/thornferry/app/StateShowCommand.java
+++ b/app/src/main/java/thornferry/app/StateShowCommand.java
@@ -13,36 +13,37 @@
 import picocli.CommandLine.Parameters;
 import thornferry.state.JournalContents;
 
-/** Prints what the journals of a placer hold. */
-@Command(
-        name = "show",
-        description = "Tell what each journal holds: tasks offered, placed, failed or over.")
+/** Prints the contents of the journals of a placer. */
+@Command(name = "show", description = "Prints the number of tasks in each state for each journal.")
 final class StateShowCommand implements Callable<Integer> {
     private final ObjectMapper mapper = new ObjectMapper();
 
-    @Parameters(paramLabel = "FOLDER")
+    @Parameters(
+            paramLabel = "FOLDER",
+            description = "State folder of a placer or of one of its instances.")
     private Path folder;
 
-    @Option(names = "--tasks", description = "Name each task.")
+    @Option(names = "--tasks", description = "Prints each task too.")
     private boolean tasks;
 
     @Option(
             names = "--json",
-            description = "One JSON object a journal, and with --tasks one a task.")
+            description =
+                    "Prints one JSON object for each journal and, with --tasks, one for each task.")
     private boolean json;
 
     @Override
     public Integer call() throws IOException {
         for (Path file : JournalFolder.newestJournals(folder)) {
             JournalContents contents = JournalContents.of(file, null);
-            List<JournaledTask> journaled =
-                    JournaledTask.in(JournalReplay.snapshot(contents.records()));
+            List<JournaledTask> journaledTasks =
+                    JournaledTask.fromSnapshot(JournalReplay.snapshot(contents.records()));
             System.out.println(
                     json
-                            ? summaryAsJson(file, contents, countByState(journaled))
-                            : summary(file, contents, countByState(journaled)));
+                            ? summaryAsJson(file, contents, countByState(journaledTasks))
+                            : summary(file, contents, countByState(journaledTasks)));
             if (tasks) {
-                journaled.forEach(this::print);
+                journaledTasks.forEach(this::print);
             }
         }
         return ExitCode.OK;
@@ -73,7 +74,7 @@
                 + contents.placer()
                 + ", "
                 + contents.records().size()
-                + " lines, "
+                + " records, "
                 + counts
                 + problem;
     }
--- a/app/src/main/java/thornferry/app/StateVerifyCommand.java
+++ b/app/src/main/java/thornferry/app/StateVerifyCommand.java
@@ -11,10 +11,12 @@
 @Command(
         name = "verify",
         description =
-                "Check each journal's every line; exit 1 where one is damaged or cannot be"
-                        + " read.")
+                "Verifies every record of each journal. The exit code is 1 if a journal is damaged"
+                        + " or cannot be read.")
 final class StateVerifyCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "FOLDER")
+    @Parameters(
+            paramLabel = "FOLDER",
+            description = "State folder of a placer or of one of its instances.")
     private Path folder;
 
     @Override
@@ -30,7 +32,7 @@
 
     private static String outcome(JournalContents contents) {
         return contents.problem().isEmpty()
-                ? "whole, " + contents.records().size() + " lines"
+                ? "intact, " + contents.records().size() + " records"
                 : contents.problem();
     }
 }
--- a/app/src/main/java/thornferry/app/SubmitCommand.java
+++ b/app/src/main/java/thornferry/app/SubmitCommand.java
@@ -13,19 +13,20 @@
 import thornferry.protocol.v1.Task;
 import thornferry.protocol.v1.TaskNews;
 
-/** Submits a task, waits for its result, and if requested for its end. */
+/** Submits a task and waits for its result and, if requested, for its end. */
 @Command(
         name = "submit",
-        description = "Place a task and wait for its result.",
+        description = "Submits a task and waits for its result.",
         footer = {
             "",
             "Example:",
             "  thornferry submit --class depot-sync --key depot-7 --service sync",
             "",
-            "Exit codes: 0 placed, 3 refused, 4 failed, 1 not taken or no answer, 2 bad use."
+            "Exit codes: 0 placed, 1 invalid request or no response, 2 invalid usage, 3 rejected,"
+                    + " 4 failed."
         })
 final class SubmitCommand implements Callable<Integer> {
-    /** Results of a request, as the protocol names them. */
+    /** The results of a request, as they are named in the protocol. */
     private static final String PLACED = "placed";
 
     private static final String REJECTED = "refused";
@@ -35,47 +36,68 @@
     @Option(
             names = "--class",
             required = true,
-            description = "A class of the site's configuration.")
+            description = "Task class, as named in the site's configuration.")
     private String taskClass;
 
     @Option(
             names = "--id",
-            description = "The task's name; drawn where absent. The same one is the same task.")
+            description =
+                    "Id of the task, under which repeated submissions are the same task; default: a"
+                            + " random id.")
     private String id;
 
     @Option(
             names = "--service",
-            description = "Tasks of one service share a program; the class where absent.")
+            description =
+                    "Service of the task; the tasks of a service share a program; default: the name"
+                            + " of the task class.")
     private String service;
 
-    @Option(names = "--key", defaultValue = "", description = "For keyed classes.")
+    @Option(
+            names = "--key",
+            defaultValue = "",
+            description = "Idempotency key; used by keyed task classes only.")
     private String key;
 
-    @Option(names = "--cores", defaultValue = "1")
+    @Option(
+            names = "--cores",
+            defaultValue = "1",
+            description = "CPU cores that the task requires; default: ${DEFAULT-VALUE}.")
     private double cores;
 
-    @Option(names = "--memory", defaultValue = "1")
+    @Option(
+            names = "--memory",
+            defaultValue = "1",
+            description =
+                    "Memory that the task requires, in the unit of the site's configuration;"
+                            + " default: ${DEFAULT-VALUE}.")
     private double memory;
 
     @Option(
             names = "--patience-ms",
             paramLabel = "<patience>",
-            description = "How long to wait for a place; the class's where absent.")
+            description =
+                    "Longest time to wait for a placement, in milliseconds; default: that of the"
+                            + " task class.")
     private Long maxWaitMillis;
 
     @Option(
             names = "--runs-for-ms",
             paramLabel = "<runsFor>",
             defaultValue = "0",
-            description = "How long it will run, where known.")
+            description =
+                    "Expected run time of the task, in milliseconds; 0 if unknown; default:"
+                            + " ${DEFAULT-VALUE}.")
     private long expectedRunMillis;
 
     @Option(
             names = "--follow",
-            description = "Stay until the placed task is over and print that too.")
+            description = "Waits until a placed task ends and prints how it ended.")
     private boolean follow;
 
-    @Option(names = "--json", description = "Print what is told as lines of JSON.")
+    @Option(
+            names = "--json",
+            description = "Prints the result and the end of the task as lines of JSON.")
     private boolean json;
 
     @Override
--- a/app/src/main/java/thornferry/app/TlsOptions.java
+++ b/app/src/main/java/thornferry/app/TlsOptions.java
@@ -6,15 +6,15 @@
 import picocli.CommandLine.Option;
 import thornferry.security.Tls;
 
-/** Options for TLS towards a placer; without any of them connections are plain text. */
+/** The options for TLS connections to a placer; without them connections are plain text. */
 final class TlsOptions {
     @Option(
             names = "--ca",
             paramLabel = "FILE",
             defaultValue = "${env:THORNFERRY_CA:-}",
             description =
-                    "Speak TLS with a placer whose certificate this authority signed;"
-                            + " THORNFERRY_CA.")
+                    "Certificate of the authority that signed the placer's certificate; enables"
+                            + " TLS; default: environment variable THORNFERRY_CA.")
     private String authority;
 
     @Option(
@@ -22,26 +22,29 @@
             paramLabel = "FILE",
             defaultValue = "${env:THORNFERRY_CERT:-}",
             description =
-                    "Your certificate, in place of login and passcode; THORNFERRY_CERT. Its key is"
-                            + " beside it as .key unless --cert-key says otherwise.")
+                    "Client certificate, used in place of login and passcode; default: environment"
+                            + " variable THORNFERRY_CERT.")
     private String certificate;
 
     @Option(
             names = "--cert-key",
             paramLabel = "FILE",
             defaultValue = "${env:THORNFERRY_KEY:-}",
-            description = "The certificate's key; THORNFERRY_KEY.")
+            description =
+                    "Private key of the client certificate; default: environment variable"
+                            + " THORNFERRY_KEY, or else the file next to the certificate with the"
+                            + " extension .key.")
     private String key;
 
-    /** Whether a certificate identifies the client, in place of login and passcode. */
+    /** Returns whether a certificate identifies the client, in place of login and passcode. */
     boolean hasCertificate() {
         return isGiven(certificate);
     }
 
     /**
-     * The context of connections to the placer.
+     * Returns the TLS context for connections to the placer.
      *
-     * @return null for plain text
+     * @return the context; null for connections in plain text
      * @throws IOException if a file cannot be used
      */
     SslContext context() throws IOException {
@@ -52,7 +55,7 @@
                 new Tls.Pem(pathOrNull(certificate), pathOrNull(keyFile()), pathOrNull(authority)));
     }
 
-    /** The file of the key: as given, or beside the certificate. */
+    /** Returns the file of the private key, as given or next to the certificate. */
     private String keyFile() {
         if (isGiven(key) || !hasCertificate()) {
             return key;
--- a/app/src/main/java/thornferry/app/WaitingCommand.java
+++ b/app/src/main/java/thornferry/app/WaitingCommand.java
@@ -6,11 +6,12 @@
 import thornferry.protocol.v1.WaitingQuery;
 import thornferry.protocol.v1.WaitingTable;
 
-/** Prints how many tasks are pending for each reason. */
+/** Prints the number of pending tasks for each reason. */
 @Command(
         name = "waiting",
         description =
-                "How many tasks wait for which reason: one's own; for operators all, by tenant.",
+                "Prints how many of your tasks are pending for each reason; for operators, the"
+                        + " tasks of all tenants.",
         footer = {"", "Example:", "  thornferry waiting"})
 final class WaitingCommand extends QueryCommand<WaitingTable> {
     @Override
@@ -37,12 +38,12 @@
     }
 
     private static String summary(WaitingTable table) {
-        StringBuilder summary = new StringBuilder().append(table.getWaiting()).append(" wait");
+        StringBuilder summary = new StringBuilder().append(table.getWaiting()).append(" pending");
         if (table.getOverload()) {
             summary.append("; overloaded: tasks are being shed");
         }
         if (table.getShed() > 0) {
-            summary.append("; ").append(table.getShed()).append(" refused early since the start");
+            summary.append("; ").append(table.getShed()).append(" rejected early since startup");
         }
         return summary.toString();
     }
--- a/app/src/main/java/thornferry/app/WhyCommand.java
+++ b/app/src/main/java/thornferry/app/WhyCommand.java
@@ -18,17 +18,18 @@
 /** Prints why a task is pending, or its outcome. */
 @Command(
         name = "why",
-        description = "Why a task of one's own waits, or what became of it.",
+        description = "Explains why one of your tasks is pending, or prints its outcome.",
         footer = {
             "",
             "Examples:",
             "  thornferry why my-task",
             "  thornferry why --watch my-task",
             "",
-            "Exit codes: 0 it is known, 3 it is not, 1 no answer, 2 bad use."
+            "Exit codes: 0 the task is known, 1 no response, 2 invalid usage, 3 the task is"
+                    + " unknown."
         })
 final class WhyCommand implements Callable<Integer> {
-    /** States of a task, as the protocol names them. */
+    /** The states of a task, as they are named in the protocol. */
     private static final String UNKNOWN = "unknown";
 
     private static final String PENDING = "waiting";
@@ -37,13 +38,15 @@
 
     @Mixin private PlacerOptions placer;
 
-    @Option(names = "--json", description = "Print lines of JSON.")
+    @Option(names = "--json", description = "Prints lines of JSON.")
     private boolean json;
 
-    @Option(names = "--watch", description = "Print each change until it waits no longer.")
+    @Option(
+            names = "--watch",
+            description = "Prints each change until the task is no longer pending.")
     private boolean watch;
 
-    @Parameters(paramLabel = "TASK")
+    @Parameters(paramLabel = "TASK", description = "Id of the task.")
     private String task;
 
     @Override
--- a/app/src/main/java/thornferry/app/WhyText.java
+++ b/app/src/main/java/thornferry/app/WhyText.java
@@ -8,7 +8,7 @@
 import thornferry.protocol.v1.Reason;
 import thornferry.protocol.v1.Why;
 
-/** The state of a task and the history of its reasons, as lines of text. */
+/** Formats the state of a task and the history of its pending reasons as lines of text. */
 final class WhyText {
     private static final DateTimeFormatter TIME =
             DateTimeFormatter.ofPattern("HH:mm:ss.SSS").withZone(ZoneId.systemDefault());
--- a/app/src/main/java/thornferry/app/package-info.java
+++ b/app/src/main/java/thornferry/app/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The command line: one class for each command, over the modules that do the work.
+ * The command line, with one class for each command. The other modules do the work.
  *
  * <p>{@link thornferry.app.Main} is the root command. Commands that talk to a placer share {@code
  * PlacerOptions} and {@code TlsOptions} and use {@code PlacerClient}; those that query it once
--- a/app/src/test/java/thornferry/app/CertificateLoginTest.java
+++ b/app/src/test/java/thornferry/app/CertificateLoginTest.java
@@ -22,7 +22,10 @@
 import thornferry.protocol.Heartbeat;
 import thornferry.security.Tls;
 
-/** From {@code keys init} to the first {@code submit}, as the README describes it. */
+/**
+ * Performs the steps of the README for logins by certificate, from {@code keys init} to the first
+ * {@code submit}.
+ */
 class CertificateLoginTest {
     private static final int MAX_POLLS = 100;
     private static final long POLL_INTERVAL_MILLIS = 100;
@@ -30,7 +33,7 @@
     @TempDir Path folder;
 
     @Test
-    void needsNoLoginWithCertificate() throws Exception {
+    void commandsNeedNoLoginWithCertificate() throws Exception {
         issueCertificates();
         SiteFile site = SiteFile.read(writeSiteFile());
         try (Placer placer = Placer.start(site.site(), "127.0.0.1", 0, 1);
@@ -55,7 +58,7 @@
     }
 
     private void issueCertificates() {
-        List<String> directory = List.of("--dir", keyFile("").toString());
+        List<String> directory = List.of("--dir", keyPath("").toString());
         assertThat(runWith(directory, "keys", "init").code()).isZero();
         assertThat(runWith(directory, "keys", "server", "placer-0").code()).isZero();
         assertThat(runWith(directory, "keys", "owner", "depot1").code()).isZero();
@@ -63,7 +66,7 @@
         assertThat(runWith(directory, "keys", "agent", "node").code()).isZero();
     }
 
-    private Path keyFile(String name) {
+    private Path keyPath(String name) {
         return folder.resolve("keys").resolve(name);
     }
 
@@ -82,7 +85,7 @@
     }
 
     private SslContext nodeContext() throws IOException {
-        return Tls.client(new Tls.Pem(keyFile("node.pem"), keyFile("node.key"), keyFile("ca.pem")));
+        return Tls.client(new Tls.Pem(keyPath("node.pem"), keyPath("node.key"), keyPath("ca.pem")));
     }
 
     private static void startNode(AgentPool nodes, InetSocketAddress placer) {
@@ -99,9 +102,9 @@
                 "--port",
                 Integer.toString(placer.getPort()),
                 "--ca",
-                keyFile("ca.pem").toString(),
+                keyPath("ca.pem").toString(),
                 "--cert",
-                keyFile(certificate + ".pem").toString());
+                keyPath(certificate + ".pem").toString());
     }
 
     private static void awaitNode(List<String> operator) throws InterruptedException {
--- a/app/src/test/java/thornferry/app/CommandResult.java
+++ b/app/src/test/java/thornferry/app/CommandResult.java
@@ -1,4 +1,4 @@
 package thornferry.app;
 
-/** The exit code of a command, and what it printed on standard output and standard error. */
+/** The exit code of a command and its output on standard output and standard error. */
 record CommandResult(int code, String out, String err) {}
--- a/app/src/test/java/thornferry/app/CommandRunner.java
+++ b/app/src/test/java/thornferry/app/CommandRunner.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import picocli.CommandLine;
 
-/** Runs commands in this process and captures what they print. */
+/** Runs commands in this process and captures their output. */
 final class CommandRunner {
     private CommandRunner() {}
 
@@ -35,14 +35,14 @@
         return run(args.toArray(new String[0]));
     }
 
-    /** Runs a command with options that follow it. */
+    /** Runs a command and appends options to its arguments. */
     static CommandResult runWith(List<String> options, String... command) {
         List<String> args = new ArrayList<>(List.of(command));
         args.addAll(options);
         return run(args);
     }
 
-    /** Runs a command that reads standard input. */
+    /** Runs a command with the given text as standard input. */
     static CommandResult runWithInput(String input, String... args) {
         InputStream in = System.in;
         try {
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Starts a command without capturing what it prints. */
+    /** Starts a command in a new thread without capturing its output. */
     static Thread runInBackground(String... args) {
         Thread thread = new Thread(() -> new CommandLine(new Main()).execute(args));
         thread.start();
--- a/app/src/test/java/thornferry/app/DemoClusterExtension.java
+++ b/app/src/test/java/thornferry/app/DemoClusterExtension.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.extension.BeforeAllCallback;
 import org.junit.jupiter.api.extension.ExtensionContext;
 
-/** A demo cluster for the tests of a class, which runs commands on it. */
+/** Starts a demo cluster for the tests of a class and runs commands against it. */
 final class DemoClusterExtension implements BeforeAllCallback, AfterAllCallback {
     private static final int MAX_POLLS = 100;
     private static final long POLL_INTERVAL_MILLIS = 100;
@@ -32,12 +32,12 @@
         return Integer.toString(cluster.address().getPort());
     }
 
-    /** Runs a command with the cluster's port. */
+    /** Runs a command against the cluster. */
     CommandResult run(String command, String... args) {
         return CommandRunner.run(withPort(command, args));
     }
 
-    /** Starts a command with the cluster's port, without capturing what it prints. */
+    /** Starts a command against the cluster in a new thread without capturing its output. */
     Thread runInBackground(String command, String... args) {
         return CommandRunner.runInBackground(withPort(command, args));
     }
--- a/app/src/test/java/thornferry/app/LoadReportPrinterTest.java
+++ b/app/src/test/java/thornferry/app/LoadReportPrinterTest.java
@@ -35,18 +35,18 @@
         LoadReport report = new LoadReport(130, COUNTS, TO_OFFER, TO_JOURNALED, TO_RESULT, 1);
         assertThat(print(false, report, USAGE).lines())
                 .containsExactly(
-                        "rate 130/s, 20 nodes: 10 asked, 6 placed, 1 refused, 1 failed,"
-                                + " 2 unanswered, 3 excluded from latencies, 1 levy-run started"
-                                + " twice",
-                        "  SEND to result p50 1.00 ms, p99 2.50 ms, p99.9 3.00 ms, most 4.01 ms",
-                        "  SEND to offer  p50 0.50 ms, p99 0.60 ms, p99.9 0.70 ms, most 0.80 ms",
-                        "    keyed and unsafe, promised first (durability os): p50 0.51 ms,"
-                                + " p99 0.61 ms, p99.9 0.71 ms, most 0.81 ms",
-                        "  placer: 123 us CPU a task, 99 MB resident");
+                        "rate 130/s, 20 nodes: 10 requests, 6 placed, 1 rejected, 1 failed,"
+                                + " 2 unanswered, 3 excluded from latencies, 1 duplicate starts of"
+                                + " levy-run",
+                        "  SEND to result p50 1.00 ms, p99 2.50 ms, p99.9 3.00 ms, max 4.01 ms",
+                        "  SEND to offer  p50 0.50 ms, p99 0.60 ms, p99.9 0.70 ms, max 0.80 ms",
+                        "    keyed and unsafe, journaled first (durability os): p50 0.51 ms,"
+                                + " p99 0.61 ms, p99.9 0.71 ms, max 0.81 ms",
+                        "  placer: 123 us CPU per task, 99 MB resident");
     }
 
     @Test
-    void omitsWhatIsNotMeasured() {
+    void omitsLatenciesWithoutSamplesAndUnknownUsage() {
         LoadReport report = new LoadReport(130, COUNTS, NO_SAMPLES, NO_SAMPLES, TO_RESULT, 0);
         assertThat(print(false, report, PlacerUsage.UNKNOWN).lines())
                 .hasSize(2)
--- a/app/src/test/java/thornferry/app/MainTest.java
+++ b/app/src/test/java/thornferry/app/MainTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
-/** Usage, help and exit codes of the command line as a whole. */
+/** Tests usage errors, help and exit codes of the whole command line. */
 class MainTest {
     @TempDir Path folder;
 
--- a/app/src/test/java/thornferry/app/NodeCommandsTest.java
+++ b/app/src/test/java/thornferry/app/NodeCommandsTest.java
@@ -5,12 +5,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.RegisterExtension;
 
-/** The commands on nodes: nodes and drain. */
+/** Tests the commands on nodes: {@code nodes} and {@code drain}. */
 class NodeCommandsTest {
     @RegisterExtension static final DemoClusterExtension CLUSTER = new DemoClusterExtension();
 
     @Test
-    void drainsNodeAndListsIt() {
+    void nodesShowsWhetherNodeIsDraining() {
         assertThat(CLUSTER.run("drain", "node-2").code()).isZero();
         assertThat(CLUSTER.run("nodes").out()).containsPattern("node-2 +draining");
         assertThat(CLUSTER.run("drain", "--off", "node-2").code()).isZero();
--- a/app/src/test/java/thornferry/app/OverloadPrinterTest.java
+++ b/app/src/test/java/thornferry/app/OverloadPrinterTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void printsTable() {
+    void printsHeaderAndRowOfTable() {
         printer.printHeader();
         printer.print(OUTCOME);
         assertThat(lines())
@@ -52,8 +52,8 @@
         printer.print(new ReservationOutcome(1, false, 20, 7, 333.3));
         assertThat(lines())
                 .containsExactly(
-                        "load 1.0, room gathered for large tasks off: 7 of 20 placed, worth of all"
-                                + " 333/s");
+                        "load 1.0, reservations for large tasks off: 7 of 20 placed, total priority"
+                                + " weight 333/s");
     }
 
     @Test
@@ -62,8 +62,8 @@
         printer.print(new RecoveryOutcome(false, 3_000, List.of(new RecoveryPoint(29, 0.5))));
         assertThat(lines())
                 .containsExactly(
-                        "storm of 3000, line on: fresh tasks served as before after 4.3 s",
-                        "storm of 3000, line off: not recovered within 30 s");
+                        "burst of 3000, admission queue on: recovered after 4.3 s",
+                        "burst of 3000, admission queue off: not recovered within 30 s");
     }
 
     @Test
@@ -74,10 +74,11 @@
                         "unit",
                         List.of(OUTCOME),
                         outcome -> outcome.fairness().jainIndex());
-        assertThat(chart.title()).isEqualTo("Title (simulated nodes)");
+        assertThat(chart.title()).isEqualTo("Title (emulated nodes)");
         assertThat(chart.series())
                 .containsExactly(
-                        new LineChart.Series("line off", List.of()),
-                        new LineChart.Series("line on", List.of(new LineChart.Point(2, 0.875))));
+                        new LineChart.Series("admission queue off", List.of()),
+                        new LineChart.Series(
+                                "admission queue on", List.of(new LineChart.Point(2, 0.875))));
     }
 }
--- a/app/src/test/java/thornferry/app/StateCommandTest.java
+++ b/app/src/test/java/thornferry/app/StateCommandTest.java
@@ -25,7 +25,7 @@
         CommandResult verified = CommandRunner.run("state", "verify", stored.toString());
         assertThat(verified.code()).isZero();
         assertThat(verified.out())
-                .contains("journal-2.tfj: whole, 12 lines")
+                .contains("journal-2.tfj: intact, 12 records")
                 .contains("journal-1.tfj: its last line was not whole and is cut off at octet");
     }
 
@@ -39,21 +39,21 @@
                     .isEqualTo(1);
         }
         assertThat(CommandRunner.run("state", "show", state.toString(), "--tasks").out())
-                .contains("placer p-0, 7 lines, {offered=1}")
+                .contains("placer p-0, 7 records, {offered=1}")
                 .contains("t-1")
                 .contains("n2");
         assertThat(CommandRunner.run("state", "verify", state.toString()))
                 .returns(0, CommandResult::code);
         assertThat(CommandRunner.run("state", "compact", instance.toString()).out())
-                .contains("7 lines before, 1 now");
+                .contains("7 records before, 1 after");
         damage(JournalFile.files(instance).get(0));
         assertThat(CommandRunner.run("state", "verify", state.toString()))
                 .returns(1, CommandResult::code);
-        assertThat(CommandRunner.run("state", "show", state.resolve("nowhere").toString()).err())
-                .contains("is no folder");
+        assertThat(CommandRunner.run("state", "show", state.resolve("missing").toString()).err())
+                .contains("is not a folder");
     }
 
-    /** Three attempts that never ran, and one offer in effect. */
+    /** Appends three attempts that never ran, and one offer that is still in effect. */
     private static void appendSevenRecords(JournalFile journal) throws IOException {
         journal.startIncarnation(List.of());
         for (int i = 0; i < 3; i++) {
--- a/app/src/test/java/thornferry/app/TaskCommandsTest.java
+++ b/app/src/test/java/thornferry/app/TaskCommandsTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.RegisterExtension;
 
-/** The commands on tasks: submit, stop, why, waiting and limits. */
+/** Tests the commands on tasks: submit, stop, why, waiting and limits. */
 class TaskCommandsTest {
     private static final int MAX_POLLS = 100;
     private static final long POLL_INTERVAL_MILLIS = 50;
@@ -84,7 +84,7 @@
                 .contains("task w1 waits: No node is large enough")
                 .contains("nodes: 3");
         assertThat(CLUSTER.run("why", "--json", "w1").out()).contains("\"kind\":\"NO_FIT\"");
-        assertThat(CLUSTER.run("waiting").out()).containsPattern("no fit +1").contains("1 wait");
+        assertThat(CLUSTER.run("waiting").out()).containsPattern("no fit +1").contains("1 pending");
         assertThat(CLUSTER.run("limits").out()).contains("owner", "site", "demo");
         assertThat(CLUSTER.run("stop", "w1").code()).isZero();
         submission.join(BACKGROUND_TIMEOUT_MILLIS);
