--- a/app/src/test/java/thornferry/app/KeysCommandTest.java
+++ b/app/src/test/java/thornferry/app/KeysCommandTest.java
@@ -13,7 +13,7 @@
     void issuesShowsAndRenewsCertificatesAndHashesPasscodes() {
         String dir = folder.resolve("keys").toString();
         assertThat(CommandRunner.run("keys", "owner", "depot1", "--dir", dir).err())
-                .contains("make an authority first");
+                .contains("create an authority first");
         assertThat(CommandRunner.run("keys", "init", "--dir", dir).code()).isZero();
         assertThat(CommandRunner.run("keys", "init", "--dir", dir).code()).isEqualTo(1);
         assertThat(CommandRunner.run("keys", "server", "placer", "--dir", dir).code()).isZero();
