--- a/testbed/src/main/java/thornferry/testbed/capture/Capture.java
+++ b/testbed/src/main/java/thornferry/testbed/capture/Capture.java
@@ -12,78 +12,79 @@
 import thornferry.protocol.Frame;
 
 /**
- * Writes a capture file: the site's rules, then connections, frames and marks in the order in which
- * the recording proxies passed them on, one JSON object a line. {@link CaptureFormat} has the keys.
- * Safe for use by several threads.
+ * A writer of a capture file, which holds one JSON object per line: first the site's rules, then
+ * connections, frames and marks in the order in which the recording proxies forwarded or injected
+ * them. {@link CaptureFormat} defines the keys. This class is thread-safe.
  */
 public final class Capture implements Closeable {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long NANOS_PER_MICRO = 1_000;
 
     private final BufferedWriter out;
-    private final long beginNanos = System.nanoTime();
+    private final long startNanos = System.nanoTime();
     private long lineCount;
     private boolean closed;
 
     /**
-     * Begins a capture.
+     * Starts a capture.
      *
-     * @param file is created or overwritten
+     * @param file the file to write; an existing file is overwritten
      */
     public Capture(Path file) throws IOException {
         out = Files.newBufferedWriter(file);
     }
 
-    /** Microseconds since the capture began. */
+    /** Returns the time since the start of the capture, in microseconds. */
     public long now() {
-        return (System.nanoTime() - beginNanos) / NANOS_PER_MICRO;
+        return (System.nanoTime() - startNanos) / NANOS_PER_MICRO;
     }
 
-    /** Number of lines written. */
+    /** Returns the number of lines written so far. */
     public synchronized long lines() {
         return lineCount;
     }
 
     /**
-     * Writes the first line: the task classes and rules by which the rest is audited.
+     * Writes the first line: the task classes and rules against which the trace auditor checks the
+     * following lines.
      *
-     * @param startsPerSecond how many tasks a second the slowest node can start, once warm, if it
-     *     does not have their program yet
+     * @param startsPerSecond number of tasks per second that the slowest node can start after its
+     *     slow start if it has not yet loaded their programs
      */
     public void writeSite(Site site, double startsPerSecond) {
         write(SiteRow.of(site, startsPerSecond));
     }
 
-    /** Writes that something was done to the cluster. */
+    /** Writes a mark, which records an action on the cluster. */
     public void writeMark(Mark mark) {
         if (mark instanceof Mark.PlacerKilled) {
             write(markRow(CaptureFormat.PLACER_KILLED, mark));
-        } else if (mark instanceof Mark.PlacerPaused paused) {
+        } else if (mark instanceof Mark.PlacerPaused pausedPlacer) {
             ObjectNode row = markRow(CaptureFormat.PLACER_PAUSED, mark);
-            write(putUntil(row, paused.pauseMicros()));
-        } else if (mark instanceof Mark.SlowReader slow) {
+            write(putUntil(row, pausedPlacer.pauseMicros()));
+        } else if (mark instanceof Mark.SlowReader slowReader) {
             ObjectNode row =
                     markRow(CaptureFormat.SLOW_READER, mark)
-                            .put(CaptureFormat.CONNECTION, slow.connection());
-            write(putUntil(row, slow.pauseMicros()));
+                            .put(CaptureFormat.CONNECTION, slowReader.connection());
+            write(putUntil(row, slowReader.pauseMicros()));
         } else if (mark instanceof Mark.Other other) {
             write(markRow(other.name(), mark));
         }
     }
 
     /**
-     * Writes a mark by its name in the file.
+     * Writes a mark that the trace auditor's rules do not depend on.
      *
-     * @param name what was done
-     * @param placer name of the placer; empty if it was done to none
+     * @param name name of the action, as written to the file
+     * @param placer name of the affected placer; empty if the action affects no placer
      */
     public void writeMark(String name, String placer) {
         writeMark(new Mark.Other(name, placer));
     }
 
     /**
-     * Writes that a placer's process is suspended for so many microseconds from now on. Written
-     * again when the pause ends, with 0, if that is later than planned.
+     * Writes a mark that a placer's process is suspended from now on for {@code pauseMicros}. If
+     * the pause ends later than planned, the caller writes a second mark with 0 at its end.
      */
     public void writePause(String placer, long pauseMicros) {
         writeMark(new Mark.PlacerPaused(placer, pauseMicros));
@@ -121,13 +122,13 @@
 
     private synchronized void write(ObjectNode row) {
         if (closed) {
-            return; // connections that wind down after the end are not part of the capture
+            return; // events of connections that close after the end are not part of the capture
         }
-        ObjectNode stamped = JSON.createObjectNode();
-        stamped.put(CaptureFormat.TIME, now());
-        stamped.setAll(row);
+        ObjectNode timestampedRow = JSON.createObjectNode();
+        timestampedRow.put(CaptureFormat.TIME, now());
+        timestampedRow.setAll(row);
         try {
-            out.write(JSON.writeValueAsString(stamped));
+            out.write(JSON.writeValueAsString(timestampedRow));
             out.write('\n');
             lineCount++;
         } catch (IOException e) {
--- a/testbed/src/main/java/thornferry/testbed/capture/CaptureFormat.java
+++ b/testbed/src/main/java/thornferry/testbed/capture/CaptureFormat.java
@@ -1,12 +1,12 @@
 package thornferry.testbed.capture;
 
 /**
- * The JSON keys and values of a capture file. Each line is one object with the time of the event
- * and the kind of the row; the other keys depend on the kind. The names are part of the file format
- * and never change.
+ * The JSON keys and values of a capture file. Each line is one object, which contains the time of
+ * the event and the kind of the row; the other keys depend on the kind. The keys and values are
+ * part of the file format and must not change.
  */
 public final class CaptureFormat {
-    /** Microseconds since the capture began. */
+    /** Key of the time since the start of the capture, in microseconds. */
     public static final String TIME = "t";
 
     public static final String ROW_KIND = "k";
@@ -19,20 +19,20 @@
     public static final String CONNECTION = "link";
     public static final String PLACER = "placer";
 
-    // frames
+    // keys of a frame row
     public static final String DIRECTION = "dir";
     public static final String COMMAND = "cmd";
     public static final String HEADERS = "h";
     public static final String BODY = "b";
 
-    // marks
+    // keys of a mark row and names of marks
     public static final String MARK_NAME = "what";
     public static final String MARK_UNTIL = "until";
     public static final String PLACER_KILLED = "placer-killed";
     public static final String PLACER_PAUSED = "placer-paused";
     public static final String SLOW_READER = "slow-reader";
 
-    // the site
+    // keys of the site row and of its rules
     public static final String RESULTS_SURVIVE_KILL = "lasting";
     public static final String RULES = "rules";
     public static final String ANSWER_GRACE = "answerGrace";
@@ -45,7 +45,7 @@
     public static final String MAX_WAIT = "mostPatience";
     public static final String STARTS_PER_SECOND = "startsPerSecond";
 
-    // the site's task classes
+    // keys of the task classes in the site row
     public static final String TASK_CLASSES = "classes";
     public static final String CLASS_NAME = "name";
     public static final String CLASS_IDEMPOTENCY = "effect";
@@ -55,12 +55,12 @@
     public static final String CLASS_SPREAD_SCOPE = "spread";
     public static final String CLASS_MAX_TASKS_PER_SCOPE = "spreadMost";
 
-    // idempotency of a task class
+    // values of CLASS_IDEMPOTENCY
     public static final String IDEMPOTENT = "SAFE";
     public static final String IDEMPOTENT_WITH_KEY = "KEYED";
     public static final String NON_IDEMPOTENT = "UNSAFE";
 
-    // scopes of a task class; any other is a single machine
+    // values of CLASS_KEY_SCOPE and CLASS_SPREAD_SCOPE; any other value means a single machine
     public static final String SCOPE_NONE = "NONE";
     public static final String SCOPE_CELL = "CELL";
     public static final String SCOPE_ZONE = "ZONE";
--- a/testbed/src/main/java/thornferry/testbed/capture/Direction.java
+++ b/testbed/src/main/java/thornferry/testbed/capture/Direction.java
@@ -1,6 +1,6 @@
 package thornferry.testbed.capture;
 
-/** The direction in which a frame passes the recording proxy. */
+/** The direction in which the recording proxy forwards a frame. */
 public enum Direction {
     /** From a client or node to the placer. */
     TO_PLACER("up"),
@@ -13,7 +13,7 @@
         this.captureName = captureName;
     }
 
-    /** The value in a capture file. */
+    /** Returns the value that stands for this direction in a capture file. */
     public String captureName() {
         return captureName;
     }
--- a/testbed/src/main/java/thornferry/testbed/capture/ForwardingHandler.java
+++ b/testbed/src/main/java/thornferry/testbed/capture/ForwardingHandler.java
@@ -11,14 +11,14 @@
 import thornferry.protocol.FrameLimits;
 import thornferry.protocol.Framing;
 
-/** Passes on the bytes of one direction of a proxied connection and records their frames. */
+/** Forwards the bytes of one direction of a proxied connection and records the frames in them. */
 final class ForwardingHandler extends ChannelInboundHandlerAdapter {
     private static final int MAX_HEADER_LINE_BYTES = 1 << 20;
     private static final int MAX_HEADERS = 10_000;
     private static final int MAX_BODY_BYTES = 1 << 26;
     private static final int MAX_UNWRITTEN_BYTES = 1 << 26;
 
-    /** Wide enough for frames that a placer rejects as too large. */
+    /** Limits that also admit frames that a placer rejects as too large. */
     private static final FrameLimits FRAME_LIMITS =
             new FrameLimits(
                     MAX_HEADER_LINE_BYTES, MAX_HEADERS, MAX_BODY_BYTES, MAX_UNWRITTEN_BYTES);
@@ -27,7 +27,7 @@
     private final Direction direction;
     private final Capture capture;
     private final EmbeddedChannel decoder = new EmbeddedChannel();
-    private Channel destination;
+    private Channel targetChannel;
     private boolean decodable = true;
 
     ForwardingHandler(ProxiedConnection connection, Direction direction, Capture capture) {
@@ -37,9 +37,9 @@
         Framing.install(decoder.pipeline(), FRAME_LIMITS);
     }
 
-    /** Sets where the bytes go; to be called before the first of them is read. */
+    /** Sets the channel that receives the bytes. Must be called before the first byte is read. */
     void forwardTo(Channel channel) {
-        destination = channel;
+        targetChannel = channel;
     }
 
     @Override
@@ -51,16 +51,16 @@
             forwardHalfAndClose(bytes);
         } else {
             record(bytes);
-            destination.writeAndFlush(bytes).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
+            targetChannel.writeAndFlush(bytes).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
         }
     }
 
-    /** The receiver sees the beginning of a frame and then the end of the connection. */
+    /** Forwards the first half of the bytes, so that the connection ends within a frame. */
     private void forwardHalfAndClose(ByteBuf bytes) {
         ByteBuf firstHalf = bytes.readRetainedSlice(bytes.readableBytes() / 2);
         bytes.release();
         record(firstHalf);
-        destination.writeAndFlush(firstHalf).addListener(done -> connection.close());
+        targetChannel.writeAndFlush(firstHalf).addListener(future -> connection.close());
     }
 
     private void record(ByteBuf bytes) {
@@ -75,12 +75,13 @@
                 capture.writeFrame(connection.number(), connection.placer(), direction, frame);
             }
         } catch (RuntimeException e) {
-            // a sender of garbage: it is passed on, but no frame can be told from here on
+            // the sender violates the protocol: its bytes are still forwarded, but no longer
+            // decoded
             decodable = false;
         }
     }
 
-    /** Frees what was read of a frame that is not complete; it is not recorded. */
+    /** Releases the bytes of an incomplete frame, which is not recorded. */
     void releaseIncompleteFrame() {
         decoder.releaseInbound();
     }
--- a/testbed/src/main/java/thornferry/testbed/capture/FrameRow.java
+++ b/testbed/src/main/java/thornferry/testbed/capture/FrameRow.java
@@ -19,7 +19,7 @@
 import thornferry.protocol.v1.StopTask;
 import thornferry.protocol.v1.Task;
 
-/** Turns a STOMP frame into a row of the capture. */
+/** Converts a STOMP frame to a row of a capture file. */
 final class FrameRow {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String PASSCODE_HEADER = "passcode";
@@ -37,12 +37,12 @@
                         .put(CaptureFormat.COMMAND, frame.command().name());
         putHeaders(row.putObject(CaptureFormat.HEADERS), frame);
         if (frame.body().length > 0) {
-            row.set(CaptureFormat.BODY, body(frame, direction));
+            row.set(CaptureFormat.BODY, bodyToJson(frame, direction));
         }
         return row;
     }
 
-    /** Of a repeated header the first counts. Passcodes are left out. */
+    /** Adds the headers: only the first of those with the same name, and never the passcode. */
     private static void putHeaders(ObjectNode headers, Frame frame) {
         frame.headers()
                 .forEach(
@@ -54,12 +54,13 @@
                         });
     }
 
-    /** The body as JSON; as a text in base 64 if it cannot be read. */
-    private static JsonNode body(Frame frame, Direction direction) {
+    /** Returns the body as JSON, or as Base64 text if it cannot be decoded. */
+    private static JsonNode bodyToJson(Frame frame, Direction direction) {
         try {
-            Optional<Message> type = bodyType(frame.header(DESTINATION_HEADER, ""), direction);
-            if (type.isPresent()) {
-                return JSON.readTree(Bodies.json(Bodies.read(frame, type.get())));
+            Optional<Message> messageType =
+                    messageTypeOf(frame.header(DESTINATION_HEADER, ""), direction);
+            if (messageType.isPresent()) {
+                return JSON.readTree(Bodies.json(Bodies.read(frame, messageType.get())));
             }
             return JSON.readTree(frame.text());
         } catch (ProtocolException | JsonProcessingException e) {
@@ -67,8 +68,10 @@
         }
     }
 
-    /** The protobuf message that a body of this destination holds; empty if it is JSON. */
-    private static Optional<Message> bodyType(String destination, Direction direction) {
+    /**
+     * Returns the protobuf message type of a destination's bodies; empty if they are plain JSON.
+     */
+    private static Optional<Message> messageTypeOf(String destination, Direction direction) {
         if (direction == Direction.FROM_PLACER) {
             return Optional.ofNullable(Destinations.nodeOfOffers(destination))
                     .map(node -> Order.getDefaultInstance());
--- a/testbed/src/main/java/thornferry/testbed/capture/Mark.java
+++ b/testbed/src/main/java/thornferry/testbed/capture/Mark.java
@@ -1,40 +1,40 @@
 package thornferry.testbed.capture;
 
-/** Something done to the cluster that no frame shows and that the auditor may have to know of. */
+/** An action on the cluster that no frame shows but that the trace auditor may need to know. */
 public sealed interface Mark {
-    /** The placer that it was done to; empty if it was none. */
+    /** Returns the name of the affected placer; empty if the action affects no placer. */
     String placer();
 
     /**
      * The process of a placer was killed.
      *
-     * @param placer its name
+     * @param placer name of the placer
      */
     record PlacerKilled(String placer) implements Mark {}
 
     /**
-     * The process of a placer is suspended for a time. Written again with 0 when it is resumed,
-     * which may be later than planned.
+     * The process of a placer is suspended. If the process resumes later than planned, a second
+     * mark with a pause of 0 is written at that time.
      *
-     * @param placer its name
-     * @param pauseMicros how long from now on
+     * @param placer name of the placer
+     * @param pauseMicros planned duration of the pause, from the time of the mark
      */
     record PlacerPaused(String placer, long pauseMicros) implements Mark {}
 
     /**
-     * The recording proxy holds back for a time what the placer sends on a connection.
+     * The recording proxy temporarily stops reading what the placer sends on a connection.
      *
      * @param connection number of the connection
      * @param placer name of the placer
-     * @param pauseMicros how long nothing is passed on from now on
+     * @param pauseMicros duration of the pause, from the time of the mark
      */
     record SlowReader(long connection, String placer, long pauseMicros) implements Mark {}
 
     /**
-     * Any other fault; the auditor's rules do not depend on it.
+     * Any other fault; the trace auditor's rules do not depend on it.
      *
-     * @param name what was done
-     * @param placer name of the placer; empty if it was done to none
+     * @param name name of the fault
+     * @param placer name of the affected placer; empty if the fault affects no placer
      */
     record Other(String name, String placer) implements Mark {}
 }
--- a/testbed/src/main/java/thornferry/testbed/capture/ProxiedConnection.java
+++ b/testbed/src/main/java/thornferry/testbed/capture/ProxiedConnection.java
@@ -14,9 +14,9 @@
 import java.util.function.Consumer;
 
 /**
- * One connection of a client or node through the recording proxy: its socket, the socket to the
- * placer, and the faults injected into it. All methods run on the event loop of the connection,
- * except {@link #inject}.
+ * A connection of a client or node through the recording proxy: the socket of the peer, the socket
+ * to the placer, and the injected faults. All methods must be called on the event loop of the
+ * connection, except {@link #inject}.
  */
 final class ProxiedConnection {
     private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
@@ -35,12 +35,12 @@
     private boolean cutOnNextRead;
 
     /**
-     * Takes over an accepted connection.
+     * Wraps an accepted connection.
      *
-     * @param number identifies it in the capture
-     * @param placer name of the placer that it leads to
-     * @param peerChannel socket of the client or node, which is not read from yet
-     * @param onClose called once when it is closed
+     * @param number number that identifies the connection in the capture
+     * @param placer name of the placer behind the proxy
+     * @param peerChannel socket of the client or node, with automatic reading still turned off
+     * @param onClose called once, when the connection is closed
      */
     ProxiedConnection(
             long number,
@@ -59,11 +59,11 @@
     }
 
     /**
-     * Connects to the placer and then begins to forward.
+     * Connects to the placer and then starts forwarding.
      *
-     * @param placerAddress where the placer listens
-     * @param peerTls terminates the peer's TLS; empty for plain text
-     * @param placerTls encrypts towards the placer; empty for plain text
+     * @param placerAddress address on which the placer listens
+     * @param peerTls TLS context towards the client or node; empty for plain text
+     * @param placerTls TLS context towards the placer; empty for plain text
      */
     void open(
             SocketAddress placerAddress,
@@ -73,7 +73,7 @@
         peerTls.ifPresent(
                 tls -> peerChannel.pipeline().addLast(tls.newHandler(peerChannel.alloc())));
         peerChannel.pipeline().addLast(toPlacer);
-        // one event loop for both sockets: the order of the capture is the order of forwarding
+        // Both sockets share an event loop, so that frames are recorded in the order of forwarding.
         new Bootstrap()
                 .group(peerChannel.eventLoop())
                 .channel(NioSocketChannel.class)
@@ -100,17 +100,17 @@
         channel.pipeline().addLast(fromPlacer);
     }
 
-    private void connectCompleted(ChannelFuture connect) {
-        if (!connect.isSuccess()) {
+    private void connectCompleted(ChannelFuture connectFuture) {
+        if (!connectFuture.isSuccess()) {
             close();
             return;
         }
-        placerChannel = Optional.of(connect.channel());
-        toPlacer.forwardTo(connect.channel());
+        placerChannel = Optional.of(connectFuture.channel());
+        toPlacer.forwardTo(connectFuture.channel());
         peerChannel.config().setAutoRead(true);
     }
 
-    /** Closes both sockets; does nothing if they are closed already. */
+    /** Closes both sockets. Does nothing if the connection is already closed. */
     void close() {
         if (closed) {
             return;
@@ -124,7 +124,7 @@
         fromPlacer.releaseIncompleteFrame();
     }
 
-    /** Runs a fault on the connection's event loop, unless it is closed by then. */
+    /** Runs a fault on the connection's event loop, unless the connection is closed by then. */
     void inject(Consumer<ProxiedConnection> fault) {
         peerChannel
                 .eventLoop()
@@ -136,17 +136,17 @@
                         });
     }
 
-    /** Both ends take the connection for open, but nothing is forwarded any more. */
+    /** Makes the connection half-open: its sockets stay open, but no more bytes are forwarded. */
     void makeHalfOpen() {
         halfOpen = true;
     }
 
-    /** Of what is read next only the first half is forwarded; then the connection is closed. */
+    /** Forwards only the first half of the next bytes read, then closes the connection. */
     void cutOnNextRead() {
         cutOnNextRead = true;
     }
 
-    /** For a time nothing is read from the placer, as if the peer did not read. */
+    /** Stops reading from the placer for a time, as if the peer were a slow reader. */
     void stopReadingFromPlacer(long pauseMillis) {
         placerChannel.ifPresent(
                 channel -> {
@@ -170,7 +170,8 @@
     }
 
     /**
-     * Whether it is recorded as closed; what is read after that is neither passed on nor recorded.
+     * Returns whether the connection is recorded as closed. Bytes read after that are neither
+     * forwarded nor recorded.
      */
     boolean isClosed() {
         return closed;
--- a/testbed/src/main/java/thornferry/testbed/capture/RecordingProxy.java
+++ b/testbed/src/main/java/thornferry/testbed/capture/RecordingProxy.java
@@ -23,14 +23,16 @@
 import java.util.function.Consumer;
 
 /**
- * A TCP proxy in front of one placer. It forwards all bytes, records the frames among those that it
- * forwarded, and injects transport faults. It changes no frame; what it cuts off or drops is not
- * recorded.
+ * A TCP proxy in front of one placer, which forwards bytes, records the frames that it forwards,
+ * and injects transport faults. The proxy does not change frames, and does not record frames that
+ * it truncates or drops.
  */
 public final class RecordingProxy implements AutoCloseable {
     static final String LOOPBACK = "127.0.0.1";
 
-    /** Connections are numbered across all proxies, as they may share a capture. */
+    /**
+     * Number of the last connection of all proxies, because several proxies may share a capture.
+     */
     private static final AtomicLong LAST_CONNECTION_NUMBER = new AtomicLong();
 
     private static final int ACCEPT_BACKLOG = 4_096;
@@ -40,18 +42,18 @@
     private final Capture capture;
     private final Optional<SslContext> peerTls;
     private final Optional<SslContext> placerTls;
-    private final MultiThreadIoEventLoopGroup eventLoop =
+    private final MultiThreadIoEventLoopGroup eventLoopGroup =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final Map<Long, ProxiedConnection> connections = new ConcurrentHashMap<>();
+    private final Map<Long, ProxiedConnection> connectionByNumber = new ConcurrentHashMap<>();
     private final Channel listener;
     private volatile SocketAddress placerAddress;
 
     /**
-     * Listens on a free port and forwards everything in plain text.
+     * Starts a proxy that listens on a free port and forwards plain text.
      *
      * @param placer name of the placer in the capture
-     * @param placerAddress where the placer listens
-     * @param capture records what passes
+     * @param placerAddress address on which the placer listens
+     * @param capture capture to which connections and frames are written
      */
     public RecordingProxy(String placer, SocketAddress placerAddress, Capture capture)
             throws IOException {
@@ -59,15 +61,15 @@
     }
 
     /**
-     * Listens on a free port and forwards everything over TLS, which is terminated on both sides so
-     * that frames can be recorded. A peer's certificate therefore does not reach the placer; logins
-     * and passcodes do.
+     * Starts a proxy that listens on a free port and terminates TLS on both sides, so that it can
+     * record frames. A peer's certificate therefore does not reach the placer, but logins and
+     * passcodes do.
      *
      * @param placer name of the placer in the capture
-     * @param placerAddress where the placer listens
-     * @param capture records what passes
-     * @param peerTls towards clients and nodes; null for plain text
-     * @param placerTls towards the placer; null for plain text
+     * @param placerAddress address on which the placer listens
+     * @param capture capture to which connections and frames are written
+     * @param peerTls TLS context towards clients and nodes; null for plain text
+     * @param placerTls TLS context towards the placer; null for plain text
      */
     public RecordingProxy(
             String placer,
@@ -87,7 +89,7 @@
     private Channel listen() throws IOException {
         try {
             return new ServerBootstrap()
-                    .group(eventLoop)
+                    .group(eventLoopGroup)
                     .channel(NioServerSocketChannel.class)
                     .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                     .childOption(ChannelOption.AUTO_READ, false)
@@ -115,66 +117,68 @@
                         placer,
                         capture,
                         peerChannel,
-                        closed -> connections.remove(closed.number()));
-        connections.put(connection.number(), connection);
+                        closed -> connectionByNumber.remove(closed.number()));
+        connectionByNumber.put(connection.number(), connection);
         connection.open(placerAddress, peerTls, placerTls);
     }
 
-    /** Where clients and nodes connect to. */
+    /** Returns the address to which clients and nodes connect. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** Sets where new connections lead from now on, for a placer that was restarted. */
+    /** Sets the placer address for new connections, after the placer was restarted. */
     public void target(SocketAddress newPlacerAddress) {
         placerAddress = newPlacerAddress;
     }
 
     /**
-     * Cuts connections in the middle of what is read next.
+     * Cuts connections after half of the bytes that are read next on them.
      *
-     * @param share of all connections, from 0 to 1
-     * @return number of connections
+     * @param fraction fraction of the connections to affect on average, from 0 to 1
+     * @return number of affected connections
      */
-    public int cut(double share, SplittableRandom random) {
-        return inject(share, random, ProxiedConnection::cutOnNextRead);
+    public int cut(double fraction, SplittableRandom random) {
+        return inject(fraction, random, ProxiedConnection::cutOnNextRead);
     }
 
     /**
-     * Makes connections half-open: both ends take them for open, but nothing passes.
+     * Makes connections half-open: their sockets stay open, but no more bytes are forwarded.
      *
-     * @param share of all connections, from 0 to 1
-     * @return number of connections
+     * @param fraction fraction of the connections to affect on average, from 0 to 1
+     * @return number of affected connections
      */
-    public int halfOpen(double share, SplittableRandom random) {
-        return inject(share, random, ProxiedConnection::makeHalfOpen);
+    public int halfOpen(double fraction, SplittableRandom random) {
+        return inject(fraction, random, ProxiedConnection::makeHalfOpen);
     }
 
     /**
-     * Makes peers slow readers: what the placer sends them is held back.
+     * Makes peers slow readers, by not reading from the placer for a time.
      *
-     * @param share of all connections, from 0 to 1
-     * @param pauseMillis how long
-     * @return number of connections
+     * @param fraction fraction of the connections to affect on average, from 0 to 1
+     * @param pauseMillis duration of the pause
+     * @return number of affected connections
      */
-    public int slowReader(double share, long pauseMillis, SplittableRandom random) {
-        return inject(share, random, connection -> connection.stopReadingFromPlacer(pauseMillis));
+    public int slowReader(double fraction, long pauseMillis, SplittableRandom random) {
+        return inject(
+                fraction, random, connection -> connection.stopReadingFromPlacer(pauseMillis));
     }
 
-    private int inject(double share, SplittableRandom random, Consumer<ProxiedConnection> fault) {
-        List<ProxiedConnection> chosen = new ArrayList<>(connections.values());
-        chosen.removeIf(connection -> random.nextDouble() >= share);
-        chosen.forEach(connection -> connection.inject(fault));
-        return chosen.size();
+    private int inject(
+            double fraction, SplittableRandom random, Consumer<ProxiedConnection> fault) {
+        List<ProxiedConnection> affected = new ArrayList<>(connectionByNumber.values());
+        affected.removeIf(connection -> random.nextDouble() >= fraction);
+        affected.forEach(connection -> connection.inject(fault));
+        return affected.size();
     }
 
-    /** Closes all connections and waits, so that what follows is recorded after it. */
+    /** Closes all connections and waits until the capture contains that they are closed. */
     public void closeAll() {
-        eventLoop
+        eventLoopGroup
                 .next()
                 .submit(
                         () ->
-                                new ArrayList<>(connections.values())
+                                new ArrayList<>(connectionByNumber.values())
                                         .forEach(ProxiedConnection::close))
                 .syncUninterruptibly();
     }
@@ -183,7 +187,7 @@
     public void close() {
         listener.close().syncUninterruptibly();
         closeAll();
-        eventLoop
+        eventLoopGroup
                 .shutdownGracefully(0, SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS)
                 .syncUninterruptibly();
     }
--- a/testbed/src/main/java/thornferry/testbed/capture/SiteRow.java
+++ b/testbed/src/main/java/thornferry/testbed/capture/SiteRow.java
@@ -7,7 +7,7 @@
 import thornferry.placer.Site;
 import thornferry.state.Durability;
 
-/** Turns a site's configuration into the first row of a capture. */
+/** Converts a site's configuration to the first row of a capture file. */
 final class SiteRow {
     private static final ObjectMapper JSON = new ObjectMapper();
 
--- a/testbed/src/test/java/thornferry/testbed/capture/ForwardingHandlerTest.java
+++ b/testbed/src/test/java/thornferry/testbed/capture/ForwardingHandlerTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a proxied connection passes on and records before and after it is closed. */
+/** Tests which bytes a proxied connection forwards and records before and after it is closed. */
 class ForwardingHandlerTest {
     private static final long CONNECTION_NUMBER = 1;
     private static final String FRAME = "SEND\ndestination:/tasks\n\n{}\0";
@@ -24,8 +24,8 @@
     private Path file;
     private Capture capture;
     private ProxiedConnection connection;
-    private final EmbeddedChannel source = new EmbeddedChannel();
-    private final EmbeddedChannel destination = new EmbeddedChannel();
+    private final EmbeddedChannel sourceChannel = new EmbeddedChannel();
+    private final EmbeddedChannel targetChannel = new EmbeddedChannel();
 
     @BeforeEach
     void openConnection() throws IOException {
@@ -35,19 +35,19 @@
                 new ProxiedConnection(
                         CONNECTION_NUMBER, "p", capture, new EmbeddedChannel(), closed -> {});
         ForwardingHandler handler = new ForwardingHandler(connection, Direction.TO_PLACER, capture);
-        handler.forwardTo(destination);
-        source.pipeline().addLast(handler);
+        handler.forwardTo(targetChannel);
+        sourceChannel.pipeline().addLast(handler);
     }
 
     @AfterEach
     void releaseChannels() {
-        source.finishAndReleaseAll();
-        destination.finishAndReleaseAll();
+        sourceChannel.finishAndReleaseAll();
+        targetChannel.finishAndReleaseAll();
     }
 
-    private ByteBuf read() {
+    private ByteBuf receiveFrame() {
         ByteBuf bytes = Unpooled.copiedBuffer(FRAME, StandardCharsets.UTF_8);
-        source.writeInbound(bytes);
+        sourceChannel.writeInbound(bytes);
         return bytes;
     }
 
@@ -58,19 +58,19 @@
 
     @Test
     void forwardsAndRecordsFrameOfOpenConnection() throws IOException {
-        read();
-        ByteBuf forwarded = destination.readOutbound();
+        receiveFrame();
+        ByteBuf forwarded = targetChannel.readOutbound();
         assertThat(forwarded.toString(StandardCharsets.UTF_8)).isEqualTo(FRAME);
         forwarded.release();
         assertThat(recordedRows()).singleElement().asString().contains("\"k\":\"frame\"");
     }
 
     @Test
-    void ignoresFrameReadAfterConnectionIsClosed() throws IOException {
+    void neitherForwardsNorRecordsFrameReadAfterConnectionIsClosed() throws IOException {
         connection.close();
-        ByteBuf bytes = read();
+        ByteBuf bytes = receiveFrame();
         assertThat(bytes.refCnt()).isZero();
-        assertThat(destination.<ByteBuf>readOutbound()).isNull();
+        assertThat(targetChannel.<ByteBuf>readOutbound()).isNull();
         assertThat(recordedRows()).singleElement().asString().contains("\"k\":\"close\"");
     }
 }
