--- a/testbed/src/main/java/thornferry/testbed/diagnosis/AdmissionQueueScenarios.java
+++ b/testbed/src/main/java/thornferry/testbed/diagnosis/AdmissionQueueScenarios.java
@@ -4,10 +4,10 @@
 import thornferry.protocol.v1.Reason.Kind;
 import thornferry.testbed.diagnosis.ScenarioSite.TaskClass;
 
-/** Scenarios in which the task waits in the admission queue behind others. */
+/** Scenarios in which the observed task waits in the admission queue behind other tasks. */
 final class AdmissionQueueScenarios {
-    /** A single task at a time may be dispatched, and capacity is never reserved. */
-    private static final String WINDOW_OF_ONE =
+    /** Settings that allow one dispatched task at a time and never reserve capacity. */
+    private static final String SINGLE_TASK_WINDOW =
             """
             [line]
             window = 1
@@ -16,6 +16,8 @@
             """;
 
     private static final long RESERVATION_DELAY_MILLIS = 100;
+
+    /** Settings that reserve capacity for a large task after a short wait. */
     private static final String EARLY_RESERVATION =
             """
             [line]
@@ -30,9 +32,9 @@
     static PendingReasonScenario aboveFairShare() {
         return new PendingReasonScenario(
                 "above one's share",
-                WINDOW_OF_ONE,
+                SINGLE_TASK_WINDOW,
                 cluster -> {
-                    fillNodeAndWindow(cluster);
+                    fillNodeAndDispatchWindow(cluster);
                     cluster.submitAsOtherOwner(TaskClass.IDEMPOTENT, 1);
                     cluster.submitObserved(TaskClass.IDEMPOTENT, 1);
                 },
@@ -40,13 +42,13 @@
                 Optional.of(cluster -> cluster.node("n1").endTask("blocker")));
     }
 
-    /** A task of higher priority weight waits before it. */
+    /** A task of higher priority weight waits ahead of the observed task. */
     static PendingReasonScenario behindOtherTasks() {
         return new PendingReasonScenario(
                 "its turn has not come",
-                WINDOW_OF_ONE,
+                SINGLE_TASK_WINDOW,
                 cluster -> {
-                    fillNodeAndWindow(cluster);
+                    fillNodeAndDispatchWindow(cluster);
                     cluster.submit("ahead", TaskClass.HIGH_PRIORITY, 1);
                     cluster.submitObserved(TaskClass.IDEMPOTENT, 1);
                 },
@@ -70,8 +72,11 @@
                 Optional.of(cluster -> cluster.node("n1").endTask("blocker")));
     }
 
-    /** Occupies the only node, then the dispatch window with a task that finds no capacity. */
-    private static void fillNodeAndWindow(ScenarioCluster cluster)
+    /**
+     * Fills the only node, then fills the dispatch window with a task for which no capacity is
+     * free.
+     */
+    private static void fillNodeAndDispatchWindow(ScenarioCluster cluster)
             throws ScenarioFailedException, InterruptedException {
         cluster.startNode("n1");
         cluster.place("blocker", TaskClass.HIGH_PRIORITY, 10);
--- a/testbed/src/main/java/thornferry/testbed/diagnosis/CapacityScenarios.java
+++ b/testbed/src/main/java/thornferry/testbed/diagnosis/CapacityScenarios.java
@@ -5,11 +5,11 @@
 import thornferry.protocol.v1.Reason.Kind;
 import thornferry.testbed.diagnosis.ScenarioSite.TaskClass;
 
-/** Scenarios in which the capacity of the nodes does not suffice. */
+/** Scenarios in which the nodes lack the capacity for the observed task. */
 final class CapacityScenarios {
     private CapacityScenarios() {}
 
-    /** No node is connected; then one joins. */
+    /** No node is connected, until one registers. */
     static PendingReasonScenario noNodes() {
         return new PendingReasonScenario(
                 "no node is connected",
@@ -21,7 +21,7 @@
                 Optional.of(cluster -> cluster.startNode("n1")));
     }
 
-    /** The task needs more cores than any node has. */
+    /** The observed task needs more cores than any node has. */
     static PendingReasonScenario largerThanAnyNode() {
         return new PendingReasonScenario(
                 "larger than any node",
@@ -34,7 +34,7 @@
                 Optional.empty());
     }
 
-    /** The only node is occupied by a running task, which then ends. */
+    /** A running task occupies the only node, until the task ends. */
     static PendingReasonScenario notEnoughCores() {
         return new PendingReasonScenario(
                 "not enough cores",
@@ -48,7 +48,7 @@
                 Optional.of(cluster -> cluster.node("n1").endTask("blocker")));
     }
 
-    /** The node rejects the task for lack of memory, then accepts it. */
+    /** The node first rejects the observed task for lack of memory, then accepts it. */
     static PendingReasonScenario nodeRejectsForMemory() {
         return new PendingReasonScenario(
                 "a node refuses for memory",
--- a/testbed/src/main/java/thornferry/testbed/diagnosis/ExpectedReason.java
+++ b/testbed/src/main/java/thornferry/testbed/diagnosis/ExpectedReason.java
@@ -6,11 +6,12 @@
 /**
  * The reason that the placer must report for a pending task.
  *
- * @param kind the kind of the reason
- * @param evidence text that its sentence must contain, such as the name of a node; may be empty
+ * @param kind kind of the reason
+ * @param evidence text that the reason's sentence must contain, such as the name of a node; may be
+ *     empty
  */
 record ExpectedReason(Reason.Kind kind, String evidence) {
-    /** Expects a kind with any sentence. */
+    /** Returns an expectation of a kind of reason with any sentence. */
     static ExpectedReason ofKind(Reason.Kind kind) {
         return new ExpectedReason(kind, "");
     }
--- a/testbed/src/main/java/thornferry/testbed/diagnosis/LoopbackPlacer.java
+++ b/testbed/src/main/java/thornferry/testbed/diagnosis/LoopbackPlacer.java
@@ -16,19 +16,19 @@
 import thornferry.protocol.Heartbeat;
 import thornferry.protocol.v1.TaskNews;
 
-/** A placer on a free port of the loopback interface, with its clients. */
+/** A placer on a free port of the loopback interface, together with its clients. */
 public final class LoopbackPlacer implements AutoCloseable {
     private static final String HOST = "127.0.0.1";
     private static final int ANY_PORT = 0;
     private static final int INSTANCES = 1;
-    private static final int EVENT_LOOPS = 2;
+    private static final int EVENT_LOOP_THREADS = 2;
     private static final long SHUTDOWN_TIMEOUT_SECONDS = 2;
 
     private final Site site;
     private final Heartbeat heartbeat;
     private final InetSocketAddress address;
-    private final MultiThreadIoEventLoopGroup loops =
-            new MultiThreadIoEventLoopGroup(EVENT_LOOPS, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup eventLoopGroup =
+            new MultiThreadIoEventLoopGroup(EVENT_LOOP_THREADS, NioIoHandler.newFactory());
     private final Deque<Runnable> closeActions = new ArrayDeque<>();
     private Placer placer;
 
@@ -42,42 +42,42 @@
     /**
      * Starts a placer.
      *
-     * @param heartbeat heartbeat intervals that its clients propose
+     * @param heartbeat heartbeat intervals that the clients of the placer propose
      */
     public static LoopbackPlacer start(Site site, Heartbeat heartbeat) throws IOException {
         return new LoopbackPlacer(site, heartbeat, Placer.start(site, HOST, ANY_PORT, INSTANCES));
     }
 
-    /** Stops the placer as a kill would, and starts another on the same port. */
+    /** Stops the placer abruptly, like a kill, and starts another on the same port. */
     public void restart() throws IOException {
         placer.close();
         placer = Placer.start(site, HOST, address.getPort(), INSTANCES);
     }
 
-    /** The placer that runs now. */
+    /** Returns the placer that is currently running. */
     public Placer placer() {
         return placer;
     }
 
-    /** Where the placer listens; the same after a restart. */
+    /** Returns the address on which the placer listens; a restart does not change it. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** An event loop for a connection to the placer. */
+    /** Returns the next event loop of the group, for a connection to the placer. */
     public EventLoop nextLoop() {
-        return loops.next();
+        return eventLoopGroup.next();
     }
 
-    /** This placer in plain text, for a login with its passcode. */
+    /** Returns a plain-text connection target at this placer for a login and its passcode. */
     public ClientConnection.Target target(String login, String passcode) {
         return new ClientConnection.Target(address, login, passcode, heartbeat);
     }
 
     /**
-     * Connects a client, which is closed before the placer.
+     * Connects a client, which {@link #close} closes before the placer.
      *
-     * @param events receives the events of tasks after their results
+     * @param events consumer of the events of tasks after their results
      */
     public TaskClient connect(ClientConnection.Target target, Consumer<TaskNews> events) {
         TaskClient client = TaskClient.connect(target, nextLoop(), events);
@@ -85,7 +85,7 @@
         return client;
     }
 
-    /** Adds an action that runs before the placer is closed; the latest added runs first. */
+    /** Adds an action to run before the placer is closed; the action added last runs first. */
     public void beforeClose(Runnable action) {
         closeActions.push(action);
     }
@@ -95,7 +95,8 @@
     public void close() {
         closeActions.forEach(Runnable::run);
         placer.close();
-        loops.shutdownGracefully(0, SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS)
+        eventLoopGroup
+                .shutdownGracefully(0, SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS)
                 .syncUninterruptibly();
     }
 }
--- a/testbed/src/main/java/thornferry/testbed/diagnosis/MachineStateScenarios.java
+++ b/testbed/src/main/java/thornferry/testbed/diagnosis/MachineStateScenarios.java
@@ -5,11 +5,11 @@
 import thornferry.protocol.v1.Reason.Kind;
 import thornferry.testbed.diagnosis.ScenarioSite.TaskClass;
 
-/** Scenarios in which the state of the only node keeps it from being used. */
+/** Scenarios in which the state of the only node excludes it from placement. */
 final class MachineStateScenarios {
     private MachineStateScenarios() {}
 
-    /** The connection of the node broke; then another node joins. */
+    /** The connection of the node is broken, until another node registers. */
     static PendingReasonScenario connectionBroken() {
         return new PendingReasonScenario(
                 "the node's connection broke",
@@ -23,7 +23,7 @@
                 Optional.of(cluster -> cluster.startNode("n2")));
     }
 
-    /** The node drains, until its draining is revoked. */
+    /** The node drains, until the drain is cancelled. */
     static PendingReasonScenario draining() {
         return new PendingReasonScenario(
                 "the node drains",
@@ -37,7 +37,7 @@
                 Optional.of(cluster -> cluster.node("n1").setDraining(false)));
     }
 
-    /** The node is in its slow start and has used its offers; then another joins. */
+    /** The node has used up the offers of its slow start, until another node registers. */
     static PendingReasonScenario slowStart() {
         return new PendingReasonScenario(
                 "the node has just started",
--- a/testbed/src/main/java/thornferry/testbed/diagnosis/OfferResponse.java
+++ b/testbed/src/main/java/thornferry/testbed/diagnosis/OfferResponse.java
@@ -3,16 +3,16 @@
 import thornferry.protocol.v1.Answer;
 import thornferry.protocol.v1.Offer;
 
-/** How a scripted node responds to each offer. */
+/** The response of a scripted node to an offer. */
 @FunctionalInterface
 interface OfferResponse {
-    /** Accepts the task and runs it. */
+    /** Accepts the offer and runs the task. */
     OfferResponse RUN = ScriptedNode::run;
 
-    /** Sends no answer. */
+    /** Does not answer the offer. */
     OfferResponse IGNORE = (node, offer) -> {};
 
-    /** Rejects the task for a reason. */
+    /** Returns a response that rejects every offer for the given reason. */
     static OfferResponse reject(Answer.Reason reason) {
         return (node, offer) -> node.reject(offer, reason);
     }
--- a/testbed/src/main/java/thornferry/testbed/diagnosis/PendingReasonScenarios.java
+++ b/testbed/src/main/java/thornferry/testbed/diagnosis/PendingReasonScenarios.java
@@ -12,23 +12,24 @@
 import thornferry.testbed.diagnosis.ScenarioCluster.ObservedStatus;
 
 /**
- * Checks every kind of reason for which a task can be pending: in a small site where the kind is
- * the true one, the placer must report it; then the cause ends and the task must be placed.
+ * Checks every kind of reason for which a task can be pending. Each scenario runs a small site in
+ * which the task is pending for a known reason. The placer must report this reason, and must place
+ * the task once the cause ends.
  */
 public final class PendingReasonScenarios {
     /**
-     * What the placer reported in a scenario.
+     * The reason that the placer reported in a scenario, with the measured times.
      *
      * @param scenario name of the scenario
      * @param kind kind of the reason
-     * @param sentence the reason in words, as clients see it
-     * @param shownMicros time until the reason was reported
+     * @param sentence text of the reason, as clients see it
+     * @param shownMicros time from the first status query until the reason was reported
      * @param placedMicros time from the end of the cause until the task was placed; {@link
      *     #NOT_RESOLVED} if the scenario does not end the cause
      */
     public record Shown(
             String scenario, Kind kind, String sentence, long shownMicros, long placedMicros) {
-        /** {@link #placedMicros()} of a scenario that does not end the cause. */
+        /** Value of {@link #placedMicros()} for a scenario that does not end the cause. */
         public static final long NOT_RESOLVED = -1;
 
         static Shown of(
@@ -42,7 +43,7 @@
         }
     }
 
-    /** All scenarios with a single reason, in the order in which they are played. */
+    /** All scenarios with a single reason, in the order in which they run. */
     private static final List<PendingReasonScenario> SINGLE_REASON_SCENARIOS =
             List.of(
                     CapacityScenarios.noNodes(),
@@ -67,23 +68,23 @@
     private PendingReasonScenarios() {}
 
     /**
-     * Plays all scenarios.
+     * Runs all scenarios.
      *
-     * @throws ScenarioFailedException if a scenario shows another reason than the true one, or its
-     *     task is not placed once the cause has ended
+     * @throws ScenarioFailedException if the placer does not report the expected reason in time, or
+     *     does not place the task once the cause has ended
      */
     public static List<Shown> play()
             throws IOException, ScenarioFailedException, InterruptedException {
-        List<Shown> shown = new ArrayList<>();
+        List<Shown> shownReasons = new ArrayList<>();
         for (PendingReasonScenario scenario : SINGLE_REASON_SCENARIOS) {
             try {
-                shown.add(play(scenario));
+                shownReasons.add(play(scenario));
             } catch (ScenarioFailedException e) {
                 throw e.inScenario(scenario.name());
             }
         }
-        shown.addAll(ReasonChangeScenario.play());
-        return shown;
+        shownReasons.addAll(ReasonChangeScenario.play());
+        return shownReasons;
     }
 
     private static Shown play(PendingReasonScenario scenario)
@@ -108,11 +109,11 @@
 
     private static void requireOtherOwnersTaskHidden(Why why) throws ScenarioFailedException {
         if (why.toString().contains(OTHER_OWNERS_TASK)) {
-            throw new ScenarioFailedException("another owner's task is named: " + why);
+            throw new ScenarioFailedException("the status names another owner's task: " + why);
         }
     }
 
-    /** Ends the cause; returns the microseconds until the observed task was placed. */
+    /** Ends the cause and returns the time until the observed task was placed, in microseconds. */
     private static long resolve(ScenarioCluster cluster, ScenarioStep resolution)
             throws ScenarioFailedException, InterruptedException {
         Stopwatch stopwatch = Stopwatch.start();
@@ -121,7 +122,8 @@
         long placedMicros = stopwatch.elapsedMicros();
         Why why = cluster.status(OBSERVED_TASK);
         if (!why.getState().equals("placed") || why.hasReason()) {
-            throw new ScenarioFailedException("a placed task shows " + why);
+            throw new ScenarioFailedException(
+                    "the state of a placed task should be placed, without a reason: " + why);
         }
         return placedMicros;
     }
@@ -130,8 +132,9 @@
      * Measures the response times of queries about another owner's pending task and about a task
      * that does not exist, which an owner must not be able to tell apart.
      *
-     * @param queries number of queries of each sort
-     * @return the medians in microseconds: of another owner's task, of a missing task
+     * @param queries number of queries about each of the two tasks
+     * @return median response times in microseconds, about another owner's task and about a missing
+     *     task
      */
     public static long[] timing(int queries)
             throws IOException, ScenarioFailedException, InterruptedException {
--- a/testbed/src/main/java/thornferry/testbed/diagnosis/PlacementConstraintScenarios.java
+++ b/testbed/src/main/java/thornferry/testbed/diagnosis/PlacementConstraintScenarios.java
@@ -9,7 +9,7 @@
 final class PlacementConstraintScenarios {
     private PlacementConstraintScenarios() {}
 
-    /** A task of the same owner holds the key on the node; then another node joins. */
+    /** A task of the same owner holds the key on the only node, until another node registers. */
     static PendingReasonScenario keyHeldByOwnTask() {
         return new PendingReasonScenario(
                 "the key is held by a task of one's own",
@@ -24,7 +24,7 @@
                 Optional.of(cluster -> cluster.startNode("n2")));
     }
 
-    /** A task of another owner holds the key, and must not be named. */
+    /** A task of another owner, which the status must not name, holds the key on the only node. */
     static PendingReasonScenario keyHeldByOtherOwnersTask() {
         return new PendingReasonScenario(
                 "the key is held by another's task",
@@ -39,7 +39,7 @@
                 Optional.of(cluster -> cluster.startNode("n2")));
     }
 
-    /** The node runs as many tasks of the service as the spread rule allows. */
+    /** The only node runs as many tasks of the service as the spread rule allows. */
     static PendingReasonScenario spread() {
         return new PendingReasonScenario(
                 "one of its service on every node",
--- a/testbed/src/main/java/thornferry/testbed/diagnosis/QueryTiming.java
+++ b/testbed/src/main/java/thornferry/testbed/diagnosis/QueryTiming.java
@@ -9,19 +9,20 @@
 import thornferry.testbed.diagnosis.ScenarioSite.TaskClass;
 
 /**
- * Median response times of an owner's status queries that must not be distinguishable.
+ * Median response times of two sorts of status queries that an owner must not be able to tell
+ * apart.
  *
- * @param otherOwnersTaskMicros of queries about a pending task of another owner
- * @param missingTaskMicros of queries about a task that does not exist
+ * @param otherOwnersTaskMicros median for queries about a pending task of another owner
+ * @param missingTaskMicros median for queries about a task that does not exist
  */
 record QueryTiming(long otherOwnersTaskMicros, long missingTaskMicros) {
-    /** As long as the name of the pending task, so that the frames have the same size. */
+    /** Name of the same length as the observed task's, so that the frames have the same size. */
     private static final String MISSING_TASK = "not-here";
 
     /**
      * Measures both medians with alternating queries.
      *
-     * @param queries number of queries of each sort
+     * @param queries number of queries about each of the two tasks
      */
     static QueryTiming measure(int queries)
             throws IOException, ScenarioFailedException, InterruptedException {
@@ -46,7 +47,9 @@
         Why why = cluster.statusAsOtherOwner(task);
         long micros = stopwatch.elapsedMicros();
         if (!why.getState().equals("unknown")) {
-            throw new ScenarioFailedException("another owner's task is shown: " + why);
+            throw new ScenarioFailedException(
+                    "the state of another owner's task or a missing task should be unknown: "
+                            + why);
         }
         return micros;
     }
--- a/testbed/src/main/java/thornferry/testbed/diagnosis/QuotaScenarios.java
+++ b/testbed/src/main/java/thornferry/testbed/diagnosis/QuotaScenarios.java
@@ -4,7 +4,7 @@
 import thornferry.protocol.v1.Reason.Kind;
 import thornferry.testbed.diagnosis.ScenarioSite.TaskClass;
 
-/** Scenarios in which a quota of the owner, the tenant or the site throttles the task. */
+/** Scenarios in which a quota of the owner, the tenant or the site holds back the observed task. */
 final class QuotaScenarios {
     private static final String OWNER_QUOTA =
             """
@@ -27,7 +27,7 @@
 
     private QuotaScenarios() {}
 
-    /** The owner's only task slot is used by a running task, which then ends. */
+    /** A running task uses up the owner's quota of one task, until it ends. */
     static PendingReasonScenario ownerQuota() {
         return new PendingReasonScenario(
                 "one's own limit",
@@ -41,7 +41,7 @@
                 Optional.of(cluster -> cluster.node("n1").endTask("first")));
     }
 
-    /** A running task uses all cores of the tenant's quota, and then ends. */
+    /** A running task uses all cores of the tenant's quota, until it ends. */
     static PendingReasonScenario tenantQuota() {
         return new PendingReasonScenario(
                 "the tenant's limit",
@@ -55,7 +55,7 @@
                 Optional.of(cluster -> cluster.node("n1").endTask("first")));
     }
 
-    /** The site's only task slot is used by another owner's task, which then ends. */
+    /** Another owner's task uses up the site's quota of one task, until it ends. */
     static PendingReasonScenario siteQuota() {
         return new PendingReasonScenario(
                 "the site's limit",
--- a/testbed/src/main/java/thornferry/testbed/diagnosis/ReasonChangeScenario.java
+++ b/testbed/src/main/java/thornferry/testbed/diagnosis/ReasonChangeScenario.java
@@ -13,8 +13,9 @@
 import thornferry.testbed.diagnosis.ScenarioSite.TaskClass;
 
 /**
- * A task whose reason changes while it is pending: its node rejects it for lack of memory, then
- * drains, then accepts it. The history of reasons must contain both in this order.
+ * A scenario in which the reason changes while the task is pending: the node rejects the task for
+ * lack of memory, then drains, then accepts the task. The history of reasons must contain the
+ * rejection before the drain.
  */
 final class ReasonChangeScenario {
     private static final String REJECTED_NAME = "changing: refused";
@@ -31,16 +32,16 @@
                             .respondWith(OfferResponse.reject(Answer.Reason.NO_MEMORY))
                             .join();
             cluster.submitObserved(TaskClass.IDEMPOTENT, 1);
-            Shown rejected = awaitKind(cluster, REJECTED_NAME, Kind.REFUSED);
+            Shown rejected = awaitReasonOfKind(cluster, REJECTED_NAME, Kind.REFUSED);
             node.setDraining(true);
-            Shown draining = awaitKind(cluster, DRAINING_NAME, Kind.DRAINING);
+            Shown draining = awaitReasonOfKind(cluster, DRAINING_NAME, Kind.DRAINING);
             node.respondWith(OfferResponse.RUN);
             Shown placed = awaitPlaced(cluster, node);
             return List.of(rejected, draining, placed);
         }
     }
 
-    private static Shown awaitKind(ScenarioCluster cluster, String name, Kind kind)
+    private static Shown awaitReasonOfKind(ScenarioCluster cluster, String name, Kind kind)
             throws ScenarioFailedException, InterruptedException {
         ObservedStatus observed = cluster.awaitReason(OBSERVED_TASK, ExpectedReason.ofKind(kind));
         return Shown.of(
--- a/testbed/src/main/java/thornferry/testbed/diagnosis/RecoveryScenarios.java
+++ b/testbed/src/main/java/thornferry/testbed/diagnosis/RecoveryScenarios.java
@@ -4,11 +4,14 @@
 import thornferry.protocol.v1.Reason.Kind;
 import thornferry.testbed.diagnosis.ScenarioSite.TaskClass;
 
-/** Scenarios in which the outcome of an attempt is not known. */
+/** Scenarios in which the outcome of an attempt is unknown. */
 final class RecoveryScenarios {
     private RecoveryScenarios() {}
 
-    /** The connection broke before the answer; the node's inventory then shows that nothing ran. */
+    /**
+     * The connection breaks before the answer; a later inventory shows that the attempt did not
+     * run.
+     */
     static PendingReasonScenario earlierAttemptUncertain() {
         return new PendingReasonScenario(
                 "an earlier attempt may have run",
@@ -25,12 +28,13 @@
                 Optional.of(
                         cluster -> {
                             cluster.startNode("n2");
-                            // the same incarnation, whose inventory lacks the attempt
+                            // registers with the same incarnation and an inventory without the
+                            // attempt
                             cluster.startNode("n1");
                         }));
     }
 
-    /** The task is offered to a node that does not answer. */
+    /** The observed task is offered to a node that does not answer. */
     static PendingReasonScenario answerPending() {
         return new PendingReasonScenario(
                 "offered, and the answer is due",
--- a/testbed/src/main/java/thornferry/testbed/diagnosis/ScenarioCluster.java
+++ b/testbed/src/main/java/thornferry/testbed/diagnosis/ScenarioCluster.java
@@ -16,12 +16,12 @@
 import thornferry.protocol.v1.Why;
 import thornferry.testbed.diagnosis.ScenarioSite.TaskClass;
 
-/** The site of a scenario while it plays: a placer, the clients of two owners, scripted nodes. */
+/** The running site of a scenario: a placer, the clients of two owners, and scripted nodes. */
 final class ScenarioCluster implements AutoCloseable {
-    /** The task whose reason is checked. */
+    /** Name of the task whose pending reason is checked. */
     static final String OBSERVED_TASK = "observed";
 
-    /** The only task name of the other owner; it must not appear in what the owner is shown. */
+    /** Name of the other owner's only task, which must not appear in replies to the owner. */
     static final String OTHER_OWNERS_TASK = "secret";
 
     private static final Heartbeat HEARTBEAT = new Heartbeat(500, 500);
@@ -34,10 +34,10 @@
     private static final long PROCESSING_MILLIS = 50;
 
     /**
-     * The status of a task once it was as expected.
+     * The first status of a task that was as expected.
      *
      * @param why the status
-     * @param waitedMicros time from the first query to the reply
+     * @param waitedMicros time from the first query to the reply with this status
      */
     record ObservedStatus(Why why, long waitedMicros) {}
 
@@ -50,8 +50,8 @@
     private ScenarioCluster(LoopbackPlacer placer)
             throws ScenarioFailedException, InterruptedException {
         this.placer = placer;
-        this.owner = connectedClient(ScenarioSite.OWNER_LOGIN);
-        this.otherOwner = connectedClient(ScenarioSite.OTHER_OWNER_LOGIN);
+        this.owner = connectClient(ScenarioSite.OWNER_LOGIN);
+        this.otherOwner = connectClient(ScenarioSite.OTHER_OWNER_LOGIN);
     }
 
     /** Starts a placer without nodes and connects the clients of both owners. */
@@ -67,14 +67,14 @@
         }
     }
 
-    private TaskClient connectedClient(String login)
+    private TaskClient connectClient(String login)
             throws ScenarioFailedException, InterruptedException {
         TaskClient client =
                 placer.connect(placer.target(login, ScenarioSite.OWNER_PASSCODE), event -> {});
         Stopwatch stopwatch = Stopwatch.start();
         while (!isConnected(client)) {
             if (stopwatch.elapsedMillis() > REPLY_TIMEOUT_MILLIS) {
-                throw new ScenarioFailedException("client " + login + " could not connect");
+                throw new ScenarioFailedException("client " + login + " did not connect in time");
             }
             Thread.sleep(CONNECT_POLL_MILLIS);
         }
@@ -83,10 +83,13 @@
 
     private static boolean isConnected(TaskClient client)
             throws ScenarioFailedException, InterruptedException {
-        return await(client.waiting().handle((table, error) -> error == null), "query");
+        return await(
+                client.waiting().handle((reply, error) -> error == null), "query of waiting tasks");
     }
 
-    /** Creates a node that has yet to join; it replaces a node of the same name. */
+    /**
+     * Creates a node that is not connected yet. The node replaces an earlier one of the same name.
+     */
     ScriptedNode newNode(String name) {
         ScriptedNode node =
                 new ScriptedNode(
@@ -109,17 +112,17 @@
         return newNode(name).join();
     }
 
-    /** The node created last under a name. */
+    /** Returns the last node that was created with the given name. */
     ScriptedNode node(String name) {
         return nodeByName.get(name);
     }
 
-    /** Submits the task whose reason is checked. */
+    /** Submits the observed task as the owner. */
     void submitObserved(TaskClass taskClass, double cores) {
         submit(OBSERVED_TASK, taskClass, cores);
     }
 
-    /** Submits a task of the owner, with as many memory units as cores. */
+    /** Submits a task of the owner, which needs as many units of memory as cores. */
     void submit(String task, TaskClass taskClass, double cores) {
         submitAs(owner, task, taskClass, cores);
     }
@@ -157,7 +160,7 @@
         awaitPlaced(OTHER_OWNERS_TASK);
     }
 
-    /** Waits for the result of a task, which must be that it is placed. */
+    /** Waits for the result of a task, which must be {@code placed}. */
     void awaitPlaced(String task) throws ScenarioFailedException, InterruptedException {
         TaskNews result = await(resultByTask.get(task), "placement of task " + task);
         if (!result.getResult().equals("placed")) {
@@ -173,7 +176,7 @@
         return awaitStatus(task, expected::matches, expected.toString());
     }
 
-    /** Polls until the status of a task of the owner fulfills a condition. */
+    /** Polls until the status of a task of the owner satisfies a condition. */
     ObservedStatus awaitStatus(String task, Predicate<Why> condition, String description)
             throws ScenarioFailedException, InterruptedException {
         Stopwatch stopwatch = Stopwatch.start();
@@ -186,7 +189,8 @@
             Thread.sleep(REASON_POLL_MILLIS);
         }
         throw new ScenarioFailedException(
-                "%s should be shown for %s, not %s".formatted(description, task, why));
+                "expected %s as the status of task %s, but was %s"
+                        .formatted(description, task, why));
     }
 
     /** Queries the status of a task of the owner. */
@@ -194,12 +198,12 @@
         return await(owner.why(task), "query of task " + task);
     }
 
-    /** Queries, as the other owner, the status of a task. */
+    /** Queries the status of a task as the other owner. */
     Why statusAsOtherOwner(String task) throws ScenarioFailedException, InterruptedException {
         return await(otherOwner.why(task), "query of task " + task);
     }
 
-    /** Gives the placer time to process what a node sent without a receipt. */
+    /** Gives the placer time to process messages that a node sent without requesting a receipt. */
     void allowProcessing() throws InterruptedException {
         Thread.sleep(PROCESSING_MILLIS);
     }
--- a/testbed/src/main/java/thornferry/testbed/diagnosis/ScenarioFailedException.java
+++ b/testbed/src/main/java/thornferry/testbed/diagnosis/ScenarioFailedException.java
@@ -1,6 +1,6 @@
 package thornferry.testbed.diagnosis;
 
-/** A scenario in which the placer did not show the true reason or did not place the task. */
+/** Thrown if a step of a scenario fails, or if the placer does not behave as expected. */
 public final class ScenarioFailedException extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -12,7 +12,7 @@
         super(message + ": " + cause, cause);
     }
 
-    /** The same failure, with the name of its scenario in the message. */
+    /** Returns a copy of this exception with the scenario's name in front of the message. */
     ScenarioFailedException inScenario(String scenario) {
         ScenarioFailedException named = new ScenarioFailedException(scenario + ": " + getMessage());
         named.initCause(this);
--- a/testbed/src/main/java/thornferry/testbed/diagnosis/ScenarioSite.java
+++ b/testbed/src/main/java/thornferry/testbed/diagnosis/ScenarioSite.java
@@ -5,17 +5,17 @@
 import thornferry.config.TomlFile;
 import thornferry.placer.Site;
 
-/** The settings that all scenarios have in common: task classes, tenants and accounts. */
+/** The settings that all scenarios share: task classes, tenants and accounts. */
 final class ScenarioSite {
     /** The task classes of the site. */
     enum TaskClass {
         IDEMPOTENT("idempotent"),
         /** Idempotent, with five times the priority weight of the others. */
         HIGH_PRIORITY("high-priority"),
-        /** With an idempotency key that holds within a zone. */
+        /** Idempotent with a key, whose scope is a zone. */
         IDEMPOTENT_WITH_KEY("idempotent-with-key"),
         NON_IDEMPOTENT("non-idempotent"),
-        /** Idempotent, at most one task of a service on a node. */
+        /** Idempotent, with at most one task of a service per node. */
         SPREAD("spread");
 
         private final String settingName;
@@ -24,22 +24,22 @@
             this.settingName = settingName;
         }
 
-        /** The name of the class in the settings and in tasks. */
+        /** Returns the name of the class in the settings and in tasks. */
         String settingName() {
             return settingName;
         }
     }
 
-    /** The machine kind of all nodes, with its size. */
+    /** Machine kind of all nodes, with the size that the next two constants give. */
     static final String MACHINE_KIND = "std";
 
     static final double NODE_CORES = 16;
     static final double NODE_MEMORY = 32;
 
-    /** Login of the owner of the observed task, of the tenant {@code one}. */
+    /** Login of the observed task's owner, who belongs to tenant {@code one}. */
     static final String OWNER_LOGIN = "owner1";
 
-    /** Login of another owner, of the tenant {@code two}. */
+    /** Login of another owner, who belongs to tenant {@code two}. */
     static final String OTHER_OWNER_LOGIN = "owner2";
 
     static final String OWNER_PASSCODE = "o";
@@ -109,7 +109,7 @@
 
     private ScenarioSite() {}
 
-    /** The common settings with further TOML tables after them. */
+    /** Returns the site of the common settings, followed by the given TOML tables. */
     static Site withExtraSettings(String extraSettings) {
         try {
             return SiteFile.of(TomlFile.parse("scenario.toml", COMMON_SETTINGS + extraSettings))
--- a/testbed/src/main/java/thornferry/testbed/diagnosis/ScenarioStep.java
+++ b/testbed/src/main/java/thornferry/testbed/diagnosis/ScenarioStep.java
@@ -1,8 +1,8 @@
 package thornferry.testbed.diagnosis;
 
-/** A step of a scenario: makes a reason true, or ends its cause. */
+/** A step of a scenario, which brings about or ends the cause of a pending reason. */
 @FunctionalInterface
 interface ScenarioStep {
-    /** Runs the step; returns before the placer has necessarily reacted to it. */
+    /** Runs the step. The placer may not have reacted to it yet when the method returns. */
     void run(ScenarioCluster cluster) throws ScenarioFailedException, InterruptedException;
 }
--- a/testbed/src/main/java/thornferry/testbed/diagnosis/ScriptedNode.java
+++ b/testbed/src/main/java/thornferry/testbed/diagnosis/ScriptedNode.java
@@ -26,30 +26,30 @@
 import thornferry.protocol.v1.Task;
 
 /**
- * A node that responds to offers as a scenario tells it, so that the true reason of a pending task
- * is known. Its load report is its size minus the resources of the tasks that it runs.
+ * A node whose responses to offers are set by a scenario, so that the reason of a pending task is
+ * known. The load report of the node is its size minus the resources of its running tasks.
  */
 final class ScriptedNode implements ClientConnection.Listener {
     private static final long INCARNATION = 1;
     private static final long REGISTRATION_TIMEOUT_SECONDS = 10;
-    private static final Duration LONG_UPTIME = Duration.ofHours(1);
+    private static final Duration WARM_UPTIME = Duration.ofHours(1);
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final ClientConnection.Target target;
     private final NodeShape shape;
     private final CompletableFuture<Void> registered = new CompletableFuture<>();
-    private final Map<String, Offer> runningByTask = new ConcurrentHashMap<>();
+    private final Map<String, Offer> offerByRunningTask = new ConcurrentHashMap<>();
     private volatile ClientConnection connection;
     private volatile OfferResponse response = OfferResponse.RUN;
-    private volatile Duration uptime = LONG_UPTIME;
+    private volatile Duration uptime = WARM_UPTIME;
 
-    ScriptedNode(EventLoop loop, ClientConnection.Target target, NodeShape shape) {
-        this.loop = loop;
+    ScriptedNode(EventLoop eventLoop, ClientConnection.Target target, NodeShape shape) {
+        this.eventLoop = eventLoop;
         this.target = target;
         this.shape = shape;
     }
 
-    /** Sets how long the node claims to have been up when it registers. */
+    /** Sets the uptime that the node reports in its registration. */
     ScriptedNode withUptime(Duration newUptime) {
         uptime = newUptime;
         return this;
@@ -61,9 +61,9 @@
         return this;
     }
 
-    /** Connects and registers; returns once the placer has accepted the registration. */
+    /** Connects and registers the node, and waits until the placer accepts the registration. */
     ScriptedNode join() throws ScenarioFailedException, InterruptedException {
-        connection = ClientConnection.open(loop, target, FrameLimits.DEFAULTS, this);
+        connection = ClientConnection.open(eventLoop, target, FrameLimits.DEFAULTS, this);
         try {
             registered.get(REGISTRATION_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
@@ -79,21 +79,21 @@
                 Drain.newBuilder().setNode(shape.name()).setOn(draining).build());
     }
 
-    /** Ends a task that the node runs, which frees its resources. */
+    /** Ends a running task of the node, which frees the task's resources. */
     void endTask(String task) {
-        Offer offer = runningByTask.remove(task);
+        Offer offer = offerByRunningTask.remove(task);
         if (offer == null) {
-            throw new IllegalArgumentException(shape.name() + " does not run task " + task);
+            throw new IllegalArgumentException(shape.name() + " is not running task " + task);
         }
         sendAnswer(offer, Answer.Kind.ENDED, Answer.Reason.NONE);
     }
 
-    /** Breaks the connection without notice to the placer. */
+    /** Breaks the connection without notifying the placer. */
     void breakConnection() {
         connection.cut();
     }
 
-    /** Breaks the connection if the node has one. */
+    /** Breaks the connection if the node has connected. */
     void close() {
         if (connection != null) {
             connection.cut();
@@ -102,7 +102,7 @@
 
     /** Accepts and runs an offered task. */
     void run(Offer offer) {
-        runningByTask.put(offer.getTask().getId(), offer);
+        offerByRunningTask.put(offer.getTask().getId(), offer);
         sendAnswer(offer, Answer.Kind.ACCEPTED, Answer.Reason.NONE);
         sendAnswer(offer, Answer.Kind.RUNS, Answer.Reason.NONE);
     }
@@ -127,10 +127,10 @@
                         .setUptimeMs(uptime.toMillis())
                         .setLoad(load())
                         .build(),
-                this::registrationDone);
+                this::completeRegistration);
     }
 
-    private void registrationDone(String error) {
+    private void completeRegistration(String error) {
         if (error == null) {
             registered.complete(null);
         } else {
@@ -154,8 +154,8 @@
     }
 
     @Override
-    public void closed(ClientConnection closedConnection, String why) {
-        registrationDone("connection closed: " + why);
+    public void closed(ClientConnection closedConnection, String reason) {
+        completeRegistration("connection closed: " + reason);
     }
 
     private void answerProbe(Probe probe) {
@@ -181,13 +181,13 @@
     }
 
     private Load load() {
-        double coresFree = shape.cores();
-        double memoryFree = shape.memory();
-        for (Offer offer : runningByTask.values()) {
+        double freeCores = shape.cores();
+        double freeMemory = shape.memory();
+        for (Offer offer : offerByRunningTask.values()) {
             Task task = offer.getTask();
-            coresFree -= task.getCores();
-            memoryFree -= task.getMemory();
+            freeCores -= task.getCores();
+            freeMemory -= task.getMemory();
         }
-        return Load.newBuilder().setCoresFree(coresFree).setMemoryFree(memoryFree).build();
+        return Load.newBuilder().setCoresFree(freeCores).setMemoryFree(freeMemory).build();
     }
 }
--- a/testbed/src/test/java/thornferry/testbed/diagnosis/PendingReasonScenariosTest.java
+++ b/testbed/src/test/java/thornferry/testbed/diagnosis/PendingReasonScenariosTest.java
@@ -14,17 +14,17 @@
 
 class PendingReasonScenariosTest {
     /**
-     * Each scenario fails if another reason than the true one is shown, or if the task is not
-     * placed once the cause has ended.
+     * Guards against a kind of reason without a scenario. Each scenario fails by itself if the
+     * placer does not report the expected reason, or does not place the task once the cause ends.
      */
     @Test
-    void showsEveryKindOfReasonAndPlacesTaskOnceCauseEnds() throws Exception {
-        List<PendingReasonScenarios.Shown> shown = PendingReasonScenarios.play();
+    void reportsEveryKindOfReasonAndPlacesTaskOnceCauseEnds() throws Exception {
+        List<PendingReasonScenarios.Shown> shownReasons = PendingReasonScenarios.play();
         Set<Kind> shownKinds = EnumSet.noneOf(Kind.class);
-        shown.forEach(scenario -> shownKinds.add(scenario.kind()));
-        Set<Kind> allKinds = EnumSet.allOf(Kind.class);
-        allKinds.remove(Kind.UNRECOGNIZED);
-        assertThat(shownKinds).containsAll(allKinds);
+        shownReasons.forEach(reason -> shownKinds.add(reason.kind()));
+        Set<Kind> expectedKinds = EnumSet.allOf(Kind.class);
+        expectedKinds.remove(Kind.UNRECOGNIZED);
+        assertThat(shownKinds).containsAll(expectedKinds);
     }
 
     @Test
@@ -45,7 +45,8 @@
                             .setCores(900)
                             .build());
             await().until(() -> notifications.contains("waiting NO_FIT"));
-            assertThat(notifications).noneMatch(each -> each.startsWith("another owner's"));
+            assertThat(notifications)
+                    .noneMatch(notification -> notification.startsWith("another owner's"));
         }
     }
 }
