--- a/app/src/main/java/thornferry/app/JournaledTask.java
+++ b/app/src/main/java/thornferry/app/JournaledTask.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import java.util.Map;
 import thornferry.decisions.recovery.JournalRecord;
-import thornferry.state.JournalWords;
+import thornferry.state.StoredNames;
 
 /**
  * A task recorded in a journal. The component names are the keys of the JSON output.
@@ -53,7 +53,7 @@
                 completed.owner(),
                 completed.spec().id(),
                 completed.spec().taskClass(),
-                JournalWords.of(completed.result()).toLowerCase(Locale.ROOT),
+                StoredNames.storedName(completed.result()).toLowerCase(Locale.ROOT),
                 completed.machine());
     }
 
@@ -69,7 +69,7 @@
                 finished.owner(),
                 finished.task(),
                 earlier == null ? "" : earlier.taskClass,
-                JournalWords.of(finished.terminationCause()).toLowerCase(Locale.ROOT),
+                StoredNames.storedName(finished.terminationCause()).toLowerCase(Locale.ROOT),
                 earlier == null ? "" : earlier.node);
     }
 }
--- a/app/src/main/java/thornferry/app/KeysShowCommand.java
+++ b/app/src/main/java/thornferry/app/KeysShowCommand.java
@@ -57,7 +57,7 @@
             return "EXPIRED";
         }
         String advice = expiresSoon(certificate) ? ", renew it" : "";
-        return certificate.left().toDays() + " days left" + advice;
+        return certificate.remainingValidity().toDays() + " days left" + advice;
     }
 
     private boolean expiresSoon(CertificateStatus certificate) {
--- a/app/src/main/java/thornferry/app/PasscodeCommand.java
+++ b/app/src/main/java/thornferry/app/PasscodeCommand.java
@@ -20,10 +20,10 @@
     @Override
     public Integer call() throws IOException {
         String passcode = readPasscode();
-        if (passcode.isEmpty() || passcode.length() > Passcodes.MOST_LENGTH) {
+        if (passcode.isEmpty() || passcode.length() > Passcodes.MAX_LENGTH) {
             throw new CommandLine.ParameterException(
                     spec.commandLine(),
-                    "a passcode must have 1 to " + Passcodes.MOST_LENGTH + " characters");
+                    "a passcode must have 1 to " + Passcodes.MAX_LENGTH + " characters");
         }
         System.out.println(Passcodes.hash(passcode));
         return ExitCode.OK;
--- a/app/src/main/java/thornferry/app/StateCompactCommand.java
+++ b/app/src/main/java/thornferry/app/StateCompactCommand.java
@@ -47,7 +47,7 @@
                             + " contains the folders of instances; specify one of them, such as "
                             + file.getParent());
         }
-        JournalContents contents = JournalContents.of(file, null);
+        JournalContents contents = JournalContents.read(file, null);
         if (contents.foreign() || !contents.complete()) {
             throw new IOException(file + " " + contents.problem() + "; the journal is not changed");
         }
--- a/app/src/main/java/thornferry/app/StateShowCommand.java
+++ b/app/src/main/java/thornferry/app/StateShowCommand.java
@@ -35,7 +35,7 @@
     @Override
     public Integer call() throws IOException {
         for (Path file : JournalFolder.newestJournals(folder)) {
-            JournalContents contents = JournalContents.of(file, null);
+            JournalContents contents = JournalContents.read(file, null);
             List<JournaledTask> journaledTasks =
                     JournaledTask.fromSnapshot(JournalReplay.snapshot(contents.records()));
             System.out.println(
--- a/app/src/main/java/thornferry/app/StateVerifyCommand.java
+++ b/app/src/main/java/thornferry/app/StateVerifyCommand.java
@@ -23,7 +23,7 @@
     public Integer call() throws IOException {
         boolean allIntact = true;
         for (Path file : JournalFolder.newestJournals(folder)) {
-            JournalContents contents = JournalContents.of(file, null);
+            JournalContents contents = JournalContents.read(file, null);
             System.out.println(file + ": " + outcome(contents));
             allIntact &= contents.complete() && !contents.foreign();
         }
--- a/app/src/main/java/thornferry/app/TlsOptions.java
+++ b/app/src/main/java/thornferry/app/TlsOptions.java
@@ -51,7 +51,7 @@
         if (!isGiven(authority) && !hasCertificate()) {
             return null;
         }
-        return Tls.client(
+        return Tls.clientContext(
                 new Tls.Pem(pathOrNull(certificate), pathOrNull(keyFile()), pathOrNull(authority)));
     }
 
--- a/app/src/test/java/thornferry/app/CertificateLoginTest.java
+++ b/app/src/test/java/thornferry/app/CertificateLoginTest.java
@@ -85,7 +85,8 @@
     }
 
     private SslContext nodeContext() throws IOException {
-        return Tls.client(new Tls.Pem(keyPath("node.pem"), keyPath("node.key"), keyPath("ca.pem")));
+        return Tls.clientContext(
+                new Tls.Pem(keyPath("node.pem"), keyPath("node.key"), keyPath("ca.pem")));
     }
 
     private static void startNode(AgentPool nodes, InetSocketAddress placer) {
--- a/bench-adapter/src/main/java/thornferry/bench/SimHost.java
+++ b/bench-adapter/src/main/java/thornferry/bench/SimHost.java
@@ -197,7 +197,7 @@
         }
         try {
             instance.module()
-                    .on(
+                    .handle(
                             nowMicros,
                             event.get(),
                             action -> ActionEncoder.writeAction(reply, name, action));
--- a/decisions/src/main/java/thornferry/decisions/admission/AdmissionQueue.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/AdmissionQueue.java
@@ -46,8 +46,8 @@
      * @param nextRetryAtMicros end of the request's latest backoff; 0 if it never backed off
      * @param aboveFairShare whether another tenant with queued requests has a lower weighted
      *     dominant share and is served first
-     * @param capacityReserved whether the request is held back because capacity is reserved for a
-     *     larger task
+     * @param heldBackByReservation whether the request is held back because capacity is reserved
+     *     for a larger task
      * @param arrivedAtMicros arrival time of the request; 0 if the queue does not know it
      */
     public record Status(
@@ -55,7 +55,7 @@
             QuotaBlock quotaBlock,
             long nextRetryAtMicros,
             boolean aboveFairShare,
-            boolean capacityReserved,
+            boolean heldBackByReservation,
             long arrivedAtMicros) {}
 
     /** A decision for the caller to carry out. */
@@ -84,7 +84,8 @@
      * @param reason the sentence that the client receives
      * @param retryAfterMicros delay after which the client should retry
      */
-    public record Shed(String requestId, String reason, long retryAfterMicros) implements Action {}
+    public record Reject(String requestId, String reason, long retryAfterMicros)
+            implements Action {}
 
     /**
      * The number of requests in each stage, for operators.
@@ -177,7 +178,7 @@
      *
      * @param actions receives the decisions
      */
-    public void arrived(long nowMicros, QueuedRequest request, Consumer<Action> actions) {
+    public void handleArrival(long nowMicros, QueuedRequest request, Consumer<Action> actions) {
         QueueEntry previous = entries.remove(request.requestId());
         if (previous != null) {
             detach(nowMicros, previous);
@@ -188,7 +189,7 @@
             dispatcher.dispatch(nowMicros, entry, actions);
             return;
         }
-        if (!request.retry()) {
+        if (!request.isRetry()) {
             overload.recordNewRequest();
             retryBudget.recordNewRequest(nowMicros, request);
         }
@@ -220,7 +221,7 @@
         QueuedRequest request = entry.request();
         index.addWaiting(entry);
         deadlines.schedule(entry.latestDispatchMicros(), entry);
-        if (!request.retry() || retryBudget.tryTake(nowMicros, request)) {
+        if (!request.isRetry() || retryBudget.tryTake(nowMicros, request)) {
             index.enqueue(nowMicros, entry);
         } else {
             backoff.backOffForRetryBudget(nowMicros, entry);
@@ -248,9 +249,9 @@
      *
      * @param repeat whether the attempt follows an earlier one of the same request
      */
-    public void attemptStarted(long nowMicros, String request, String machine, boolean repeat) {
+    public void recordAttemptStart(long nowMicros, String request, String machine, boolean repeat) {
         QueueEntry entry = entries.get(request);
-        boolean isRetry = repeat || (entry != null && entry.request().retry());
+        boolean isRetry = repeat || (entry != null && entry.request().isRetry());
         retryBudget.recordAttemptStart(nowMicros, machine, isRetry);
         if (entry != null && entry.stage() == Stage.DISPATCHED) {
             window.attemptStarted(entry);
@@ -258,7 +259,7 @@
     }
 
     /** Records that an attempt ended, after which the policy holds the request again. */
-    public void attemptEnded(long nowMicros, String request) {
+    public void recordAttemptEnd(long nowMicros, String request) {
         QueueEntry entry = entries.get(request);
         if (entry != null && entry.stage() == Stage.OFFERED) {
             window.attemptEnded(nowMicros, entry);
@@ -270,7 +271,7 @@
      *
      * @param actions receives the decisions
      */
-    public void placed(long nowMicros, String request, Consumer<Action> actions) {
+    public void recordPlacement(long nowMicros, String request, Consumer<Action> actions) {
         QueueEntry entry = entries.get(request);
         if (entry == null
                 || (entry.stage() != Stage.DISPATCHED && entry.stage() != Stage.OFFERED)) {
@@ -287,7 +288,7 @@
      * Records an adopted task, which runs already. The task counts against the quotas of its owner,
      * its tenant and the site.
      */
-    public void adopted(long nowMicros, QueuedRequest request) {
+    public void recordAdoption(long nowMicros, QueuedRequest request) {
         QueueEntry entry = createEntry(nowMicros, request, false);
         entry.moveTo(Stage.PLACED);
         placedCount++;
@@ -299,7 +300,7 @@
      *
      * @param actions receives the decisions
      */
-    public void finished(long nowMicros, String request, Consumer<Action> actions) {
+    public void recordEnd(long nowMicros, String request, Consumer<Action> actions) {
         QueueEntry entry = entries.remove(request);
         if (entry == null) {
             return;
@@ -351,7 +352,7 @@
 
     private void sendRejection(
             long nowMicros, QueueEntry entry, String reason, Consumer<Action> actions) {
-        actions.accept(new Shed(entry.requestId(), reason, retryAfter(nowMicros)));
+        actions.accept(new Reject(entry.requestId(), reason, takeRetryAfterMicros(nowMicros)));
     }
 
     /**
@@ -395,7 +396,7 @@
      * Returns the delay after which a client rejected now should retry, in microseconds. Each call
      * uses up one of the retry slots, over which clients are spread at random.
      */
-    public long retryAfter(long nowMicros) {
+    public long takeRetryAfterMicros(long nowMicros) {
         return overload.nextRetryAfterMicros(nowMicros);
     }
 
@@ -437,7 +438,7 @@
      * Returns the number of queued requests of the same tenant that precede this one, counted up to
      * {@code max}. Requests of owners that are blocked by a quota of their own do not count.
      */
-    public int countAhead(String request, int max) {
+    public int countQueuedAhead(String request, int max) {
         QueueEntry entry = entries.get(request);
         if (entry == null || entry.stage() != Stage.QUEUED) {
             return 0;
--- a/decisions/src/main/java/thornferry/decisions/admission/AdmissionSettings.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/AdmissionSettings.java
@@ -153,7 +153,7 @@
     }
 
     /** Returns a copy with queueing disabled. */
-    public AdmissionSettings disabled() {
+    public AdmissionSettings withQueueingDisabled() {
         return copy(false, reserveForMicros, ownerQuota, tenantQuota, siteQuota, tenantShares);
     }
 
--- a/decisions/src/main/java/thornferry/decisions/admission/LoginRateLimiter.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/LoginRateLimiter.java
@@ -144,7 +144,7 @@
     }
 
     /** Records the end of an attempt whose passcode was not checked. */
-    public void abandoned(String address, String login) {
+    public void attemptAbandoned(String address, String login) {
         LoginHistory history = histories.get(key(address, login));
         if (history != null) {
             history.pendingAttempts = Math.max(0, history.pendingAttempts - 1);
--- a/decisions/src/main/java/thornferry/decisions/admission/QueueEntry.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/QueueEntry.java
@@ -22,7 +22,7 @@
      */
     static final Comparator<QueueEntry> BY_PRIORITY =
             Comparator.<QueueEntry>comparingDouble(entry -> -entry.request.priorityWeight())
-                    .thenComparing(entry -> entry.request.retry())
+                    .thenComparing(entry -> entry.request.isRetry())
                     .thenComparingLong(entry -> entry.request.deadlineMicros())
                     .thenComparing(BY_AGE);
 
--- a/decisions/src/main/java/thornferry/decisions/admission/QueuedRequest.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/QueuedRequest.java
@@ -12,7 +12,7 @@
  * @param memory memory that the task needs, in the unit of the task specifications
  * @param deadlineMicros time by which the task must be placed
  * @param expectedRunMicros expected run time; 0 if unknown
- * @param retry whether the request repeats an earlier one
+ * @param isRetry whether the request repeats an earlier one
  * @param rejectedBy machine that rejected the previous attempt; empty if no machine did
  */
 public record QueuedRequest(
@@ -25,7 +25,7 @@
         double memory,
         long deadlineMicros,
         long expectedRunMicros,
-        boolean retry,
+        boolean isRetry,
         String rejectedBy) {
     /** Returns the time left until the deadline; negative after the deadline. */
     long remainingMicros(long nowMicros) {
--- a/decisions/src/main/java/thornferry/decisions/admission/QuotaBlock.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/QuotaBlock.java
@@ -4,14 +4,14 @@
  * A quota that blocks a request because the request would exceed it if dispatched now.
  *
  * @param scope the scope of the quota
- * @param quota name of the limited amount, see {@link QuotaNames}; clients receive this text
+ * @param quotaName name of the limited amount, see {@link QuotaNames}; clients receive this text
  * @param limit the amount that the quota allows
  * @param usage the amount in use
  * @param untilMicros time at which the quota allows the request if nothing else changes; {@link
  *     #NO_TIME_LIMIT_MICROS} if only the end of another task or a higher limit can end the block
  */
 public record QuotaBlock(
-        QuotaScope scope, String quota, double limit, double usage, long untilMicros) {
+        QuotaScope scope, String quotaName, double limit, double usage, long untilMicros) {
     /** {@link #untilMicros()} of a block that the passage of time alone does not end. */
     static final long NO_TIME_LIMIT_MICROS = Long.MAX_VALUE / 4;
 
--- a/decisions/src/main/java/thornferry/decisions/admission/QuotaNames.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/QuotaNames.java
@@ -1,7 +1,7 @@
 package thornferry.decisions.admission;
 
 /**
- * The names of quotas in {@link QuotaBlock#quota()}. Clients receive these names in rejection
+ * The names of quotas in {@link QuotaBlock#quotaName()}. Clients receive these names in rejection
  * sentences and in the evidence of pending reasons, so their text is part of the wire format.
  */
 public final class QuotaNames {
--- a/decisions/src/main/java/thornferry/decisions/admission/RejectionText.java
+++ b/decisions/src/main/java/thornferry/decisions/admission/RejectionText.java
@@ -57,9 +57,9 @@
                     case SITE -> "the site's limit of ";
                 };
         String limitedAmount =
-                block.quota().equals(QuotaNames.RETRIES)
+                block.quotaName().equals(QuotaNames.RETRIES)
                         ? QuotaNames.RETRIES
-                        : Amounts.format(block.limit()) + " " + block.quota();
+                        : Amounts.format(block.limit()) + " " + block.quotaName();
         return limitOfScope + limitedAmount + " is reached";
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/attempts/AttemptTracker.java
+++ b/decisions/src/main/java/thornferry/decisions/attempts/AttemptTracker.java
@@ -87,14 +87,14 @@
      * @param ran with {@code CANCELLED}, whether the task had started
      * @param load the machine's load report that came with this report, or null if it sent none
      */
-    public record Report(
+    public record StatusReport(
             String attempt,
             AttemptStatus status,
             OutcomeReason reason,
             boolean ran,
             LoadReport load) {
-        static Report running(String attempt) {
-            return new Report(attempt, AttemptStatus.RUNNING, OutcomeReason.NONE, true, null);
+        static StatusReport running(String attempt) {
+            return new StatusReport(attempt, AttemptStatus.RUNNING, OutcomeReason.NONE, true, null);
         }
     }
 
@@ -152,7 +152,7 @@
     /**
      * Ends an attempt whose offer was not written completely, so that no machine can have read it.
      */
-    public void notWritten(long now, String attemptId, Consumer<Action> actions) {
+    public void offerNotWritten(long now, String attemptId, Consumer<Action> actions) {
         Attempt attempt = attemptIndex.find(attemptId);
         if (attempt != null && attempt.isOpen()) {
             end(now, attempt, AttemptEnding.withoutReason(AttemptOutcome.UNREACHABLE), actions);
@@ -188,7 +188,7 @@
 
     // ---- reports ----
     /** Processes the status of an attempt as reported by a machine. */
-    public void reported(long now, String machine, Report report, Consumer<Action> actions) {
+    public void reported(long now, String machine, StatusReport report, Consumer<Action> actions) {
         Attempt attempt = attemptIndex.find(report.attempt());
         if (attempt == null || !attempt.machine().equals(machine)) {
             handleUntracked(machine, report, actions);
@@ -204,9 +204,9 @@
         }
     }
 
-    private void handleUntracked(String machine, Report report, Consumer<Action> actions) {
+    private void handleUntracked(String machine, StatusReport report, Consumer<Action> actions) {
         String attemptId = report.attempt();
-        if (isOwn(attemptId) && !machine.equals(attemptIndex.machineOf(attemptId))) {
+        if (isOfThisIncarnation(attemptId) && !machine.equals(attemptIndex.machineOf(attemptId))) {
             actions.accept(
                     new ProtocolViolation(
                             machine, "attempt " + attemptId + " was not offered to this node"));
@@ -227,7 +227,7 @@
     }
 
     private void handleRejected(
-            long now, Attempt attempt, Report report, Consumer<Action> actions) {
+            long now, Attempt attempt, StatusReport report, Consumer<Action> actions) {
         if (attempt.isOpen()) {
             actions.accept(
                     new OfferRejected(attempt.requestId(), attempt.machine(), report.reason()));
@@ -240,7 +240,7 @@
     }
 
     private void handleCancelled(
-            long now, Attempt attempt, Report report, Consumer<Action> actions) {
+            long now, Attempt attempt, StatusReport report, Consumer<Action> actions) {
         if (attempt.isOpen()) {
             AttemptOutcome outcome =
                     report.ran() ? AttemptOutcome.CANCELLED : AttemptOutcome.REJECTED;
@@ -260,7 +260,7 @@
     }
 
     private void handleTermination(
-            long now, Attempt attempt, Report report, Consumer<Action> actions) {
+            long now, Attempt attempt, StatusReport report, Consumer<Action> actions) {
         if (report.status() == AttemptStatus.COMPLETED) {
             terminate(
                     now,
@@ -324,7 +324,7 @@
      * @param completeSinceMicros by idempotency, the time since which the machine remembers all
      *     attempts that it accepted; absent if the machine does not report it
      */
-    public void inventory(
+    public void inventoryReported(
             long now,
             String machine,
             long incarnation,
@@ -346,9 +346,9 @@
         for (String attemptId : new LinkedHashSet<>(attemptIds)) {
             if (attemptIndex.find(attemptId) != null) {
                 if (runningAttemptIds.contains(attemptId)) {
-                    reported(now, machine, Report.running(attemptId), actions);
+                    reported(now, machine, StatusReport.running(attemptId), actions);
                 }
-            } else if (isOwn(attemptId)) {
+            } else if (isOfThisIncarnation(attemptId)) {
                 // the attempt ended for this placer, and its owner was notified, while disconnected
                 actions.accept(new CancelAttempt(machine, attemptId));
             } else {
@@ -402,7 +402,7 @@
      * Starts to track a task that an earlier incarnation of this placer offered, as the placed
      * attempt 0 of {@code requestId}.
      */
-    public void adopted(
+    public void trackAdopted(
             long now,
             String attemptId,
             String requestId,
@@ -475,7 +475,7 @@
     }
 
     /** Returns whether this incarnation of the placer made the attempt. */
-    public boolean isOwn(String attemptId) {
+    public boolean isOfThisIncarnation(String attemptId) {
         return attemptId.startsWith(incarnationName + "-");
     }
 
@@ -485,7 +485,7 @@
     }
 
     /** Returns the number of attempts without an outcome on all machines, open and placed ones. */
-    public int attemptCount() {
+    public int activeAttemptCount() {
         return attemptIndex.size();
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/diagnosis/CapacityEstimator.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/CapacityEstimator.java
@@ -50,7 +50,7 @@
             accumulator.countFiltered(FilterReason.WRONG_KIND);
         } else if (!matcher.isLargeEnough(machine, shape)) {
             accumulator.countFiltered(FilterReason.MACHINE_TOO_SMALL);
-        } else if (machine.unresponsive()) {
+        } else if (machine.isUnresponsive()) {
             accumulator.countFiltered(FilterReason.MACHINE_EJECTED);
         } else if (missingCores > 0 || missingMemory > 0) {
             accumulator.countShortfall(machine, missingCores, missingMemory);
--- a/decisions/src/main/java/thornferry/decisions/diagnosis/PendingReasons.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/PendingReasons.java
@@ -276,7 +276,7 @@
     }
 
     /** Records the policy's report of why a request is pending. */
-    public void pending(Pending report) {
+    public void policyReported(Pending report) {
         tasks.findByRequest(report.requestId())
                 .filter(TaskRecord::isWaiting)
                 .ifPresent(
@@ -430,7 +430,7 @@
      * @param owner owner of the tasks; null for the tasks of all owners
      * @param maxTasks maximum number of tasks explained
      */
-    public List<Explanation> waitingCount(long nowMicros, String owner, int maxTasks) {
+    public List<Explanation> explainWaiting(long nowMicros, String owner, int maxTasks) {
         List<Explanation> explanations = new ArrayList<>();
         for (TaskRecord task : tasks.waiting()) {
             if (explanations.size() >= maxTasks) {
@@ -449,7 +449,7 @@
      *
      * @param owner owner of the tasks; null for the tasks of all owners
      */
-    public Map<String, Map<Kind, Integer>> countByReason(String owner) {
+    public Map<String, Map<Kind, Integer>> countWaitingByTenant(String owner) {
         Map<String, Map<Kind, Integer>> counts = new TreeMap<>();
         for (TaskRecord task : tasks.waiting()) {
             if (task.reason() != null && matchesOwner(task, owner)) {
--- a/decisions/src/main/java/thornferry/decisions/diagnosis/ReasonClassifier.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/ReasonClassifier.java
@@ -202,7 +202,7 @@
      * accepted an offer.
      */
     private boolean isDraining(PreviousAttempt previous) {
-        MachineStatus machine = cluster.machine(previous.machine());
+        MachineStatus machine = cluster.findMachine(previous.machine());
         if (machine == null) {
             return false;
         }
--- a/decisions/src/main/java/thornferry/decisions/diagnosis/ReasonEvaluator.java
+++ b/decisions/src/main/java/thornferry/decisions/diagnosis/ReasonEvaluator.java
@@ -74,7 +74,7 @@
                 || !reason.evidence().isEmpty()) {
             return reason;
         }
-        int ahead = queue.countAhead(task.queuedRequest().requestId(), MAX_COUNTED_AHEAD);
+        int ahead = queue.countQueuedAhead(task.queuedRequest().requestId(), MAX_COUNTED_AHEAD);
         return Diagnosis.of(
                         reason.kind(),
                         Evidence.ofAmount(EvidenceText.TASKS_AHEAD, ahead),
@@ -105,7 +105,7 @@
         if (status.quotaBlock() != null) {
             return diagnoseQuotaBlock(task, status.quotaBlock());
         }
-        if (status.capacityReserved()) {
+        if (status.heldBackByReservation()) {
             return Diagnosis.withoutEvidence(
                     Kind.CAPACITY_RESERVED, EndCondition.RESERVATION_ENDED);
         }
@@ -125,7 +125,7 @@
     }
 
     private static Diagnosis diagnoseQuotaBlock(TaskRecord task, QuotaBlock block) {
-        String description = EvidenceText.QUOTA_PREFIX + block.quota();
+        String description = EvidenceText.QUOTA_PREFIX + block.quotaName();
         boolean endsWithTime = block.untilMicros() < NEVER_FROM_MICROS;
         return switch (block.scope()) {
             case OWNER ->
@@ -155,7 +155,7 @@
 
     private static Evidence ownerQuotaEvidence(
             TaskRecord task, QuotaBlock block, String description) {
-        return block.quota().equals(QuotaNames.RETRIES)
+        return block.quotaName().equals(QuotaNames.RETRIES)
                 ? Evidence.ofLimit(description, task.owner(), block.limit())
                 : Evidence.ofUsage(description, task.owner(), block.limit(), block.usage());
     }
--- a/decisions/src/main/java/thornferry/decisions/membership/ClusterView.java
+++ b/decisions/src/main/java/thornferry/decisions/membership/ClusterView.java
@@ -72,7 +72,7 @@
      * Applies a load report that a response or a health check contained. A report is ignored if the
      * machine is not listed or an amount is not finite.
      */
-    public void loadReported(String machine, double coresFree, double memoryFree) {
+    public void recordLoadReport(String machine, double coresFree, double memoryFree) {
         MachineStatus status = machines.get(machine);
         if (status == null || !Double.isFinite(coresFree + memoryFree)) {
             return;
@@ -83,7 +83,7 @@
     }
 
     /** Records that the machine rejected an offer. */
-    public void rejected(String machine, RejectionReason reason) {
+    public void recordRejection(String machine, RejectionReason reason) {
         MachineStatus status = machines.get(machine);
         if (status != null) {
             status.setRejected(reason);
@@ -92,10 +92,10 @@
     }
 
     /** Records that the machine accepted an offer, and clears its last rejection. */
-    public void accepted(String machine) {
+    public void recordAcceptance(String machine) {
         MachineStatus status = machines.get(machine);
         if (status != null
-                && (status.lastRejection() != RejectionReason.NONE || status.unresponsive())) {
+                && (status.lastRejection() != RejectionReason.NONE || status.isUnresponsive())) {
             status.setAccepted();
             version++;
         }
@@ -105,7 +105,7 @@
      * Records that an attempt on the machine timed out, or that the connection was lost during the
      * attempt.
      */
-    public void unresponsive(String machine) {
+    public void recordUnresponsive(String machine) {
         MachineStatus status = machines.get(machine);
         if (status != null) {
             status.setUnresponsive();
@@ -185,7 +185,7 @@
     }
 
     /** Returns the machine of that name, or null if it is not listed. */
-    public MachineStatus machine(String name) {
+    public MachineStatus findMachine(String name) {
         return machines.get(name);
     }
 }
--- a/decisions/src/main/java/thornferry/decisions/membership/MachineStatus.java
+++ b/decisions/src/main/java/thornferry/decisions/membership/MachineStatus.java
@@ -81,7 +81,7 @@
      * Returns whether the machine has not answered an offer, or its connection was lost during an
      * attempt, and the machine has sent no response or load report since.
      */
-    public boolean unresponsive() {
+    public boolean isUnresponsive() {
         return unresponsive;
     }
 
--- a/decisions/src/main/java/thornferry/decisions/membership/Membership.java
+++ b/decisions/src/main/java/thornferry/decisions/membership/Membership.java
@@ -124,10 +124,10 @@
             implements Action {}
 
     /** A lost machine was removed to make room for another one. */
-    public record MachineForgotten(String machine) implements Action {}
+    public record MachineRemoved(String machine) implements Action {}
 
     /** The machine is registered on this connection in this incarnation; its inventory is valid. */
-    public record MachineAdmitted(String machine, long incarnation, long connection)
+    public record MachineRegistered(String machine, long incarnation, long connection)
             implements Action {}
 
     /** Notify the machine that its drain began or ended. */
@@ -167,7 +167,7 @@
      * Handles a machine's first or repeated registration on a connection. An invalid registration
      * closes the connection and changes nothing else.
      */
-    public void registered(
+    public void register(
             long nowMicros, long connection, Registration registration, Consumer<Action> actions) {
         MemberMachine machine = machines.get(registration.machine());
         Optional<String> error =
@@ -235,7 +235,7 @@
         lostMachine.ifPresent(
                 name -> {
                     machines.remove(name);
-                    actions.accept(new MachineForgotten(name));
+                    actions.accept(new MachineRemoved(name));
                 });
         return lostMachine.isPresent();
     }
@@ -259,7 +259,7 @@
             long nowMicros, MemberMachine machine, Consumer<Action> actions) {
         machineByConnection.put(machine.connection(), machine.name());
         actions.accept(
-                new MachineAdmitted(machine.name(), machine.incarnation(), machine.connection()));
+                new MachineRegistered(machine.name(), machine.incarnation(), machine.connection()));
         if (machine.isDraining()) {
             actions.accept(new NotifyDrain(machine.name(), machine.connection(), true));
         }
@@ -289,7 +289,7 @@
      *
      * @return false if the machine is not known
      */
-    public boolean drain(
+    public boolean setDraining(
             long nowMicros, String machine, boolean enabled, Consumer<Action> actions) {
         MemberMachine member = machines.get(machine);
         if (member == null) {
@@ -355,7 +355,7 @@
      * Returns the current incarnation of a machine, or {@link #NO_INCARNATION} if the machine is
      * not known.
      */
-    public long incarnation(String machine) {
+    public long incarnationOf(String machine) {
         MemberMachine member = machines.get(machine);
         return member == null ? NO_INCARNATION : member.incarnation();
     }
--- a/decisions/src/main/java/thornferry/decisions/membership/package-info.java
+++ b/decisions/src/main/java/thornferry/decisions/membership/package-info.java
@@ -16,7 +16,7 @@
  *   DISCONNECTED --registers-------------------------------&gt; CONNECTED
  *   DISCONNECTED --no connection for goneAfterMicros-------&gt; LOST          (IncarnationEnded)
  *   LOST         --registers-------------------------------&gt; CONNECTED
- *   LOST         --another machine needs its entry---------&gt; removed       (MachineForgotten)
+ *   LOST         --another machine needs its entry---------&gt; removed       (MachineRemoved)
  * </pre>
  *
  * <p>A registration with a higher incarnation also ends the previous incarnation, unless that has
--- a/decisions/src/main/java/thornferry/decisions/placement/HealthChecker.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/HealthChecker.java
@@ -122,7 +122,7 @@
         }
         machine.setHealthCheckInFlight(false);
         machine.load().recordContact(context.nowMicros());
-        if (event.answered()) {
+        if (event.responded()) {
             machine.health().recordResponse(context.nowMicros());
             machines.recordReport(machine, event.report());
             if (machine.health().isHealthCheckDue(context.nowMicros())) {
--- a/decisions/src/main/java/thornferry/decisions/placement/Placement.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/Placement.java
@@ -18,7 +18,7 @@
      *
      * @param nowMicros the current time, which must not decrease from one call to the next
      */
-    void on(long nowMicros, Event event, Consumer<Action> actions);
+    void handle(long nowMicros, Event event, Consumer<Action> actions);
 
     /** The condition under which a task may be started again after an attempt that may have run. */
     enum Idempotency {
@@ -419,13 +419,13 @@
             implements Event {}
 
     /** The machine has accepted the task after this time, which is the result of the request. */
-    record AttemptAccepted(String requestId, int attempt, String machine, long waitedMicros)
+    record AttemptAccepted(String requestId, int attempt, String machine, long elapsedMicros)
             implements Event {}
 
     /**
      * The outcome of an attempt, exactly one for each, and the time that the attempt took.
      *
-     * @param settled whether the request has had its result
+     * @param hasResult whether the request has had its result
      * @param report the machine's load report, null if it sent none
      */
     record AttemptEnded(
@@ -433,15 +433,15 @@
             int attempt,
             String machine,
             AttemptOutcome outcome,
-            long waitedMicros,
-            boolean settled,
+            long elapsedMicros,
+            boolean hasResult,
             OutcomeReason reason,
             LoadReport report)
             implements Event {}
 
     /** The result of a health check and the time that it took. The report is null if none came. */
     record HealthCheckCompleted(
-            String machine, boolean answered, long waitedMicros, LoadReport report)
+            String machine, boolean responded, long elapsedMicros, LoadReport report)
             implements Event {}
 
     /** The client has disconnected and no longer waits for the result. */
--- a/decisions/src/main/java/thornferry/decisions/placement/Policy.java
+++ b/decisions/src/main/java/thornferry/decisions/placement/Policy.java
@@ -91,7 +91,7 @@
     }
 
     @Override
-    public void on(long nowMicros, Event event, Consumer<Action> actions) {
+    public void handle(long nowMicros, Event event, Consumer<Action> actions) {
         boolean first = context.begin(nowMicros, actions);
         if (first) {
             lastTickMicros = nowMicros;
@@ -241,7 +241,7 @@
         }
         task.accept();
         ejection.recordAcceptance(task);
-        timeouts.recordResponseTime(task, event.waitedMicros());
+        timeouts.recordResponseTime(task, event.elapsedMicros());
         if (settings.acceptedWhenRunning()) {
             reservations.markStarted(task);
         }
@@ -253,7 +253,7 @@
             return;
         }
         boolean accepted = !task.awaitsAcceptance();
-        task.endAttempt(event.settled());
+        task.endAttempt(event.hasResult());
         reservations.release(task, accepted);
         machines.recordReport(task.machine(), event.report());
         if (accepted) {
@@ -270,7 +270,7 @@
 
     private void recordFailedAttempt(TrackedTask task, AttemptEnded event) {
         if (event.outcome() == AttemptOutcome.REJECTED && !settings.acceptedWhenRunning()) {
-            timeouts.recordResponseTime(task, event.waitedMicros());
+            timeouts.recordResponseTime(task, event.elapsedMicros());
         }
         ejection.recordFailedAttempt(task, event);
     }
--- a/decisions/src/main/java/thornferry/decisions/recovery/Recovery.java
+++ b/decisions/src/main/java/thornferry/decisions/recovery/Recovery.java
@@ -97,7 +97,7 @@
             implements Action {}
 
     /** The task was cancelled after its start in an earlier incarnation: its request fails. */
-    public record Failed(String owner, String tenant, TaskSpec spec, String reason)
+    public record CancelledAfterStart(String owner, String tenant, TaskSpec spec, String reason)
             implements Action {}
 
     /** No attempt of the task ever ran: a request that waits for this proof may be dispatched. */
@@ -192,7 +192,7 @@
      * Returns the machine whose proof about an uncertain task is missing or is no longer possible,
      * or an empty string if there is none.
      */
-    public String machineAwaited(String owner, String task) {
+    public String machineWithMissingProof(String owner, String task) {
         TaskState state = tasks.find(owner, task);
         return state == null ? "" : state.machineAwaited();
     }
@@ -258,7 +258,7 @@
                     actions.accept(finishedEarlier(attempt, tenant, machine, cause, false));
                 } else {
                     actions.accept(
-                            new Failed(
+                            new CancelledAfterStart(
                                     attempt.owner(),
                                     tenant,
                                     attempt.spec(),
--- a/decisions/src/main/java/thornferry/decisions/requests/RequestSubmission.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/RequestSubmission.java
@@ -6,7 +6,7 @@
 import thornferry.decisions.placement.Placement.TaskClass;
 import thornferry.decisions.requests.RequestTracker.Action;
 import thornferry.decisions.requests.RequestTracker.Limits;
-import thornferry.decisions.requests.RequestTracker.RequestWaiting;
+import thornferry.decisions.requests.RequestTracker.RequestSubmitted;
 
 /**
  * Decides how a submitted request is answered: with an error, with a retained result, with an
@@ -36,7 +36,7 @@
         this.backoff = backoff;
     }
 
-    /** See {@link RequestTracker#setUnavailable}. */
+    /** See {@link RequestTracker#setJournalUnavailable}. */
     void setUnavailable(String reason) {
         unavailableReason = reason;
     }
@@ -88,7 +88,7 @@
                 !settling.isOver(now) && entry.idempotency() == Idempotency.NON_IDEMPOTENT;
         boolean deferred = awaitsProof || mustSettle;
         actions.accept(
-                new RequestWaiting(
+                new RequestSubmitted(
                         entry.owner(),
                         tenant,
                         entry.spec(),
--- a/decisions/src/main/java/thornferry/decisions/requests/RequestTracker.java
+++ b/decisions/src/main/java/thornferry/decisions/requests/RequestTracker.java
@@ -84,25 +84,25 @@
     /**
      * A request was submitted. Its result, or its dispatch, may follow at once.
      *
-     * @param keyed whether the task is idempotent with a key
-     * @param settling whether the request is deferred, for the settling time or for proof
-     * @param uncertain whether the request waits for proof, as the task may have run in an earlier
-     *     incarnation
+     * @param idempotentWithKey whether the task is idempotent with a key
+     * @param deferred whether the request is deferred, for the settling time or for proof
+     * @param awaitsProof whether the request waits for proof, as the task may have run in an
+     *     earlier incarnation
      */
-    public record RequestWaiting(
+    public record RequestSubmitted(
             String owner,
             String tenant,
             TaskSpec spec,
-            boolean keyed,
-            boolean settling,
-            boolean uncertain)
+            boolean idempotentWithKey,
+            boolean deferred,
+            boolean awaitsProof)
             implements Action {}
 
     /**
      * Puts the request into the admission queue.
      *
      * @param deadlineMicros the time by which the task must be placed
-     * @param rejectedBy the machine that last rejected the task, empty for none
+     * @param lastRejectedBy the machine that last rejected the task, empty for none
      */
     public record Dispatch(
             PlacementRequest request,
@@ -110,7 +110,7 @@
             TaskSpec spec,
             double priorityWeight,
             long deadlineMicros,
-            String rejectedBy)
+            String lastRejectedBy)
             implements Action {}
 
     /**
@@ -153,9 +153,10 @@
     /**
      * The details of a request that an offer to a machine contains.
      *
-     * @param attempt the number of the offer, from 0
+     * @param attemptNumber the number of the offer, from 0
      */
-    public record OfferDetails(String owner, TaskSpec spec, Idempotency idempotency, int attempt) {}
+    public record OfferDetails(
+            String owner, TaskSpec spec, Idempotency idempotency, int attemptNumber) {}
 
     private final RequestIndex index = new RequestIndex();
     private final PendingNotifications notifications = new PendingNotifications();
@@ -241,7 +242,7 @@
      * this reason, because no journal record can be written for them. An empty reason accepts them
      * again.
      */
-    public void setUnavailable(String reason) {
+    public void setJournalUnavailable(String reason) {
         submission.setUnavailable(reason);
     }
 
--- a/decisions/src/test/java/thornferry/decisions/admission/AdmissionQueueFixture.java
+++ b/decisions/src/test/java/thornferry/decisions/admission/AdmissionQueueFixture.java
@@ -27,7 +27,7 @@
 
     private final ClusterView cluster = new ClusterView(List.of(new MachineKind("std", 100, 100)));
     private final List<String> dispatched = new ArrayList<>();
-    private final Map<String, AdmissionQueue.Shed> rejected = new HashMap<>();
+    private final Map<String, AdmissionQueue.Reject> rejected = new HashMap<>();
     private final List<String> recalled = new ArrayList<>();
     private long nowMicros = 1_000 * SECOND;
     private int lastRequestNumber;
@@ -135,7 +135,7 @@
     }
 
     /** Returns the rejections by request id. */
-    Map<String, AdmissionQueue.Shed> rejected() {
+    Map<String, AdmissionQueue.Reject> rejected() {
         return rejected;
     }
 
@@ -171,11 +171,11 @@
     }
 
     void startAttempt(String requestId, String machine, boolean repeat) {
-        queue.attemptStarted(nowMicros, requestId, machine, repeat);
+        queue.recordAttemptStart(nowMicros, requestId, machine, repeat);
     }
 
     void endAttempt(String requestId) {
-        queue.attemptEnded(nowMicros, requestId);
+        queue.recordAttemptEnd(nowMicros, requestId);
     }
 
     /** Starts an attempt of the request and places it. */
@@ -185,11 +185,11 @@
     }
 
     void markPlaced(String requestId) {
-        queue.placed(nowMicros, requestId, this::record);
+        queue.recordPlacement(nowMicros, requestId, this::record);
     }
 
     void finish(String requestId) {
-        queue.finished(nowMicros, requestId, this::record);
+        queue.recordEnd(nowMicros, requestId, this::record);
     }
 
     void tick() {
@@ -213,7 +213,7 @@
     private void record(AdmissionQueue.Action action) {
         if (action instanceof AdmissionQueue.Dispatch dispatch) {
             dispatched.add(dispatch.requestId());
-        } else if (action instanceof AdmissionQueue.Shed shed) {
+        } else if (action instanceof AdmissionQueue.Reject shed) {
             assertThat(rejected.put(shed.requestId(), shed))
                     .as("earlier rejection of the same request")
                     .isNull();
@@ -282,7 +282,7 @@
                             0,
                             retry,
                             rejectedBy);
-            queue.arrived(nowMicros, request, AdmissionQueueFixture.this::record);
+            queue.handleArrival(nowMicros, request, AdmissionQueueFixture.this::record);
             return requestId;
         }
     }
--- a/decisions/src/test/java/thornferry/decisions/admission/DispatcherTest.java
+++ b/decisions/src/test/java/thornferry/decisions/admission/DispatcherTest.java
@@ -23,13 +23,13 @@
                 fixture.request("o", "t", MAX_WAIT_MICROS).priorityWeight(5).cores(60).arrive();
         String small = fixture.arrive("o", "t", MAX_WAIT_MICROS);
         assertThat(fixture.dispatched()).containsExactly(large, alsoLarge);
-        fixture.cluster().loadReported(MACHINE, 50, 50);
+        fixture.cluster().recordLoadReport(MACHINE, 50, 50);
         fixture.pass(300 * MILLISECOND);
         assertThat(fixture.recalled()).contains(large, alsoLarge);
         assertThat(fixture.dispatched()).contains(small);
         fixture.place(small);
         fixture.dispatched().clear();
-        fixture.cluster().loadReported(MACHINE, 80, 80);
+        fixture.cluster().recordLoadReport(MACHINE, 80, 80);
         fixture.pass(20 * MILLISECOND);
         assertThat(fixture.dispatched()).contains(large, alsoLarge);
     }
@@ -37,7 +37,7 @@
     @Test
     void dispatchesOthersWithoutDelayDespiteRequestsWithoutCapacity() {
         fixture.start(settings(8, OLDEST_EVERY, 0));
-        fixture.cluster().loadReported(MACHINE, 50, 50);
+        fixture.cluster().recordLoadReport(MACHINE, 50, 50);
         for (int i = 0; i < 500; i++) {
             fixture.request("o", "t", 600 * SECOND).cores(90).arrive();
         }
@@ -81,7 +81,7 @@
         String small = fixture.arrive("o", "t", MAX_WAIT_MICROS);
         String highWeight = fixture.request("o", "t", MAX_WAIT_MICROS).priorityWeight(3).arrive();
         assertThat(fixture.dispatched()).contains(large, highWeight).doesNotContain(small);
-        assertThat(fixture.status(small).capacityReserved()).isTrue();
+        assertThat(fixture.status(small).heldBackByReservation()).isTrue();
         fixture.pass(1_100 * MILLISECOND);
         assertThat(fixture.dispatched()).contains(small);
         String afterReservation = fixture.arrive("o", "t", MAX_WAIT_MICROS);
--- a/decisions/src/test/java/thornferry/decisions/admission/FairShareTest.java
+++ b/decisions/src/test/java/thornferry/decisions/admission/FairShareTest.java
@@ -78,7 +78,7 @@
         fixture.reload(settings(1, oldestEvery, 0).withQuotas(null, null, null, weights));
         // The low-weight tenant already uses half of the machine, so its share is never the lowest.
         fixture.queue()
-                .adopted(
+                .recordAdoption(
                         fixture.nowMicros(),
                         new QueuedRequest("x", "p", "low", "c", 1, 50, 50, 0, 0, false, ""));
         int others = 0;
--- a/decisions/src/test/java/thornferry/decisions/admission/LoadShedderTest.java
+++ b/decisions/src/test/java/thornferry/decisions/admission/LoadShedderTest.java
@@ -91,7 +91,7 @@
         fixture.start(settings(1, OLDEST_EVERY, 0));
         List<Long> delays = new ArrayList<>();
         for (int i = 0; i < 500; i++) {
-            delays.add(fixture.queue().retryAfter(fixture.nowMicros()));
+            delays.add(fixture.queue().takeRetryAfterMicros(fixture.nowMicros()));
         }
         delays.sort(null);
         assertThat(delays.get(499)).isLessThanOrEqualTo(30 * SECOND);
--- a/decisions/src/test/java/thornferry/decisions/admission/QuotaTest.java
+++ b/decisions/src/test/java/thornferry/decisions/admission/QuotaTest.java
@@ -25,7 +25,7 @@
         String second = fixture.arrive("o", "t", MAX_WAIT_MICROS);
         String otherOwner = fixture.arrive("p", "t", MAX_WAIT_MICROS);
         assertThat(fixture.dispatched()).containsExactly(first, otherOwner);
-        assertThat(fixture.status(second).quotaBlock().quota()).isEqualTo("tasks");
+        assertThat(fixture.status(second).quotaBlock().quotaName()).isEqualTo("tasks");
         fixture.place(first);
         assertThat(fixture.dispatched()).as("a placed task counts against the quota").hasSize(2);
         fixture.finish(first);
--- a/decisions/src/test/java/thornferry/decisions/admission/RetryBudgetTest.java
+++ b/decisions/src/test/java/thornferry/decisions/admission/RetryBudgetTest.java
@@ -31,7 +31,7 @@
         assertThat(fixture.dispatched()).contains(fixture.arrive("o", "t", MAX_WAIT_MICROS));
         assertThat(fixture.dispatched()).contains(retry("p", ""));
         String delayed = retry("o", "");
-        assertThat(fixture.status(delayed).quotaBlock().quota()).isEqualTo("asks again");
+        assertThat(fixture.status(delayed).quotaBlock().quotaName()).isEqualTo("asks again");
         int dispatchedBefore = fixture.dispatched().size();
         fixture.pass(5 * SECOND);
         assertThat(fixture.dispatched().size() - dispatchedBefore)
--- a/decisions/src/test/java/thornferry/decisions/attempts/AttemptTrackerTest.java
+++ b/decisions/src/test/java/thornferry/decisions/attempts/AttemptTrackerTest.java
@@ -13,8 +13,8 @@
 import thornferry.decisions.attempts.AttemptTracker.CancelAttempt;
 import thornferry.decisions.attempts.AttemptTracker.NotifyPolicy;
 import thornferry.decisions.attempts.AttemptTracker.ProtocolViolation;
-import thornferry.decisions.attempts.AttemptTracker.Report;
 import thornferry.decisions.attempts.AttemptTracker.RequestPlaced;
+import thornferry.decisions.attempts.AttemptTracker.StatusReport;
 import thornferry.decisions.attempts.AttemptTracker.TaskTerminated;
 import thornferry.decisions.placement.Placement.AttemptAccepted;
 import thornferry.decisions.placement.Placement.AttemptEnded;
@@ -41,7 +41,8 @@
     }
 
     private List<Action> report(String attempt, AttemptStatus status) {
-        Report report = new Report(attempt, status, OutcomeReason.INSUFFICIENT_CORES, false, null);
+        StatusReport report =
+                new StatusReport(attempt, status, OutcomeReason.INSUFFICIENT_CORES, false, null);
         return actionsOf(() -> tracker.reported(now, "n", report, actions::add));
     }
 
@@ -67,7 +68,7 @@
     private List<Action> reportInventory(long incarnation, Set<String> attemptIds) {
         return actionsOf(
                 () ->
-                        tracker.inventory(
+                        tracker.inventoryReported(
                                 now,
                                 "n",
                                 incarnation,
@@ -81,7 +82,7 @@
     void attemptOfIncompletelyWrittenOfferNeverRan() {
         String attempt = beginAttempt(Idempotency.NON_IDEMPOTENT);
         AttemptOutcome outcome =
-                outcomeOf(actionsOf(() -> tracker.notWritten(now, attempt, actions::add)));
+                outcomeOf(actionsOf(() -> tracker.offerNotWritten(now, attempt, actions::add)));
         assertThat(outcome.neverRan).isTrue();
     }
 
@@ -151,7 +152,7 @@
         assertThat(report(attempt, AttemptStatus.COMPLETED))
                 .contains(new TaskTerminated("q1", "n", TerminationCause.COMPLETED));
         assertThat(report(attempt, AttemptStatus.COMPLETED)).isEmpty();
-        assertThat(tracker.attemptCount()).isZero();
+        assertThat(tracker.activeAttemptCount()).isZero();
     }
 
     @Test
@@ -182,13 +183,14 @@
     @Test
     void reportOnAttemptNeverOfferedIsProtocolViolation() {
         String attempt = beginAttempt(Idempotency.IDEMPOTENT);
-        Report fromOtherMachine =
-                new Report(attempt, AttemptStatus.ACCEPTED, OutcomeReason.NONE, false, null);
+        StatusReport fromOtherMachine =
+                new StatusReport(attempt, AttemptStatus.ACCEPTED, OutcomeReason.NONE, false, null);
         assertThat(actionsOf(() -> tracker.reported(now, "m", fromOtherMachine, actions::add)))
                 .singleElement()
                 .isInstanceOf(ProtocolViolation.class);
-        Report ofUnknownAttempt =
-                new Report("p.1-999", AttemptStatus.COMPLETED, OutcomeReason.NONE, false, null);
+        StatusReport ofUnknownAttempt =
+                new StatusReport(
+                        "p.1-999", AttemptStatus.COMPLETED, OutcomeReason.NONE, false, null);
         assertThat(actionsOf(() -> tracker.reported(now, "n", ofUnknownAttempt, actions::add)))
                 .singleElement()
                 .isInstanceOf(ProtocolViolation.class);
@@ -200,7 +202,7 @@
     void taskOfEarlierPlacerIncarnationIsAdoptedAndTracked() {
         assertThat(reportInventory(5, Set.of("p.0-7")))
                 .containsExactly(new AdoptTask("n", "p.0-7"));
-        tracker.adopted(now, "p.0-7", "q9", "n", 5, Idempotency.NON_IDEMPOTENT, true);
+        tracker.trackAdopted(now, "p.0-7", "q9", "n", 5, Idempotency.NON_IDEMPOTENT, true);
         assertThat(report("p.0-7", AttemptStatus.COMPLETED))
                 .contains(new TaskTerminated("q9", "n", TerminationCause.COMPLETED));
     }
@@ -238,7 +240,7 @@
         switch (random.nextInt(6)) {
             case 0 -> tracker.connectionLost(at, "n", allActions::add);
             case 1 ->
-                    tracker.inventory(
+                    tracker.inventoryReported(
                             at,
                             "n",
                             5,
@@ -248,13 +250,13 @@
                             allActions::add);
             case 2 -> tracker.reported(at, "n", randomReport(random, attempt), allActions::add);
             case 3 -> tracker.tick(at, allActions::add);
-            case 4 -> tracker.notWritten(at, attempt, allActions::add);
+            case 4 -> tracker.offerNotWritten(at, attempt, allActions::add);
             default -> tracker.cancel("q", TerminationCause.STOPPED, allActions::add);
         }
     }
 
-    private static Report randomReport(SplittableRandom random, String attempt) {
+    private static StatusReport randomReport(SplittableRandom random, String attempt) {
         AttemptStatus status = STATUSES.get(random.nextInt(STATUSES.size()));
-        return new Report(attempt, status, OutcomeReason.NONE, random.nextBoolean(), null);
+        return new StatusReport(attempt, status, OutcomeReason.NONE, random.nextBoolean(), null);
     }
 }
--- a/decisions/src/test/java/thornferry/decisions/diagnosis/ReasonClassifierTest.java
+++ b/decisions/src/test/java/thornferry/decisions/diagnosis/ReasonClassifierTest.java
@@ -152,11 +152,11 @@
     void namesRejectingMachineOnlyIfAllRejectionsHaveSameReason() {
         listMachine("n1", "std", MachineState.READY);
         listMachine("n2", "std", MachineState.READY);
-        cluster.rejected("n1", RejectionReason.INSUFFICIENT_CORES);
+        cluster.recordRejection("n1", RejectionReason.INSUFFICIENT_CORES);
         Pending report = report(Map.of(FilterReason.RECENTLY_REJECTED, 2));
         assertThat(classifier.classify(task, report).evidence())
                 .containsExactly(Evidence.ofMachine("refused: not enough cores", "n1"));
-        cluster.rejected("n2", RejectionReason.INSUFFICIENT_MEMORY);
+        cluster.recordRejection("n2", RejectionReason.INSUFFICIENT_MEMORY);
         assertThat(classifier.classify(task, report).evidence())
                 .containsExactly(
                         Evidence.ofMachines("refused: not enough cores", 1),
@@ -199,14 +199,14 @@
     @Test
     void classifiesRejectionForDrainingUntilMachineAcceptsAgain() {
         listMachine("n1", "std", MachineState.READY);
-        cluster.rejected("n1", RejectionReason.DRAINING);
+        cluster.recordRejection("n1", RejectionReason.DRAINING);
         assertThat(classifyAfterFailedAttempt(AttemptOutcome.REJECTED, RejectionReason.DRAINING))
                 .isEqualTo(
                         Diagnosis.of(
                                 Kind.DRAINING,
                                 Evidence.ofMachine("refused: it drains", "n1"),
                                 "the drain ends, or another node has room"));
-        cluster.accepted("n1");
+        cluster.recordAcceptance("n1");
         assertThat(classifyAfterFailedAttempt(AttemptOutcome.REJECTED, RejectionReason.DRAINING))
                 .isEqualTo(
                         Diagnosis.of(
--- a/decisions/src/test/java/thornferry/decisions/membership/MembershipTest.java
+++ b/decisions/src/test/java/thornferry/decisions/membership/MembershipTest.java
@@ -8,7 +8,7 @@
 import thornferry.decisions.membership.Membership.Action;
 import thornferry.decisions.membership.Membership.CloseConnection;
 import thornferry.decisions.membership.Membership.IncarnationEnded;
-import thornferry.decisions.membership.Membership.MachineAdmitted;
+import thornferry.decisions.membership.Membership.MachineRegistered;
 import thornferry.decisions.membership.Membership.MachinesChanged;
 import thornferry.decisions.membership.Membership.NotifyDrain;
 import thornferry.decisions.membership.Membership.Registration;
@@ -36,7 +36,7 @@
 
     private List<Action> register(long connection, Registration registration) {
         return actionsOf(
-                () -> membership.registered(nowMicros, connection, registration, actions::add));
+                () -> membership.register(nowMicros, connection, registration, actions::add));
     }
 
     private List<Action> disconnect(long connection) {
@@ -79,7 +79,7 @@
     @Test
     void admitsRegisteredMachineAndPublishesItAsReady() {
         List<Action> result = register(1, "n", 5);
-        assertThat(result.get(0)).isEqualTo(new MachineAdmitted("n", 5, 1));
+        assertThat(result.get(0)).isEqualTo(new MachineRegistered("n", 5, 1));
         assertThat(lastPublishedState(result)).isEqualTo(MachineState.READY);
         assertThat(membership.connectionOf("n")).isEqualTo(1);
     }
@@ -135,7 +135,7 @@
                 .containsSubsequence(
                         new CloseConnection(1, "registered again on another connection"),
                         new IncarnationEnded("n", 5, "it has started anew"),
-                        new MachineAdmitted("n", 6, 2));
+                        new MachineRegistered("n", 6, 2));
         // Closing the old connection does not affect the new incarnation.
         assertThat(disconnect(1)).isEmpty();
         assertThat(membership.connectionOf("n")).isEqualTo(2);
@@ -146,7 +146,7 @@
         register(1, "n", 6);
         List<Action> result = register(2, "n", 5);
         assertThat(result).singleElement().isInstanceOf(CloseConnection.class);
-        assertThat(membership.incarnation("n")).isEqualTo(6);
+        assertThat(membership.incarnationOf("n")).isEqualTo(6);
         assertThat(membership.connectionOf("n")).isEqualTo(1);
     }
 
@@ -191,7 +191,8 @@
     @Test
     void keepsDrainAcrossIncarnationsAndInformsPolicyFirst() {
         register(1, "n", 5);
-        List<Action> result = actionsOf(() -> membership.drain(nowMicros, "n", true, actions::add));
+        List<Action> result =
+                actionsOf(() -> membership.setDraining(nowMicros, "n", true, actions::add));
         assertThat(lastPublishedState(result)).isEqualTo(MachineState.DRAINING);
         assertThat(result.get(result.size() - 1)).isEqualTo(new NotifyDrain("n", 1, true));
         disconnect(1);
@@ -202,10 +203,10 @@
                         lastPublishedState(
                                 actionsOf(
                                         () ->
-                                                membership.drain(
+                                                membership.setDraining(
                                                         nowMicros, "n", false, actions::add))))
                 .isEqualTo(MachineState.READY);
-        assertThat(membership.drain(nowMicros, "unknown", true, actions::add)).isFalse();
+        assertThat(membership.setDraining(nowMicros, "unknown", true, actions::add)).isFalse();
     }
 
     @Test
@@ -234,6 +235,6 @@
         assertThat(register(4, "d", 1)).singleElement().isInstanceOf(CloseConnection.class);
         disconnect(1);
         advance(11 * SECOND);
-        assertThat(register(5, "d", 1)).contains(new MachineAdmitted("d", 1, 5));
+        assertThat(register(5, "d", 1)).contains(new MachineRegistered("d", 1, 5));
     }
 }
--- a/decisions/src/test/java/thornferry/decisions/placement/EmbeddingTest.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/EmbeddingTest.java
@@ -24,11 +24,11 @@
         long nowMicros = 0;
 
         Placement policy = new Policy(settings);
-        policy.on(
+        policy.handle(
                 nowMicros,
                 new Placement.MachineListUpdated(1, Placement.ListUpdateKind.FULL, machines),
                 this::record);
-        policy.on(nowMicros, new Placement.PlacementRequested(request), this::record);
+        policy.handle(nowMicros, new Placement.PlacementRequested(request), this::record);
 
         assertTrue(
                 actions.stream()
--- a/decisions/src/test/java/thornferry/decisions/placement/PolicyFixtures.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/PolicyFixtures.java
@@ -248,7 +248,7 @@
         /** Sends one event. Returns the actions that follow from it, except timers. */
         List<Action> send(Event event) {
             List<Action> actions = new ArrayList<>();
-            policy.on(
+            policy.handle(
                     nowMicros,
                     event,
                     action -> {
--- a/decisions/src/test/java/thornferry/decisions/placement/RuleChecker.java
+++ b/decisions/src/test/java/thornferry/decisions/placement/RuleChecker.java
@@ -102,7 +102,7 @@
         } else if (event instanceof AttemptEnded ended) {
             TaskRecord task = tasks.get(ended.requestId());
             task.attemptInFlight = false;
-            task.hasResult |= ended.settled();
+            task.hasResult |= ended.hasResult();
             if (!ended.outcome().neverRan && task.possibleRunMachine == null) {
                 task.possibleRunMachine = task.machine;
                 task.possibleRunSinceMicros = task.sentMicros;
--- a/decisions/src/test/java/thornferry/decisions/recovery/RecoveryTest.java
+++ b/decisions/src/test/java/thornferry/decisions/recovery/RecoveryTest.java
@@ -12,7 +12,7 @@
 import thornferry.decisions.placement.Placement.Idempotency;
 import thornferry.decisions.recovery.Recovery.Action;
 import thornferry.decisions.recovery.Recovery.BecameIndeterminate;
-import thornferry.decisions.recovery.Recovery.Failed;
+import thornferry.decisions.recovery.Recovery.CancelledAfterStart;
 import thornferry.decisions.recovery.Recovery.FinishedEarlier;
 import thornferry.decisions.recovery.Recovery.ProvenNotRun;
 import thornferry.decisions.recovery.Recovery.Restored;
@@ -76,7 +76,7 @@
         begin(offeredRecord(NOW - SECOND));
         assertThat(recovery.uncertaintyOf("o", "t")).isEqualTo(Uncertainty.PENDING_PROOF);
         assertThat(recovery.uncertaintyOf("other", "t")).isEqualTo(Uncertainty.NONE);
-        assertThat(recovery.machineAwaited("o", "t")).isEqualTo("n");
+        assertThat(recovery.machineWithMissingProof("o", "t")).isEqualTo("n");
         assertThat(register(7, MachineInventory.WHOLE_INCARNATION))
                 .containsExactly(new ProvenNotRun("o", "t"));
         assertThat(recovery.uncertaintyOf("o", "t")).isEqualTo(Uncertainty.NONE);
@@ -141,7 +141,7 @@
         begin();
         assertThat(register(7, NOW, retainedAttempt(AttemptStatus.CANCELLED, true)))
                 .first()
-                .isInstanceOf(Failed.class);
+                .isInstanceOf(CancelledAfterStart.class);
     }
 
     @Test
--- a/placer/src/main/java/thornferry/placer/AdmissionActions.java
+++ b/placer/src/main/java/thornferry/placer/AdmissionActions.java
@@ -29,10 +29,10 @@
                         request,
                         dispatch.owner(),
                         dispatch.deadlineMicros(),
-                        dispatch.rejectedBy());
+                        dispatch.lastRejectedBy());
         placementRequestsById.put(request.id(), request);
         components.reasons.queued(dispatch.spec().id(), queued);
-        components.admissionQueue.arrived(nowMicros, queued, this);
+        components.admissionQueue.handleArrival(nowMicros, queued, this);
     }
 
     /** Removes a request that will not be dispatched any more. */
@@ -47,7 +47,7 @@
         } else if (action instanceof AdmissionQueue.Recall recall) {
             components.reasons.stageChanged(recall.requestId());
             components.policy.accept(new Placement.ClientDisconnected(recall.requestId()));
-        } else if (action instanceof AdmissionQueue.Shed shed) {
+        } else if (action instanceof AdmissionQueue.Reject shed) {
             components.requests.shed(
                     components.clock().now(),
                     shed.requestId(),
--- a/placer/src/main/java/thornferry/placer/AttemptActions.java
+++ b/placer/src/main/java/thornferry/placer/AttemptActions.java
@@ -25,13 +25,13 @@
     /** Processes the report of a machine about the status of an attempt. */
     void report(String machine, AttemptReport report) {
         if (report.load() != null) {
-            components.cluster.loadReported(
+            components.cluster.recordLoadReport(
                     machine, report.load().freeCores(), report.load().freeMemory());
         }
         components.attempts.reported(
                 components.clock().now(),
                 machine,
-                new AttemptTracker.Report(
+                new AttemptTracker.StatusReport(
                         report.attempt(),
                         report.status(),
                         outcomeReason(report.rejectionReason()),
@@ -43,7 +43,7 @@
     /** Compares the inventory of an admitted machine with the attempts known to run there. */
     void reconcile(long now, String machine, long incarnation, NodeRegistration registration) {
         Map<String, HeldAttempt> heldAttempts = registration.heldAttemptsById();
-        components.attempts.inventory(
+        components.attempts.inventoryReported(
                 now,
                 machine,
                 incarnation,
@@ -91,7 +91,7 @@
         if (action instanceof AttemptTracker.OfferRejected rejected) {
             components.requests.offerRejected(
                     rejected.requestId(), rejected.machine(), rejected.reason());
-            components.cluster.rejected(rejected.machine(), reason);
+            components.cluster.recordRejection(rejected.machine(), reason);
             components.reasons.offerRejected(rejected.requestId(), rejected.machine(), reason);
         } else {
             accept(action);
@@ -119,12 +119,12 @@
     private void notifyPolicy(long now, Placement.Event event) {
         if (event instanceof Placement.AttemptEnded ended) {
             if (isUnresponsive(ended)) {
-                components.cluster.unresponsive(ended.machine());
+                components.cluster.recordUnresponsive(ended.machine());
             }
-            components.admissionQueue.attemptEnded(now, ended.requestId());
+            components.admissionQueue.recordAttemptEnd(now, ended.requestId());
             components.reasons.attemptEnded(ended.requestId(), ended.machine(), ended.outcome());
         } else if (event instanceof Placement.AttemptAccepted accepted) {
-            components.cluster.accepted(accepted.machine());
+            components.cluster.recordAcceptance(accepted.machine());
         }
         components.policy.accept(event);
     }
@@ -152,7 +152,7 @@
         if (components.journal.cancelPendingOffer(cancel.attempt())) {
             // Otherwise the offer could be sent after its cancellation, and the task would run
             // untracked.
-            components.attempts.notWritten(now, cancel.attempt(), this);
+            components.attempts.offerNotWritten(now, cancel.attempt(), this);
         } else {
             components.output.cancelAttempt(cancel.machine(), cancel.attempt());
         }
@@ -173,15 +173,15 @@
             accept(new AttemptTracker.CancelAttempt(machine, adopt.attempt()));
             return;
         }
-        components.attempts.adopted(
+        components.attempts.trackAdopted(
                 components.clock().now(),
                 adopt.attempt(),
                 request.id(),
                 machine,
-                components.membership.incarnation(machine),
+                components.membership.incarnationOf(machine),
                 components.taskClasses.idempotency(request.taskClass()),
                 held.running());
-        components.admissionQueue.adopted(
+        components.admissionQueue.recordAdoption(
                 components.clock().now(),
                 components.taskClasses.queuedRequest(
                         request, held.owner(), NO_DEADLINE_MICROS, NOT_REJECTED));
--- a/placer/src/main/java/thornferry/placer/ClientHandler.java
+++ b/placer/src/main/java/thornferry/placer/ClientHandler.java
@@ -141,7 +141,7 @@
     void subscribeToReasons(ServerSession session) {
         reasonSubscribers.add(session);
         core.reasons()
-                .waitingCount(instance.clock().now(), session.login(), MAX_INITIAL_REASONS)
+                .explainWaiting(instance.clock().now(), session.login(), MAX_INITIAL_REASONS)
                 .forEach(
                         explanation ->
                                 connections.stateOf(session).changedTasks.add(explanation.task()));
--- a/placer/src/main/java/thornferry/placer/HealthChecks.java
+++ b/placer/src/main/java/thornferry/placer/HealthChecks.java
@@ -41,7 +41,7 @@
             return;
         }
         pendingByMachine.remove(machine);
-        components.cluster.loadReported(machine, load.freeCores(), load.freeMemory());
+        components.cluster.recordLoadReport(machine, load.freeCores(), load.freeMemory());
         complete(machine, check, components.clock().now(), load);
     }
 
--- a/placer/src/main/java/thornferry/placer/JournalOpener.java
+++ b/placer/src/main/java/thornferry/placer/JournalOpener.java
@@ -31,14 +31,14 @@
         try {
             JournalFile file = JournalFile.open(folder, instance, site.state().durability());
             journals.add(file);
-            boolean complete = file.incompleteBecause().isEmpty();
+            boolean complete = file.incompleteReason().isEmpty();
             LOG.atInfo()
                     .addKeyValue("instance", instance)
                     .log(
                             "journal in {}: {} records of earlier incarnations{}",
                             folder,
                             file.records().size(),
-                            complete ? "" : "; " + file.incompleteBecause());
+                            complete ? "" : "; " + file.incompleteReason());
             return new RecoveredState(file, file.records(), complete);
         } catch (JournalFile.JournalInUseException e) {
             throw e;
--- a/placer/src/main/java/thornferry/placer/LoginAuthenticator.java
+++ b/placer/src/main/java/thornferry/placer/LoginAuthenticator.java
@@ -166,7 +166,7 @@
 
     private LoginCheck loginCheck(Credentials credentials, Consumer<Optional<String>> callback) {
         String login = credentials.login();
-        if (login == null || login.length() > Passcodes.MOST_LENGTH) {
+        if (login == null || login.length() > Passcodes.MAX_LENGTH) {
             login = "";
         }
         Account account = accounts.get(login);
@@ -187,7 +187,7 @@
             workers.execute(() -> run(check));
         } catch (RejectedExecutionException e) {
             synchronized (rateLimiter) {
-                rateLimiter.abandoned(check.address(), check.login());
+                rateLimiter.attemptAbandoned(check.address(), check.login());
             }
             check.reject(TOO_MANY_LOGINS);
         }
--- a/placer/src/main/java/thornferry/placer/MembershipActions.java
+++ b/placer/src/main/java/thornferry/placer/MembershipActions.java
@@ -25,12 +25,12 @@
 
     /** Processes the registration of a node. */
     void register(NodeRegistration registration) {
-        components.membership.registered(
+        components.membership.register(
                 components.clock().now(),
                 registration.connection(),
                 registration.machine(),
                 action -> {
-                    if (action instanceof Membership.MachineAdmitted admitted) {
+                    if (action instanceof Membership.MachineRegistered admitted) {
                         admit(admitted, registration);
                     } else {
                         accept(action);
@@ -49,7 +49,7 @@
             components.output.closeConnection(close.connection(), close.reason());
         } else if (action instanceof Membership.IncarnationEnded ended) {
             incarnationEnded(ended);
-        } else if (action instanceof Membership.MachineForgotten forgotten) {
+        } else if (action instanceof Membership.MachineRemoved forgotten) {
             components.cluster.remove(forgotten.machine());
         } else if (action instanceof Membership.NotifyDrain drain) {
             components.output.notifyDrain(drain.machine(), drain.draining());
@@ -73,7 +73,7 @@
      * connection may have lost come first, then the attempts that the machine holds, and only then
      * does recovery decide about attempts that the machine no longer has.
      */
-    private void admit(Membership.MachineAdmitted admitted, NodeRegistration registration) {
+    private void admit(Membership.MachineRegistered admitted, NodeRegistration registration) {
         long now = components.clock().now();
         String machine = admitted.machine();
         registration
@@ -88,7 +88,7 @@
                         new LinkedHashSet<>(registration.heldAttemptsById().keySet()),
                         registration.retainedAttempts(),
                         registration.completeSinceMicros()),
-                components.attempts::isOwn,
+                components.attempts::isOfThisIncarnation,
                 components.recoveryActions);
         components.output.welcome(machine, components.recovery.limits().machineRetentionMicros());
     }
--- a/placer/src/main/java/thornferry/placer/PlacerCore.java
+++ b/placer/src/main/java/thornferry/placer/PlacerCore.java
@@ -85,7 +85,7 @@
                 components.policyActions.offerCount(),
                 components.policy.failures(),
                 components.requests.pendingCount(),
-                components.attempts.attemptCount());
+                components.attempts.activeAttemptCount());
     }
 
     // ---- time and configuration ----
@@ -116,7 +116,7 @@
      * need it are rejected.
      */
     private void updateAvailability() {
-        components.requests.setUnavailable(components.journal.writeFailure());
+        components.requests.setJournalUnavailable(components.journal.writeFailure());
     }
 
     // ---- clients and operators ----
@@ -165,7 +165,8 @@
 
     /** Starts or ends the drain of a machine; returns false if there is no such machine. */
     boolean drain(String machine, boolean draining) {
-        return components.membership.drain(now(), machine, draining, components.membershipActions);
+        return components.membership.setDraining(
+                now(), machine, draining, components.membershipActions);
     }
 
     // ---- nodes ----
@@ -199,7 +200,7 @@
 
     /** Ends an attempt whose offer could not be written; the attempt cannot have run. */
     void notWritten(String attempt) {
-        components.attempts.notWritten(now(), attempt, components.attemptActions);
+        components.attempts.offerNotWritten(now(), attempt, components.attemptActions);
     }
 
     /** Processes the answer of a node to a health check. */
--- a/placer/src/main/java/thornferry/placer/PlacerServer.java
+++ b/placer/src/main/java/thornferry/placer/PlacerServer.java
@@ -109,7 +109,7 @@
     @Override
     public void connecting(ServerSession session, String login, String passcode) {
         SslHandler tls = session.channel().pipeline().get(SslHandler.class);
-        String certifiedLogin = tls == null ? null : Tls.peer(tls.engine().getSession());
+        String certifiedLogin = tls == null ? null : Tls.peerCommonName(tls.engine().getSession());
         if (certifiedLogin != null && passcode == null) {
             authenticateByCertificate(session, login, certifiedLogin);
         } else if (tls != null && login == null && passcode == null) {
--- a/placer/src/main/java/thornferry/placer/PolicyActions.java
+++ b/placer/src/main/java/thornferry/placer/PolicyActions.java
@@ -34,7 +34,7 @@
         if (action instanceof Placement.Offer offer) {
             offer(offer);
         } else if (action instanceof Placement.Pending pending) {
-            components.reasons.pending(pending);
+            components.reasons.policyReported(pending);
         } else if (action instanceof Placement.Reject reject) {
             reject(reject);
         } else if (action instanceof Placement.Fail fail) {
@@ -73,7 +73,7 @@
         String reasonText = explainsRejection(reason) ? reason.sentence() : NO_REASON;
         long overloadRetryMicros =
                 components.admissionQueue.isOverloaded()
-                        ? components.admissionQueue.retryAfter(now)
+                        ? components.admissionQueue.takeRetryAfterMicros(now)
                         : 0;
         components.requests.rejected(
                 now,
@@ -119,7 +119,7 @@
                         details.spec(),
                         details.idempotency(),
                         offer.machine(),
-                        components.membership.incarnation(offer.machine())),
+                        components.membership.incarnationOf(offer.machine())),
                 failure -> offerPersisted(offer.machine(), attempt, details, failure));
     }
 
@@ -131,20 +131,20 @@
                 components.attempts.begin(
                         now,
                         offer.requestId(),
-                        details.attempt(),
+                        details.attemptNumber(),
                         machine,
-                        components.membership.incarnation(machine),
+                        components.membership.incarnationOf(machine),
                         details.idempotency(),
                         offer.timeoutMicros());
-        boolean retry = details.attempt() > 0;
-        components.admissionQueue.attemptStarted(now, offer.requestId(), machine, retry);
+        boolean retry = details.attemptNumber() > 0;
+        components.admissionQueue.recordAttemptStart(now, offer.requestId(), machine, retry);
         components.reasons.attemptStarted(offer.requestId(), machine);
         LOG.atDebug()
                 .addKeyValue("instance", components.instance.name())
                 .addKeyValue("task", details.spec().id())
                 .addKeyValue("node", machine)
                 .addKeyValue("attempt", attempt)
-                .log("offered as attempt {} of the request", details.attempt());
+                .log("offered as attempt {} of the request", details.attemptNumber());
         return attempt;
     }
 
@@ -155,7 +155,7 @@
     }
 
     private void offerNotSent(String attempt) {
-        components.attempts.notWritten(
+        components.attempts.offerNotWritten(
                 components.clock().now(), attempt, components.attemptActions);
     }
 
@@ -175,7 +175,7 @@
                 && components.membership.isReady(machine)) {
             send(machine, attempt, details);
         } else {
-            components.requests.setUnavailable(components.journal.writeFailure());
+            components.requests.setJournalUnavailable(components.journal.writeFailure());
             offerNotSent(attempt);
         }
     }
--- a/placer/src/main/java/thornferry/placer/PolicyExecutor.java
+++ b/placer/src/main/java/thornferry/placer/PolicyExecutor.java
@@ -84,7 +84,7 @@
 
     private void process(Placement.Event event) {
         try {
-            policy.on(clock.now(), event, this::carryOut);
+            policy.handle(clock.now(), event, this::carryOut);
         } catch (RuntimeException e) {
             failures++;
             String requestId = requestId(event);
--- a/placer/src/main/java/thornferry/placer/ProtocolMapper.java
+++ b/placer/src/main/java/thornferry/placer/ProtocolMapper.java
@@ -189,7 +189,7 @@
 
     /** Returns the counts of waiting tasks of one owner. */
     static WaitingTable ownWaitingTable(PlacerCore core, String owner) {
-        return waitingTable(core.reasons().countByReason(owner)).build();
+        return waitingTable(core.reasons().countWaitingByTenant(owner)).build();
     }
 
     /**
@@ -197,7 +197,7 @@
      */
     static WaitingTable siteWaitingTable(PlacerCore core) {
         AdmissionQueue.QueueCounts counts = core.admissionQueue().counts();
-        return waitingTable(core.reasons().countByReason(null))
+        return waitingTable(core.reasons().countWaitingByTenant(null))
                 .setOverload(counts.overloaded())
                 .setShed(counts.shed())
                 .build();
--- a/placer/src/main/java/thornferry/placer/RecoveryActions.java
+++ b/placer/src/main/java/thornferry/placer/RecoveryActions.java
@@ -23,7 +23,7 @@
             restore(now, restored);
         } else if (action instanceof Recovery.FinishedEarlier finished) {
             finishedEarlier(now, finished);
-        } else if (action instanceof Recovery.Failed failed) {
+        } else if (action instanceof Recovery.CancelledAfterStart failed) {
             components.requests.mayHaveRun(
                     now,
                     failed.owner(),
--- a/placer/src/main/java/thornferry/placer/ReloadableConfiguration.java
+++ b/placer/src/main/java/thornferry/placer/ReloadableConfiguration.java
@@ -94,6 +94,6 @@
     private static Optional<SslContext> tlsContext(Site site) throws IOException {
         return site.tls() == null
                 ? Optional.empty()
-                : Optional.of(Tls.server(site.tls().files(), site.tls().clients()));
+                : Optional.of(Tls.serverContext(site.tls().files(), site.tls().clients()));
     }
 }
--- a/placer/src/main/java/thornferry/placer/RequestActions.java
+++ b/placer/src/main/java/thornferry/placer/RequestActions.java
@@ -32,7 +32,7 @@
     @Override
     public void accept(RequestTracker.Action action) {
         long now = components.clock().now();
-        if (action instanceof RequestTracker.RequestWaiting waiting) {
+        if (action instanceof RequestTracker.RequestSubmitted waiting) {
             waiting(now, waiting);
         } else if (action instanceof RequestTracker.Dispatch dispatch) {
             components.admissionActions.enqueue(now, dispatch);
@@ -47,7 +47,7 @@
         }
     }
 
-    private void waiting(long now, RequestTracker.RequestWaiting waiting) {
+    private void waiting(long now, RequestTracker.RequestSubmitted waiting) {
         components.reasons.submitted(
                 now,
                 new TaskSubmission(
@@ -55,10 +55,10 @@
                         waiting.tenant(),
                         waiting.spec().id(),
                         waiting.spec().idempotencyKey(),
-                        waiting.keyed(),
-                        waiting.settling(),
-                        waiting.uncertain()
-                                ? components.recovery.machineAwaited(
+                        waiting.idempotentWithKey(),
+                        waiting.deferred(),
+                        waiting.awaitsProof()
+                                ? components.recovery.machineWithMissingProof(
                                         waiting.owner(), waiting.spec().id())
                                 : NO_MACHINE));
     }
@@ -82,10 +82,10 @@
             return;
         }
         if (completed.result() == RequestResult.PLACED) {
-            components.admissionQueue.placed(
+            components.admissionQueue.recordPlacement(
                     now, completed.requestId(), components.admissionActions);
         } else {
-            components.admissionQueue.finished(
+            components.admissionQueue.recordEnd(
                     now, completed.requestId(), components.admissionActions);
         }
     }
@@ -113,7 +113,7 @@
         }
         components.reasons.finished(now, finished.owner(), finished.task());
         if (finished.requestId() != null) {
-            components.admissionQueue.finished(
+            components.admissionQueue.recordEnd(
                     now, finished.requestId(), components.admissionActions);
         }
     }
@@ -142,7 +142,7 @@
         components.policy.accept(new Placement.ClientDisconnected(requestId));
         if (components.admissionQueue.status(now, requestId).stage()
                 != AdmissionQueue.Stage.PLACED) {
-            components.admissionQueue.finished(now, requestId, components.admissionActions);
+            components.admissionQueue.recordEnd(now, requestId, components.admissionActions);
         }
     }
 
--- a/placer/src/main/java/thornferry/placer/Site.java
+++ b/placer/src/main/java/thornferry/placer/Site.java
@@ -94,7 +94,7 @@
 
     /** Returns this site without admission control and pending reasons, to measure their cost. */
     public Site withoutAdmissionQueue() {
-        return withAdmission(admission.disabled());
+        return withAdmission(admission.withQueueingDisabled());
     }
 
     /** Returns this site with TLS. */
--- a/security/src/main/java/thornferry/security/CertificateStatus.java
+++ b/security/src/main/java/thornferry/security/CertificateStatus.java
@@ -10,7 +10,7 @@
  * @param use the purpose of the certificate; {@code unknown} if the certificate does not state one
  * @param notBefore the time from which the certificate is valid
  * @param notAfter the time at which the certificate expires
- * @param left the time until the certificate expires; negative if it has expired
+ * @param remainingValidity the time until the certificate expires; negative if it has expired
  * @param signedByAuthority whether the current authority signed the certificate
  */
 public record CertificateStatus(
@@ -18,15 +18,15 @@
         String use,
         Instant notBefore,
         Instant notAfter,
-        Duration left,
+        Duration remainingValidity,
         boolean signedByAuthority) {
     /** Returns whether the certificate has expired. */
     public boolean isExpired() {
-        return left.isNegative();
+        return remainingValidity.isNegative();
     }
 
     /** Returns whether the certificate has expired or will expire within a given time. */
     public boolean expiresWithin(Duration time) {
-        return left.compareTo(time) < 0;
+        return remainingValidity.compareTo(time) < 0;
     }
 }
--- a/security/src/main/java/thornferry/security/Passcodes.java
+++ b/security/src/main/java/thornferry/security/Passcodes.java
@@ -19,7 +19,7 @@
      * The maximum length of a passcode. A longer one never matches, so that unauthenticated peers
      * cannot make this process hash large inputs.
      */
-    public static final int MOST_LENGTH = 256;
+    public static final int MAX_LENGTH = 256;
 
     private static final int SALT_BYTES = 16;
     private static final int HASH_BYTES = 32;
@@ -60,7 +60,7 @@
      * @param stored a hash or a plain passcode; null if none is stored, which nothing matches
      */
     public static boolean matches(String passcode, String stored) {
-        String candidate = passcode == null || passcode.length() > MOST_LENGTH ? "" : passcode;
+        String candidate = passcode == null || passcode.length() > MAX_LENGTH ? "" : passcode;
         if (stored != null && isHash(stored)) {
             boolean matchesHash = encoderOf(stored).matches(candidate, stored);
             return matchesHash && passcode != null;
--- a/security/src/main/java/thornferry/security/Tls.java
+++ b/security/src/main/java/thornferry/security/Tls.java
@@ -53,7 +53,7 @@
      *
      * @throws IOException if a file cannot be used; the message contains its path
      */
-    public static SslContext server(Pem files, Clients clients) throws IOException {
+    public static SslContext serverContext(Pem files, Clients clients) throws IOException {
         try {
             SslContextBuilder builder =
                     SslContextBuilder.forServer(
@@ -73,7 +73,7 @@
      * @throws IOException if a file cannot be used; the message contains the path of the file or of
      *     the authorities
      */
-    public static SslContext client(Pem files) throws IOException {
+    public static SslContext clientContext(Pem files) throws IOException {
         try {
             SslContextBuilder builder = configure(SslContextBuilder.forClient(), files);
             if (files.certificate() != null) {
@@ -125,7 +125,7 @@
      *
      * @return null if the peer has presented no certificate, or one without a common name
      */
-    public static String peer(SSLSession session) {
+    public static String peerCommonName(SSLSession session) {
         try {
             Certificate[] chain = session.getPeerCertificates();
             return chain.length > 0 && chain[0] instanceof X509Certificate certificate
--- a/security/src/test/java/thornferry/security/KeysTest.java
+++ b/security/src/test/java/thornferry/security/KeysTest.java
@@ -50,7 +50,7 @@
         assertThat(Files.getPosixFilePermissions(keys.key("placer")))
                 .isEqualTo(PosixFilePermissions.fromString("rw-------"));
         assertThat(
-                        Tls.server(
+                        Tls.serverContext(
                                 new Tls.Pem(
                                         keys.certificate("placer"),
                                         keys.key("placer"),
@@ -76,7 +76,8 @@
         assertThat(alternativeNames("placer")).containsExactlyElementsOf(hosts);
         CertificateStatus renewed = keys.list().get(1);
         assertThat(renewed.use()).isEqualTo("server");
-        assertThat(renewed.left()).isBetween(Duration.ofHours(47), Duration.ofHours(48));
+        assertThat(renewed.remainingValidity())
+                .isBetween(Duration.ofHours(47), Duration.ofHours(48));
     }
 
     @Test
@@ -88,7 +89,7 @@
                 .hasMessageContaining("odd.pem");
         assertThatThrownBy(
                         () ->
-                                Tls.server(
+                                Tls.serverContext(
                                         new Tls.Pem(keys.certificate("odd"), keys.key("odd"), null),
                                         Tls.Clients.NONE))
                 .hasMessageContaining("odd.key");
--- a/state/src/main/java/thornferry/state/JournalContents.java
+++ b/state/src/main/java/thornferry/state/JournalContents.java
@@ -37,7 +37,7 @@
      * @throws IOException if the file cannot be read. Damaged contents are reported by {@link
      *     #problem} instead
      */
-    public static JournalContents of(Path file, String placer) throws IOException {
+    public static JournalContents read(Path file, String placer) throws IOException {
         return JournalReader.read(Storage.SYSTEM, file, Optional.ofNullable(placer));
     }
 
--- a/state/src/main/java/thornferry/state/JournalFile.java
+++ b/state/src/main/java/thornferry/state/JournalFile.java
@@ -126,7 +126,7 @@
     }
 
     /** Returns why {@link #records} may be incomplete, as a sentence; empty if it is complete. */
-    public String incompleteBecause() {
+    public String incompleteReason() {
         return recovered.incompleteReason();
     }
 
--- a/state/src/main/java/thornferry/state/RecordCodec.java
+++ b/state/src/main/java/thornferry/state/RecordCodec.java
@@ -39,7 +39,7 @@
                 .setOwner(offered.owner())
                 .setTenant(offered.tenant())
                 .setTaskSpec(encode(offered.spec()))
-                .setIdempotency(JournalWords.of(offered.idempotency()))
+                .setIdempotency(StoredNames.storedName(offered.idempotency()))
                 .setMachine(offered.machine())
                 .setIncarnation(offered.incarnation())
                 .build();
@@ -58,8 +58,8 @@
                 .setOwner(completed.owner())
                 .setTenant(completed.tenant())
                 .setTaskSpec(encode(completed.spec()))
-                .setIdempotency(JournalWords.of(completed.idempotency()))
-                .setResult(JournalWords.of(completed.result()))
+                .setIdempotency(StoredNames.storedName(completed.idempotency()))
+                .setResult(StoredNames.storedName(completed.result()))
                 .setMachine(completed.machine())
                 .setReason(completed.reason())
                 .build();
@@ -69,7 +69,7 @@
         return Finished.newBuilder()
                 .setOwner(finished.owner())
                 .setTask(finished.task())
-                .setTerminationCause(JournalWords.of(finished.terminationCause()))
+                .setTerminationCause(StoredNames.storedName(finished.terminationCause()))
                 .build();
     }
 
@@ -116,7 +116,7 @@
                 offered.getOwner(),
                 offered.getTenant(),
                 decode(offered.getTaskSpec()),
-                JournalWords.idempotency(offered.getIdempotency()),
+                StoredNames.idempotency(offered.getIdempotency()),
                 offered.getMachine(),
                 offered.getIncarnation());
     }
@@ -132,8 +132,8 @@
                 completed.getOwner(),
                 completed.getTenant(),
                 decode(completed.getTaskSpec()),
-                JournalWords.idempotency(completed.getIdempotency()),
-                JournalWords.result(completed.getResult()),
+                StoredNames.idempotency(completed.getIdempotency()),
+                StoredNames.result(completed.getResult()),
                 completed.getMachine(),
                 completed.getReason());
     }
@@ -143,7 +143,7 @@
                 atMicros,
                 finished.getOwner(),
                 finished.getTask(),
-                JournalWords.terminationCause(finished.getTerminationCause()));
+                StoredNames.terminationCause(finished.getTerminationCause()));
     }
 
     private static TaskSpec decode(StoredTaskSpec stored) {
--- a/state/src/main/java/thornferry/state/JournalWords.java
+++ b/state/src/main/java/thornferry/state/StoredNames.java
@@ -10,11 +10,11 @@
  * The names that journal files use for enumerated values. The stored names never change, whereas
  * the Java constants may be renamed.
  */
-public final class JournalWords {
-    private JournalWords() {}
+public final class StoredNames {
+    private StoredNames() {}
 
     /** Returns the stored name of an idempotency. */
-    public static String of(Idempotency idempotency) {
+    public static String storedName(Idempotency idempotency) {
         return switch (idempotency) {
             case IDEMPOTENT -> "SAFE";
             case IDEMPOTENT_WITH_KEY -> "KEYED";
@@ -23,7 +23,7 @@
     }
 
     /** Returns the stored name of a request's result. */
-    public static String of(RequestResult result) {
+    public static String storedName(RequestResult result) {
         return switch (result) {
             case PLACED -> "PLACED";
             case REJECTED -> "REFUSED";
@@ -32,7 +32,7 @@
     }
 
     /** Returns the stored name of a termination cause. */
-    public static String of(TerminationCause cause) {
+    public static String storedName(TerminationCause cause) {
         return switch (cause) {
             case COMPLETED -> "ENDED";
             case EVICTED -> "EVICTED";
@@ -48,7 +48,7 @@
      * @throws IllegalArgumentException if the name is unknown
      */
     static Idempotency idempotency(String storedName) {
-        return constantWithName(Idempotency.values(), JournalWords::of, storedName);
+        return constantWithName(Idempotency.values(), StoredNames::storedName, storedName);
     }
 
     /**
@@ -57,7 +57,7 @@
      * @throws IllegalArgumentException if the name is unknown
      */
     static RequestResult result(String storedName) {
-        return constantWithName(RequestResult.values(), JournalWords::of, storedName);
+        return constantWithName(RequestResult.values(), StoredNames::storedName, storedName);
     }
 
     /**
@@ -66,7 +66,7 @@
      * @throws IllegalArgumentException if the name is unknown
      */
     static TerminationCause terminationCause(String storedName) {
-        return constantWithName(TerminationCause.values(), JournalWords::of, storedName);
+        return constantWithName(TerminationCause.values(), StoredNames::storedName, storedName);
     }
 
     private static <E extends Enum<E>> E constantWithName(
--- a/state/src/main/java/thornferry/state/package-info.java
+++ b/state/src/main/java/thornferry/state/package-info.java
@@ -14,8 +14,8 @@
  *       compacted one;
  *   <li>{@code GroupCommitter}: the thread that writes and forces entries in batches;
  *   <li>{@code SnapshotWriter}: writes the compacted file while the active one is in use;
- *   <li>{@code FrameFormat}, {@code RecordCodec} and {@link thornferry.state.JournalWords}: the
- *       file format;
+ *   <li>{@code FrameFormat}, {@code RecordCodec} and {@link thornferry.state.StoredNames}: the file
+ *       format;
  *   <li>{@code Storage}: the file-system operations, replaceable in tests that simulate power loss.
  * </ul>
  *
--- a/state/src/test/java/thornferry/state/JournalFileTest.java
+++ b/state/src/test/java/thornferry/state/JournalFileTest.java
@@ -231,7 +231,7 @@
                 Files.createDirectories(folder).resolve("journal-7.tfj"), journalOfFiveRecords());
         try (JournalFile file = JournalFile.open(folder, "p-1", Durability.DISK)) {
             assertThat(file.records()).isEmpty();
-            assertThat(file.incompleteBecause()).contains("belongs to placer p-0");
+            assertThat(file.incompleteReason()).contains("belongs to placer p-0");
             file.startIncarnation(List.of());
         }
         try (Stream<Path> remaining = Files.list(folder)) {
@@ -249,7 +249,7 @@
     void rejectsSecondUserOfFolderAndRetainsRecordsOfTheFirst() throws Exception {
         CountDownLatch done = new CountDownLatch(20);
         try (JournalFile file = JournalFile.open(folder, "p-0", Durability.DISK)) {
-            assertThat(file.incompleteBecause())
+            assertThat(file.incompleteReason())
                     .isEqualTo("there is no journal of an earlier incarnation");
             file.startIncarnation(List.of());
             assertThatThrownBy(() -> JournalFile.open(folder, "p-0", Durability.DISK))
@@ -261,7 +261,7 @@
             assertThat(done.await(10, TimeUnit.SECONDS)).isTrue();
         }
         try (JournalFile reopened = JournalFile.open(folder, "p-0", Durability.DISK)) {
-            assertThat(reopened.incompleteBecause()).isEmpty();
+            assertThat(reopened.incompleteReason()).isEmpty();
             assertThat(reopened.records()).hasSize(20).contains(offered(17));
         }
     }
--- a/state/src/test/java/thornferry/state/StoredJournalTest.java
+++ b/state/src/test/java/thornferry/state/StoredJournalTest.java
@@ -156,7 +156,7 @@
 
     @Test
     void readsEveryRecordTypeOfCompactedFile() throws IOException {
-        JournalContents contents = JournalContents.of(COMPACTED, "placer-0");
+        JournalContents contents = JournalContents.read(COMPACTED, "placer-0");
         assertThat(contents.problem()).isEmpty();
         assertThat(contents.complete()).isTrue();
         assertThat(contents.foreign()).isFalse();
@@ -168,14 +168,14 @@
 
     @Test
     void encodesTheSameRecordsToTheSameBytes() throws IOException {
-        Incarnation incarnation = JournalContents.of(COMPACTED, "placer-0").lastIncarnation();
+        Incarnation incarnation = JournalContents.read(COMPACTED, "placer-0").lastIncarnation();
         assertThat(encoded("placer-0", RETAINED, incarnation, APPENDED))
                 .isEqualTo(Files.readAllBytes(COMPACTED));
     }
 
     @Test
     void readsTornTailUpToItsLastIntactRecord() throws IOException {
-        JournalContents contents = JournalContents.of(TORN, "placer-1");
+        JournalContents contents = JournalContents.read(TORN, "placer-1");
         assertThat(contents.complete()).isTrue();
         assertThat(contents.problem()).startsWith("its last line was not whole and is cut off");
         assertThat(contents.records()).isEqualTo(APPENDED.subList(0, 3));
@@ -194,7 +194,7 @@
             journal.startIncarnation(journal.records());
         }
         JournalContents compacted =
-                JournalContents.of(copiedFolder.resolve("journal-3.tfj"), "placer-0");
+                JournalContents.read(copiedFolder.resolve("journal-3.tfj"), "placer-0");
         assertThat(compacted.records().subList(3, 12)).isEqualTo(APPENDED);
         assertThat(compacted.lastIncarnation().getDurability()).isEqualTo("DISK");
     }
--- a/testbed/src/main/java/thornferry/testbed/scenario/ScenarioKeys.java
+++ b/testbed/src/main/java/thornferry/testbed/scenario/ScenarioKeys.java
@@ -40,11 +40,11 @@
     /** A context of a placer or a proxy, for its peers. */
     SslContext newServerContext() throws IOException {
         Site.TlsFiles tls = serverFiles();
-        return Tls.server(tls.files(), tls.clients());
+        return Tls.serverContext(tls.files(), tls.clients());
     }
 
     /** A context of a peer, which has no certificate of its own. */
     SslContext newClientContext() throws IOException {
-        return Tls.client(new Tls.Pem(null, null, new Keys(folder).authority()));
+        return Tls.clientContext(new Tls.Pem(null, null, new Keys(folder).authority()));
     }
 }
--- a/testbed/src/test/java/thornferry/testbed/ClientAuthenticationTest.java
+++ b/testbed/src/test/java/thornferry/testbed/ClientAuthenticationTest.java
@@ -65,7 +65,7 @@
     void rejectsExpiredNotYetValidAndForeignCertificates() throws Exception {
         // expired for longer than the clock skew that certificates allow for
         site.keys().issue("depot2", Keys.Use.OWNER, List.of(), Duration.ofSeconds(-400));
-        assertThat(site.keys().list().get(2).left()).isNegative();
+        assertThat(site.keys().list().get(2).remainingValidity()).isNegative();
         assertRejectedByTls(site.byCertificate("depot2"));
         site.keys()
                 .issue(
@@ -79,7 +79,7 @@
         foreignKeys.init("elsewhere", TlsSite.CERTIFICATE_VALIDITY);
         foreignKeys.issue("depot1", Keys.Use.OWNER, List.of(), TlsSite.CERTIFICATE_VALIDITY);
         SslContext foreignClient =
-                Tls.client(
+                Tls.clientContext(
                         new Tls.Pem(
                                 foreignKeys.certificate("depot1"),
                                 foreignKeys.key("depot1"),
@@ -98,7 +98,8 @@
     void clientRejectsPlacerOfUntrustedAuthority() throws Exception {
         Keys foreignKeys = new Keys(directory.resolve("foreign"));
         foreignKeys.init("elsewhere", TlsSite.CERTIFICATE_VALIDITY);
-        SslContext distrustingClient = Tls.client(new Tls.Pem(null, null, foreignKeys.authority()));
+        SslContext distrustingClient =
+                Tls.clientContext(new Tls.Pem(null, null, foreignKeys.authority()));
         assertThat(outcome(site.target("depot1", TlsSite.DEPOT1_PASSCODE, distrustingClient)))
                 .contains("certif");
     }
@@ -147,7 +148,7 @@
     void namesMissingCertificateFile() {
         assertThatThrownBy(
                         () ->
-                                Tls.server(
+                                Tls.serverContext(
                                         new Tls.Pem(
                                                 directory.resolve("none.pem"),
                                                 site.keys().key("placer"),
--- a/testbed/src/test/java/thornferry/testbed/TlsSite.java
+++ b/testbed/src/test/java/thornferry/testbed/TlsSite.java
@@ -122,7 +122,7 @@
     }
 
     private SslContext tls(String certificate) throws IOException {
-        return Tls.client(
+        return Tls.clientContext(
                 new Tls.Pem(
                         certificate == null ? null : keys.certificate(certificate),
                         certificate == null ? null : keys.key(certificate),
